--- a/src/log.rs
+++ b/src/log.rs
@@ -44,22 +44,41 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut message = Message(String::new());
-        event.record(&mut message);
-        writeln!(writer, "{} {}", self.0, message.0)
+        let mut line = EventText::default();
+        event.record(&mut line);
+        writeln!(writer, "{} {}{}", self.0, line.message, line.fields)
     }
 }
 
-struct Message(String);
+/// An event as text: its message, then its fields as ` name=value`.
+#[derive(Default)]
+struct EventText {
+    message: String,
+    fields: String,
+}
 
-impl Visit for Message {
-    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        if field.name() == "message" {
-            self.0 = format!("{value:?}");
+impl EventText {
+    fn push(&mut self, field: &Field, value: &str) {
+        match field.name() {
+            "message" => value.clone_into(&mut self.message),
+            // It begins the line.
+            "node" => {}
+            name if value.contains(' ') => self.fields.push_str(&format!(" {name}={value:?}")),
+            name => self.fields.push_str(&format!(" {name}={value}")),
         }
     }
 }
 
+impl Visit for EventText {
+    fn record_str(&mut self, field: &Field, value: &str) {
+        self.push(field, value);
+    }
+
+    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
+        self.push(field, &format!("{value:?}"));
+    }
+}
+
 /// Logs a line of the node under its part, which is the line's first word.
 pub fn line(node: &str, text: &str) {
     let part = text.split([':', ' ']).next().unwrap_or_default();
