--- a/src/node/exchange/mod.rs
+++ b/src/node/exchange/mod.rs
@@ -3,8 +3,8 @@
 
 mod module;
 pub mod orders;
+pub mod recent_names;
 pub mod request;
-mod seen;
 mod shutdown;
 
 use super::clock::{from_micros, to_micros};
@@ -17,9 +17,9 @@
     Micros, Note, Outcome, Repeat, Request, RequestId, Settings, SettingsError, TimerId, TrueCost,
 };
 pub use orders::*;
+use recent_names::RecentNames;
 pub use request::*;
-use seen::Seen;
-use std::collections::{HashMap, HashSet, VecDeque};
+use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
 use tracing::trace;
@@ -76,7 +76,7 @@
     open: Slots<Open>,
     names: HashMap<RequestId, Key>,
     askers: HashMap<Asker, Key>,
-    seen: Seen,
+    recent_names: RecentNames,
     /// What the fleet's stocks still count, and until when: it may run on at an engine.
     lingering: Vec<(f64, Rc<Held>)>,
     /// Zones of engines, kept only where a fleet's policy may ask for them.
@@ -99,7 +99,7 @@
     ) -> Result<Exchange, SettingsError> {
         let gateway = Gateway::new(settings.clone(), seed)?;
         Ok(Exchange {
-            seen: Seen::new(&settings),
+            recent_names: RecentNames::new(&settings),
             gateway,
             settings,
             open_most,
@@ -224,7 +224,7 @@
         let full =
             self.refuses_new || self.open.len() >= self.open_most || self.payload + size > self.payload_most;
         let used = self.names.contains_key(&id) || self.askers.contains_key(&ask.asker);
-        let came = !self.seen.is_first(now, &ask.name) || used;
+        let came = !self.recent_names.insert(now, &ask.name) || used;
         if full || came {
             // Nothing is run for this request; but under a name that came before something may have been.
             let backoff_ms = self.settings.retry_after.map_or(BACKOFF, from_micros);
--- a/src/node/exchange/recent_names.rs
+++ b/src/node/exchange/recent_names.rs
@@ -1,55 +1,66 @@
-//! Names of requests taken lately: a name comes once. Who sends one again and again would earn further attempts for the
-//! ration, and have a load run twice.
+//! Names of requests that came lately. A name is accepted once: a client that repeats one would earn retries for the
+//! retry budget each time, and could have a load run twice.
 
-use super::*;
+use crate::Settings;
+use std::collections::{HashSet, VecDeque};
+use std::sync::Arc;
 
-/// For so long at least, in milliseconds: as a ration looks back.
-const LEAST_MS: f64 = 10_000.0;
+/// Shortest time for which a name is kept, in milliseconds.
+const MIN_RETENTION_MS: f64 = 10_000.0;
 
-/// Names kept at most: some MB. A flood of new names drives out old ones.
-const MOST: usize = 16_384;
+/// Longest time for which a name is kept, in milliseconds, whatever span the retry budget has.
+const MAX_RETENTION_MS: f64 = 6.0 * MIN_RETENTION_MS;
 
-/// The names and when they came.
-pub(super) struct Seen {
-    span_ms: f64,
+/// Most names that are kept. Beyond, the oldest are dropped before their time.
+pub const MAX_NAMES: usize = 16_384;
+
+/// The names of recent requests, by the time at which each came.
+pub struct RecentNames {
+    retention_ms: f64,
     names: HashSet<Arc<str>>,
-    order: VecDeque<(f64, Arc<str>)>,
+    by_arrival: VecDeque<(f64, Arc<str>)>,
 }
 
-impl Seen {
-    /// None yet; a ration's span may ask for longer than the least.
-    pub(super) fn new(settings: &Settings) -> Seen {
-        let span_ms = settings.budget.map_or(0.0, |b| b.span.as_millis()).clamp(LEAST_MS, 6.0 * LEAST_MS);
-        Seen { span_ms, names: HashSet::new(), order: VecDeque::new() }
+impl RecentNames {
+    /// No names yet. They are kept as long as the retry budget looks back, within fixed bounds.
+    pub fn new(settings: &Settings) -> RecentNames {
+        let budget_span_ms = settings.budget.map_or(0.0, |budget| budget.span.as_millis());
+        RecentNames {
+            retention_ms: budget_span_ms.clamp(MIN_RETENTION_MS, MAX_RETENTION_MS),
+            names: HashSet::new(),
+            by_arrival: VecDeque::new(),
+        }
     }
 
-    /// Whether a name comes for the first time lately; from now on it is kept.
-    pub(super) fn is_first(&mut self, now: f64, name: &Arc<str>) -> bool {
-        while self.order.front().is_some_and(|(at, _)| now - at > self.span_ms || self.order.len() >= MOST) {
-            if let Some((_, old)) = self.order.pop_front() {
-                self.names.remove(&old);
-            }
+    /// Records a name; whether it comes for the first time within the retention. `now` is in milliseconds.
+    pub fn insert(&mut self, now: f64, name: &Arc<str>) -> bool {
+        self.drop_old(now);
+        let is_new = self.names.insert(name.clone());
+        if is_new {
+            self.by_arrival.push_back((now, name.clone()));
         }
-        let first = self.names.insert(name.clone());
-        if first {
-            self.order.push_back((now, name.clone()));
-        }
-        first
+        is_new
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_name_is_kept_for_the_span_and_a_flood_of_names_is_bounded() {
-        let mut seen = Seen::new(&Settings::default());
-        let name = |n: usize| Arc::from(format!("{n:016x}"));
-        assert!(seen.is_first(0.0, &name(1)) && !seen.is_first(9_999.0, &name(1)));
-        assert!(seen.is_first(10_001.0, &name(1)), "it has been forgotten");
-        (10..200_000).for_each(|n| assert!(seen.is_first(10_002.0, &name(n))));
-        assert!(seen.order.len() <= MOST && seen.names.len() == seen.order.len());
-        assert!(!seen.is_first(10_003.0, &name(199_999)) && seen.is_first(10_003.0, &name(10)));
+    /// How many names are kept.
+    pub fn len(&self) -> usize {
+        debug_assert_eq!(self.names.len(), self.by_arrival.len());
+        self.names.len()
+    }
+
+    /// Whether no names are kept.
+    pub fn is_empty(&self) -> bool {
+        self.names.is_empty()
+    }
+
+    fn drop_old(&mut self, now: f64) {
+        while let Some((came, name)) = self.by_arrival.front() {
+            let is_kept = now - came <= self.retention_ms && self.by_arrival.len() < MAX_NAMES;
+            if is_kept {
+                return;
+            }
+            self.names.remove(name);
+            self.by_arrival.pop_front();
+        }
     }
 }
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -5,7 +5,7 @@
 mod login;
 mod run;
 mod session;
-mod statement;
+pub mod statement;
 use crate::node::backend::Cx;
 use crate::node::config::{MysqlSettings, OrderBy};
 use crate::node::deadlines::Wake;
--- /dev/null
+++ b/tests/mysql_statements.rs
@@ -0,0 +1,59 @@
+//! What the MySQL front reads off a statement: parameters, whether it can move between engines, whether it only reads.
+
+use beamgap::node::front::mysql::statement::{movable, only_reads, parameters, words};
+
+#[test]
+fn only_question_marks_outside_strings_names_and_comments_are_parameters() {
+    for (sql, count) in [
+        ("select ? from t where a = ? and b = '?' and `c?` = \"?\"", 2),
+        ("select 'it''s ?', 'a\\'?' -- ?\n, ? # ?", 1),
+        ("select /* ? */ 1 /*! + ? */", 1),
+        ("select 'open ?", 0),
+    ] {
+        assert_eq!(parameters(&words(sql.as_bytes())), count, "{sql}");
+    }
+}
+
+#[test]
+fn statements_bound_to_a_session_are_distinguished_from_those_that_can_move() {
+    for sql in [
+        "begin",
+        "START TRANSACTION",
+        "/* x */ set names utf8",
+        "select @a := 1",
+        "select 1; select 2",
+        "create temporary table t (a int)",
+        "select last_insert_id()",
+        "select get_lock('a', 1)",
+        "/*!40101 SET NAMES utf8 */",
+        "insert into t values (1); commit",
+        "kill 7",
+        "load data infile 'x'",
+    ] {
+        assert!(movable(&words(sql.as_bytes())).is_err(), "{sql}");
+    }
+    for sql in ["select @@max_allowed_packet", "select 1;", "insert into t values ('@a; set')", "start"] {
+        assert_eq!(movable(&words(sql.as_bytes())), Ok(()), "{sql}");
+    }
+}
+
+#[test]
+fn only_statements_without_any_write_or_lock_count_as_reads() {
+    for sql in
+        ["select 1", "(select 1) union (select 2)", "with a as (select 1) select * from a", "show tables"]
+    {
+        assert!(only_reads(&words(sql.as_bytes())), "{sql}");
+    }
+    for sql in [
+        "insert into t select 1",
+        "select 1 into outfile 'x'",
+        "with a as (select 1) delete from t",
+        "select a from t for update",
+        "call p()",
+        "",
+        "explain analyze delete from t",
+        "select 1 /*! into @x */",
+    ] {
+        assert!(!only_reads(&words(sql.as_bytes())), "{sql}");
+    }
+}
