--- a/tests/mysql_packets.rs
+++ b/tests/mysql_packets.rs
@@ -2,7 +2,7 @@
 
 use beamgap::node::packets::{
     eof, error, ok, packet, push, renumber, Course,
-    Step::{self, Broken, Done, Error, More},
+    Step::{Broken, Done, Error, More},
     TooLong,
 };
 
