--- a/src/decide.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! All decisions of the gateway. Its interface (settings, events, actions) stands in `src/api`.
+//! All decisions of the gateway. Its interface (settings, events, actions) stands in `api`.
 //!
 //! Reading order is a request's path: `predict` (cheap pass, model, quota), `route` (arrival, hold, route),
 //! `load`, `rules` (the gate), `attempts`, `health`, the tick here. Mechanism: SAFELoad (`docs/design.md`).
--- a/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// Scrambles the bits of a number: the finalizer of SplitMix64.
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -40,12 +40,8 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod api;
-mod decide;
 pub mod fleet;
 pub mod node;
 pub mod settings;
-mod state;
 
-pub use api::*;
-pub use decide::Gateway;
+pub use beamgap_decisions::*;
--- a/src/node/bulletin.rs
+++ b/src/node/bulletin.rs
@@ -5,7 +5,7 @@
 use super::clock::to_micros;
 use super::deadlines::{Deadlines, Handle, Wake};
 use super::reactor::{Link, Owner, ReadEnd};
-use crate::state::mix;
+use crate::mix;
 use crate::{EngineId, ListKind, Member, MemberState};
 use mio::Registry;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 
 pub mod fit;
 
-use crate::api::*;
+use crate::*;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 
