--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -1,216 +1,213 @@
-//! The life of attempts: sent, heard of, ended, called off, copied where they lag; and a request's last word.
+//! The life of an attempt: sent, heard of, ended.
 
-use super::*;
+use super::outlier_ejection::{FIRST_EJECTION, LONGEST_EJECTION};
+use super::{Gateway, WINDOW};
+use crate::state::request::{TrackedAttempt, TrackedRequest};
+use crate::{Action, Attempt, Closed, Micros, Note, Outcome};
 
-const GRANT_PART: f64 = 0.85; // of the memory, granted by threads; the rest is for light queries
-const SILENCE_NOTES: f64 = 1.3; // times the pause between notes after which silence is sure
-const ERRORS_MOST: usize = 2; // engines that may answer a request with an error: more, and it is at fault
-const HEDGE_TIMES: f64 = 3.0; // times its expected time after which a light query is copied
-const HEDGE_LEAST_MS: f64 = 250.0; // ms; and not before this
-const BAD_PLAN: f64 = 4.0; // times what was expected; past the scatter of estimates
-const MOVES: usize = 3; // engines tried for a place without a line; the other attempts are kept
-const BLOCKED_FOR: Micros = Micros::from_millis(1500); // a table group counts as held after a note of it
-const GIANT: f64 = 3.0; // times its class's mean work; such a query yields to the rest
+/// Share of an engine's memory that is granted by threads; the rest is for light queries.
+const GRANTED_MEMORY_SHARE: f64 = 0.85;
+
+/// Times its class's mean work from which a query yields to the rest under pressure.
+const GIANT_QUERY: f64 = 3.0;
+
+/// Time for which a table group counts as held after a note of it.
+const HELD_GROUP_MEMORY: Micros = Micros::from_millis(1500);
+
+/// Priority where engines know none.
+const NO_PRIORITY: u8 = 1;
+
+/// Priority of light queries.
+const LIGHT_PRIORITY: u8 = 3;
+
+/// Priority of a heavy query that can be in time; one more if it holds its tables.
+const IN_TIME_PRIORITY: u8 = 1;
+
+/// Priority of a heavy query that is late, or a giant under pressure: its worth is spread over much work.
+const LOW_PRIORITY: u8 = 0;
+
+/// What is needed of an attempt whose progress has come.
+struct AttemptProgress {
+    engine: usize,
+    age_ms: f64,
+    expected_ms: f64,
+    stalled: bool,
+}
 
 impl Gateway {
-    pub(super) fn send(&mut self, seq: u64, e: usize, out: &mut Vec<Action>) {
-        let trial = self.zone_lost(e);
-        trial.then(|| self.zones.of(&self.engines[e]).try_again(self.now, EJECT_FIRST, EJECT_LONGEST));
-        let job = &self.jobs[&seq];
-        let (learned, threads) = (&self.learned[job.request.class.0], self.threads(job));
-        let (usual, holds) = (learned.usual(job.work_ms), self.class(job).holds_tables);
-        let giant = job.work_ms > GIANT * learned.work_ms && self.pressed(e, self.load(e));
-        let priority = match (self.in_time(job) && !giant, !self.is_light(job)) {
-            _ if !self.settings.priorities => 1,
-            (_, false) => 3,
-            (true, _) => 1 + u8::from(holds),
-            (false, _) => 0, // Late, or a giant under pressure: its worth is spread over much work.
-        };
-        let (now, again) = (self.now, !job.tries.is_empty());
-        let (wasted, tokens) = (job.wasted(), self.settings.grants);
-        let engine = &mut self.engines[e];
-        let job = self.jobs.get_mut(&seq).expect("a number in use names a job");
-        let part =
-            if tokens { GRANT_PART * threads * engine.memory_mb / engine.bound.max(threads) } else { 0.0 };
-        let memory = job.need_mb.max(part).min(engine.memory_mb * self.settings.largest_grant).max(0.0);
-        let memory_mb = if self.settings.grants { memory.ceil() as u64 } else { 0 };
-        let request = job.request.id.clone();
-        if self.settings.priorities || memory_mb > 0 {
-            out.push(Action::Terms { request: request.clone(), memory_mb, priority });
+    /// Sends a request to an engine.
+    pub(super) fn send(&mut self, sequence: u64, index: usize, actions: &mut Vec<Action>) {
+        let now = self.clock.now;
+        if self.zone_is_lost(index) {
+            let zone = self.health.zones.zone_mut(&self.engines[index].entry.zone);
+            zone.trial_sent(now, FIRST_EJECTION, LONGEST_EJECTION);
+        }
+        let request = &self.requests[sequence];
+        let threads = self.threads(request);
+        let memory_mb = self.memory_for(request, index);
+        let expected_ms = request.work_ms / threads.max(1.0) * self.engines[index].stretch.blended.max(1.0);
+        let is_retry = !request.attempts.is_empty();
+        let repeats_work = request.last_attempt_took_work();
+        self.push_send(request, index, memory_mb, actions);
+        self.count_send(sequence, index, memory_mb);
+        let attempt = TrackedAttempt::new(index, now, memory_mb, expected_ms);
+        self.requests.get_mut(sequence).attempts.push(attempt);
+        if repeats_work {
+            self.retries.spend_token();
         }
-        let expect_ms = job.work_ms / threads.max(1.0) * engine.stretch.max(1.0);
-        job.tries.push(Try::new(e, now, memory, expect_ms));
-        engine.take(threads, memory);
-        if engine.started.is_some() || engine.lost_in_row > 0 {
-            let span = self.settings.cold.map_or(WINDOW, |c| c.warm_within);
-            engine.take_cold(now, usual, span);
+        if is_retry {
+            self.retries.retry_sent(now);
         }
-        out.push(Action::Send { request, engine: engine.member.engine.clone(), give_up_after: None });
-        holds.then(|| self.blocked.insert((e, job.request.tables), job.deadline));
-        self.extra -= f64::from(u8::from(wasted));
-        again.then(|| self.counts.further.push_back(now));
     }
 
-    /// Answers a request that is given up, at once: refused where trying again is harmless, else failed.
-    pub(super) fn give_up(&mut self, seq: u64, out: &mut Vec<Action>) {
-        // The fuller the fleet, the later they are told to come back; spread, so as not to come as one.
-        let pause =
-            Micros((1_000_000.0 - 700_000.0 * self.admitted) as u64 * (700 + self.draw() % 600) / 1000);
-        let job = &self.jobs[&seq];
-        let harmless = self.class(job).repeat.may_be_refused() || job.may_have_run().is_none();
-        let request = job.request.id.clone();
-        let retry_after = self.settings.retry_after.map(|most| most.min(pause));
-        out.push(if harmless { Action::Refuse { request, retry_after } } else { Action::Fail { request } });
-        self.wind_up(seq, out);
+    fn push_send(&self, request: &TrackedRequest, index: usize, memory_mb: f64, actions: &mut Vec<Action>) {
+        let id = request.request.id.clone();
+        let granted_mb = if self.settings.grants { memory_mb.ceil() as u64 } else { 0 };
+        if self.settings.priorities || granted_mb > 0 {
+            let priority = self.priority(request, index);
+            actions.push(Action::Terms { request: id.clone(), memory_mb: granted_mb, priority });
+        }
+        let engine = self.engines[index].entry.engine.clone();
+        actions.push(Action::Send { request: id, engine, give_up_after: None });
     }
 
-    /// Nothing more is owed: calls off what is out; at the last outcome forgets it and passes its key on.
-    pub(super) fn wind_up(&mut self, seq: u64, out: &mut Vec<Action>) {
-        self.held.remove(&seq);
-        let cancel = self.settings.cancel;
-        let job = self.job(seq);
-        job.over = true;
-        let request = job.request.id.clone();
-        for attempt in if cancel { job.call_off() } else { Vec::new() } {
-            out.push(Action::Cancel { request: request.clone(), attempt });
+    /// Counts a send on its engine.
+    fn count_send(&mut self, sequence: u64, index: usize, memory_mb: f64) {
+        let now = self.clock.now;
+        let request = &self.requests[sequence];
+        let threads = self.threads(request);
+        let work_ms = self.cautious_work_ms(request);
+        let engine = &mut self.engines[index];
+        engine.attempt_sent(threads, memory_mb);
+        if engine.started.is_some() || engine.health.connect_failures_in_row > 0 {
+            let span = self.settings.cold.map_or(WINDOW, |rule| rule.warm_within);
+            engine.warmup_work_sent(now, work_ms, span);
         }
-        if job.open() > 0 {
-            return;
+        if self.class(request).holds_tables {
+            self.engines.hold_group(index, request.request.tables, request.deadline);
         }
-        let key = self.jobs.remove(&seq).and_then(|job| job.request.key);
-        key.into_iter().for_each(|key| self.keys.leave(&key, seq));
-        self.ids.remove(&request);
     }
 
-    pub(super) fn closed(&mut self, seq: u64, c: &Closed, out: &mut Vec<Action>) {
-        let job = self.job(seq);
-        let Some(t) = job.tries.get_mut(c.attempt.0 as usize).filter(|t| t.end.is_none()) else { return };
-        t.end = Some(c.outcome);
-        let (e, memory, stalled, doubted) = (t.engine, t.memory, t.stalled, t.doubted);
-        let tells = c.outcome == Outcome::Served || !(t.cancelled || c.outcome == Outcome::Moot);
-        let job = &self.jobs[&seq];
-        let (threads, class) = (self.threads(job), &self.settings.classes[job.request.class.0]);
-        if let Some(key) = job.request.key.as_ref().filter(|_| class.in_order && c.outcome.end_unsure()) {
-            self.keys.rest(key, self.now.plus(self.settings.key_rest));
+    /// Memory that is set aside for a request on an engine: its need, or its part by threads where grants count.
+    fn memory_for(&self, request: &TrackedRequest, index: usize) -> f64 {
+        let engine = &self.engines[index];
+        let threads = self.threads(request);
+        let part_by_threads = if self.settings.grants {
+            GRANTED_MEMORY_SHARE * threads * engine.memory_mb / engine.thread_bound.max(threads)
+        } else {
+            0.0
+        };
+        let largest = engine.memory_mb * self.settings.largest_grant;
+        request.memory_mb.max(part_by_threads).min(largest).max(0.0)
+    }
+
+    fn priority(&self, request: &TrackedRequest, index: usize) -> u8 {
+        if !self.settings.priorities {
+            return NO_PRIORITY;
         }
-        class.holds_tables.then(|| self.blocked.remove(&(e, job.request.tables)));
-        self.engines[e].give_back(threads, memory);
-        if c.outcome == Outcome::Served {
-            self.learn(seq, e, c.latency, c.cost, stalled);
+        if self.is_light(request) {
+            return LIGHT_PRIORITY;
         }
-        let work_ms = self.jobs[&seq].work_ms;
-        tells.then(|| self.judge(e, c.outcome, doubted, work_ms, out));
-        self.blame_errors(seq, c.outcome, out);
-        let job = &self.jobs[&seq];
-        if c.request_over || job.over {
-            self.wind_up(seq, out);
-        } else if job.open() == 0 {
-            let open = |e: usize| self.may_send(seq, e) || self.engines[e].started.is_some();
-            let any = self.ranked(job).into_iter().any(open);
-            let late = self.now.plus(LAST_CALL) >= job.deadline;
-            if late || (job.wasted() && self.extra < 1.0) || !any || job.errors().count() >= ERRORS_MOST {
-                self.give_up(seq, out);
-            } else {
-                self.dispatch(seq, out);
-            }
+        let class_work_ms = self.costs.class(request.request.class.0).work_ms;
+        let is_giant =
+            request.work_ms > GIANT_QUERY * class_work_ms && self.is_pressed(index, self.load(index));
+        if self.can_be_in_time(request) && !is_giant {
+            IN_TIME_PRIORITY + u8::from(self.class(request).holds_tables)
+        } else {
+            LOW_PRIORITY
         }
     }
 
-    pub(super) fn noted(&mut self, seq: u64, attempt: Attempt, note: Note, out: &mut Vec<Action>) {
-        let now = self.now;
-        let job = self.job(seq);
-        let cancels = job.tries.iter().filter(|t| t.cancelled).count();
-        let Some(t) = job.tries.get_mut(attempt.0 as usize).filter(|t| t.end.is_none()) else { return };
-        t.hear(now, note);
-        let (e, age, expect, stalled) = (t.engine, now.since(t.sent).as_millis(), t.expect_ms, t.stalled);
-        let (troubled, tables) = (job.troubled, job.request.tables);
-        self.zones.of(&self.engines[e]).tell(e, true);
-        if note == Note::WaitsForMemory {
-            self.met_line(e, self.jobs[&seq].work_ms);
-            let (job, threads) = (&self.jobs[&seq], self.threads(&self.jobs[&seq]));
-            // Too late to be in time, it keeps its place from one that could be; no work is lost with it.
-            if !self.in_time(job) && !job.over && self.class(job).repeat == Repeat::Safe {
-                return self.give_up(seq, out);
-            }
-            let free = |o: usize| self.engines[o].health == Health::Well && !self.past_bound(o, threads);
-            let better = || self.ranked(job).into_iter().any(|o| !job.tried(o) && free(o));
-            if job.tries.len() < MOVES && better() {
-                self.cancel_and_resend(seq, attempt, out); // A place in line is lost, no work.
-            }
+    /// Takes in the end of an attempt, and sends its request again, answers it or forgets it.
+    pub(super) fn attempt_ended(&mut self, end: &Closed, actions: &mut Vec<Action>) {
+        let Some(sequence) = self.requests.sequence_of(&end.request) else { return };
+        let request = self.requests.get_mut(sequence);
+        let work_ms = request.work_ms;
+        let Some(attempt) = request.attempt_in_flight(end.attempt) else { return };
+        attempt.outcome = Some(end.outcome);
+        let index = attempt.engine;
+        let memory_mb = attempt.memory_mb;
+        let stalled = attempt.stalled;
+        let silence_counted = attempt.silence_counted;
+        let was_called_off = attempt.cancelled || end.outcome == Outcome::Moot;
+        self.rest_key_after(sequence, end.outcome);
+        self.release_engine(sequence, index, memory_mb);
+        if end.outcome == Outcome::Served {
+            self.learn_from_answer(sequence, index, end, stalled);
         }
-        match note {
-            Note::Spilling(_) | Note::WaitsForMemory if !troubled => self.trouble(seq, e),
-            Note::WaitsForHolder => {
-                self.blocked.entry((e, tables)).or_insert(now.plus(BLOCKED_FOR));
-            }
-            Note::Progress(share) if !stalled => {
-                let whole = age / share.clamp(0.001, 1.0);
-                // A further attempt draws a new plan; each earlier cancel speaks for a long query instead.
-                if whole > BAD_PLAN * (1.0 + cancels as f64) * expect && whole - age > 2.0 * expect {
-                    self.cancel_and_resend(seq, attempt, out);
-                }
-            }
-            _ => {}
+        if end.outcome == Outcome::Served || !was_called_off {
+            self.judge_outcome(index, end.outcome, silence_counted, work_ms, actions);
+        }
+        self.count_errors(sequence, end.outcome, actions);
+        let request = &self.requests[sequence];
+        if end.request_over || request.answered {
+            self.finish(sequence, actions);
+        } else if request.in_flight() == 0 {
+            self.retry_or_reject(sequence, actions);
         }
     }
 
-    /// Calls an attempt off, to send again at its outcome; only where a repeat is sure to be allowed.
-    fn cancel_and_resend(&mut self, seq: u64, attempt: Attempt, out: &mut Vec<Action>) {
-        let job = &self.jobs[&seq];
-        let cap = self.settings.send_cap.is_none_or(|cap| (job.tries.len() as u32) < cap);
-        let safe = cap && self.class(job).repeat == Repeat::Safe && self.budget_allows();
-        let t = &job.tries[attempt.0 as usize];
-        if self.settings.cancel && safe && !t.cancelled && !job.over && self.extra >= 1.0 {
-            out.push(Action::Cancel { request: job.request.id.clone(), attempt });
-            self.job(seq).tries[attempt.0 as usize].cancelled = true;
+    /// Takes an ended attempt off the counts of its engine.
+    fn release_engine(&mut self, sequence: u64, index: usize, memory_mb: f64) {
+        let request = &self.requests[sequence];
+        if self.class(request).holds_tables {
+            self.engines.release_group(index, request.request.tables);
         }
+        let threads = self.threads(request);
+        self.engines[index].attempt_ended(threads, memory_mb);
     }
 
-    /// Answers held requests whose time is up; copies or moves attempts that hang or lag.
-    pub(super) fn overdue(&mut self, out: &mut Vec<Action>) {
-        let done: Vec<u64> = self.held.iter().copied().filter(|seq| self.too_late(&self.jobs[seq])).collect();
-        done.into_iter().for_each(|seq| self.give_up(seq, out));
-        let sure = self.settings.notes_every.map_or(f64::INFINITY, |n| n.as_millis() * SILENCE_NOTES + 100.0);
-        let mut lag: Vec<(u64, usize, bool, Option<bool>)> = Vec::new();
-        for (&seq, job) in self.jobs.iter().filter(|_| self.lagged < self.now) {
-            for (i, t) in job.tries.iter().enumerate().filter(|(_, t)| t.end.is_none()) {
-                let engine = &self.engines[t.engine];
-                let (quiet, age) = (self.now.since(t.heard).as_millis(), self.now.since(t.sent).as_millis());
-                let (light, patience) = (self.is_light(job), (HEDGE_TIMES * t.expect_ms).max(HEDGE_LEAST_MS));
-                // Lost: its engine is out, twice the patience is over, or it has missed a note of its own.
-                let out = matches!(engine.health, Health::Ejected(_)) || self.zone_lost(t.engine);
-                let lost = (out && age > t.expect_ms * 1.5)
-                    || (light && !t.waits && age > 2.0 * patience)
-                    || (!t.waits && quiet > sure);
-                let doubt = !t.doubted && !t.waits && quiet > (2.0 * patience).min(sure);
-                let late =
-                    (lost || (light && age > patience)) && !job.over && !t.cancelled && job.open() == 1;
-                if doubt || late {
-                    lag.push((seq, i, doubt, Some(lost).filter(|_| late)));
-                }
+    /// Takes in a note of an attempt's progress.
+    pub(super) fn attempt_progressed(
+        &mut self,
+        sequence: u64,
+        attempt: Attempt,
+        note: Note,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(progress) = self.record_progress(sequence, attempt, note) else { return };
+        let engine = progress.engine;
+        let was_troubled = self.requests[sequence].troubled;
+        self.health.zones.zone_mut(&self.engines[engine].entry.zone).engine_alive();
+        if note == Note::WaitsForMemory {
+            self.queue_met(engine, self.requests[sequence].work_ms);
+            if self.is_hopeless_in_queue(sequence) {
+                self.reject_or_fail(sequence, actions);
+                return;
             }
+            self.leave_engine_queue(sequence, attempt, actions);
         }
-        for (seq, i, doubt, late) in lag {
-            if doubt {
-                self.job(seq).tries[i].doubted = true;
-                let e = self.jobs[&seq].tries[i].engine;
-                self.zones.of(&self.engines[e]).tell(e, false);
-                self.weigh(e, true, "silent with work out", out);
+        match note {
+            Note::Spilling(_) | Note::WaitsForMemory => {
+                if !was_troubled {
+                    self.memory_trouble(sequence, engine);
+                }
             }
-            let Some(lost) = late else { continue };
-            let job = &self.jobs[&seq];
-            if self.extra < 1.0 || (!lost && self.class(job).repeat != Repeat::Safe) {
-                continue;
+            Note::WaitsForHolder => {
+                let group = self.requests[sequence].request.tables;
+                let until = self.clock.now.plus(HELD_GROUP_MEMORY);
+                self.engines.observe_held_group(engine, group, until);
             }
-            let (here, threads, light) = (job.tries[i].engine, self.threads(job), self.is_light(job));
-            let mut fits = self.ranked(job);
-            fits.retain(|e| *e != here && self.usable(seq, *e));
-            let free = fits.iter().find(|e| !self.past_bound(**e, threads));
-            if let Some(e) = free.or(fits.first().filter(|_| lost && light)).copied() {
-                self.send(seq, e, out);
-            } else if lost && !self.settings.second_copies {
-                self.cancel_and_resend(seq, Attempt(i as u32), out);
+            Note::Progress(share) => {
+                if !progress.stalled {
+                    let expected_total_ms = progress.age_ms / share.clamp(0.001, 1.0);
+                    let left_ms = expected_total_ms - progress.age_ms;
+                    let expected_ms = progress.expected_ms;
+                    self.resend_if_slow(sequence, attempt, expected_total_ms, left_ms, expected_ms, actions);
+                }
             }
         }
     }
+
+    fn record_progress(&mut self, sequence: u64, attempt: Attempt, note: Note) -> Option<AttemptProgress> {
+        let now = self.clock.now;
+        let attempt = self.requests.get_mut(sequence).attempt_in_flight(attempt)?;
+        attempt.progressed(now, note);
+        Some(AttemptProgress {
+            engine: attempt.engine,
+            age_ms: now.since(attempt.sent).as_millis(),
+            expected_ms: attempt.expected_ms,
+            stalled: attempt.stalled,
+        })
+    }
 }
--- /dev/null
+++ b/crates/decisions/src/decide/engine_list.rs
@@ -0,0 +1,59 @@
+//! Takes in the list of engines and their load reports.
+
+use super::load::{CAREFUL_THREADS_PER_CORE, INITIAL_THREADS_PER_CORE};
+use super::Gateway;
+use crate::state::clock::Backoff;
+use crate::{Action, EngineId, ListKind, LoadReport, Member, WhenShort};
+
+impl Gateway {
+    pub(super) fn update_engine_list(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<Member>,
+        actions: &mut Vec<Action>,
+    ) {
+        self.list_backoff = Backoff::default();
+        if kind != ListKind::Changes {
+            self.engines.remove_all();
+        }
+        for entry in entries {
+            self.update_engine(entry);
+        }
+        self.engines.update_smallest(INITIAL_THREADS_PER_CORE);
+        self.plan_all_groups();
+        self.dispatch_waiting(actions);
+    }
+
+    fn update_engine(&mut self, entry: Member) {
+        let machine = self.settings.machine(&entry.kind);
+        let known = self.engines.index_of(&entry.engine);
+        let requests = &self.requests;
+        let in_use = |engine: usize| requests.values().any(|request| request.was_sent_to(engine));
+        let index = known.unwrap_or_else(|| self.engines.insert(&entry.engine, in_use));
+        let thread_bound = self.initial_threads_per_core() * machine.cores;
+        let engine = &mut self.engines[index];
+        if known.is_none() || entry.started > engine.started {
+            engine.restarted(entry.started, thread_bound);
+            self.health.zones.zone_mut(&entry.zone).engine_alive();
+        }
+        engine.cores = machine.cores;
+        engine.memory_mb = machine.memory_mb;
+        engine.kind = machine.kind;
+        self.engines.store_entry(index, entry);
+    }
+
+    /// Where more is let in than memory holds, the bound starts low.
+    fn initial_threads_per_core(&self) -> f64 {
+        if self.settings.when_short == WhenShort::LetIn {
+            CAREFUL_THREADS_PER_CORE
+        } else {
+            INITIAL_THREADS_PER_CORE
+        }
+    }
+
+    pub(super) fn store_report(&mut self, engine: &EngineId, report: Option<&LoadReport>) {
+        let Some(index) = self.engines.index_of(engine) else { return };
+        let Some(report) = report else { return };
+        self.engines[index].store_report(self.clock.now, report);
+    }
+}
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -1,238 +1,225 @@
-//! All decisions of the gateway. Its interface (settings, events, actions) stands in `api`.
+//! The decisions. [`Gateway`] takes events and hands each to the module that decides about it.
 //!
-//! Reading order is a request's path: `predict` (cheap pass, model, quota), `route` (arrival, hold, route),
-//! `load`, `rules` (the gate), `attempts`, `health`, the tick here. Mechanism: SAFELoad (`docs/design.md`).
-
-use crate::api::*;
-use crate::state::*;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+//! In the order of a request's way:
+//!
+//! - `arrival`: a request is taken, estimated and entered.
+//! - `estimates`: expected work and memory, and what answers teach of them.
+//! - `flagging`: SAFELoad's cheap pass, prediction and quota.
+//! - `routing`: the order of engines for a table group; `dispatch`: send, wait or reject.
+//! - `admission`: shedding by cost under overload, and who is too late.
+//! - `load`: how loaded engines are, and the threads that each bears.
+//! - `send_rules`: the bounds that every send passes, with `ordering` by key, `retry_budget` and `slow_start`.
+//! - `attempts`: sent, heard of, ended; `retries`: cancelled and sent again, hedged.
+//! - `outlier_ejection`: which engines and zones are trusted.
+//! - `tenant_quota`, `engine_list`, and `status` for outsiders.
+
+mod admission;
+mod arrival;
 mod attempts;
-mod health;
+mod dispatch;
+mod engine_list;
+mod estimates;
+mod flagging;
 mod load;
-mod predict;
-mod route;
-mod rules;
-mod standing;
-
-const WINDOW: Micros = Micros::from_millis(3000); // a heavy query or two; short against a storm
-const BEAT: Micros = Micros::from_millis(100); // between surveys of the fleet; shorter than news of it
-const TRUST_LEAST: f64 = 0.5; // trust in a report under which it is not taken by itself
-const REPORT_WORTH: f64 = 3.0; // gateways; a fresh report says as much as own work where so many others send
-const PLAN_MS: f64 = 20_000.0; // ms; half-life of the counts of table groups
-const RECENT_MS: f64 = 3000.0; // ms; half-life of what is known of one engine
-const BOUND_START: f64 = 1.8; // threads a core, all gateways; over 1, as some wait for disks
-const BOUND_CAREFUL: f64 = 1.0; // threads a core at first where more is let in than memory holds
-const STRETCH_HIGH: f64 = 2.2; // latency over the best; heavy work is crowded above it, so the bound falls
-const STRETCH_LOW: f64 = 1.7; // latency over the best; below it the bound may rise
-const TICK: Micros = Micros::from_millis(25); // between looks at what waits: short against any aim
-const STOOD_STILL: Micros = Micros::from_millis(250); // without an event: ten ticks
-const LAST_CALL: Micros = Micros::from_millis(80); // before its client leaves, what is held is answered
-const FULL_RATE: f64 = 0.85; // share of the cores in use that counts as capacity
-const EJECT_FIRST: Micros = Micros::from_millis(1000); // first rest of an ejected engine: short, if in error
-const EJECT_LONGEST: Micros = Micros::from_millis(8000); // longest rest: troubles last some tens of seconds
-const PRIOR_ATTEMPTS: f64 = 5.0; // attempts that this is worth, and the share that meets no line
-const EXTRA_MOST: f64 = 30.0; // further attempts saved up: one engine's work in hand
-const PRICES_MS: f64 = 5000.0; // ms; half-life of prices asked: a turn of mix takes some seconds
-const TENANT_MS: f64 = 5000.0; // ms; over which a tenant's rate is taken
+mod ordering;
+mod outlier_ejection;
+mod retries;
+mod retry_budget;
+mod routing;
+mod send_rules;
+mod slow_start;
+mod status;
+mod tenant_quota;
+
+use crate::state::admission_state::{AdmissionState, FleetStretch};
+use crate::state::clock::{Backoff, Clock};
+use crate::state::costs::CostModel;
+use crate::state::decay::{remaining, DecayingCounts};
+use crate::state::engine_table::EngineTable;
+use crate::state::hash::RandomSource;
+use crate::state::key_queues::KeyQueues;
+use crate::state::observed_load::ObservedLoad;
+use crate::state::placement::Placement;
+use crate::state::request::TrackedRequest;
+use crate::state::request_table::RequestTable;
+use crate::state::retry_state::RetryState;
+use crate::{Action, ClassSettings, Discovery, Event, Micros, Settings, SettingsError, TimerId};
+use flagging::FlaggingState;
+use outlier_ejection::FleetHealth;
+
+/// Interval at which the quota for flagged queries is refilled and placement is planned anew.
+const WINDOW: Micros = Micros::from_millis(3000);
+
+/// Interval between surveys of the fleet's load.
+const SURVEY_INTERVAL: Micros = Micros::from_millis(100);
+
+/// Interval of the gateway's own timer.
+const TICK_INTERVAL: Micros = Micros::from_millis(25);
+
+/// The gateway's own timer.
 const TICK_TIMER: TimerId = TimerId(1);
 
+/// Half-life of the counts of table groups, in milliseconds.
+const GROUP_HALF_LIFE_MS: f64 = 20_000.0;
+
+/// Half-life of the costs of asked work, in milliseconds.
+const COST_HALF_LIFE_MS: f64 = 5000.0;
+
+/// First pause before the engine list is asked for again.
+const FIRST_LIST_RETRY: Micros = Micros::from_millis(1000);
+
+/// Longest pause before the engine list is asked for again.
+const LONGEST_LIST_RETRY: Micros = Micros::from_millis(8000);
+
 /// Decides for one workload manager. Deterministic: the same settings, seed and events give the same actions.
 #[derive(Default)]
 pub struct Gateway {
     settings: Settings,
-    now: Micros,
-    random: u64,
-    /// When it last stood still: what engines answered meanwhile may be unread. And its longest such gap.
-    lagged: Micros,
-    gap: Micros,
-    born: Option<Micros>,
-    engines: Vec<Engine>,
-    index: HashMap<EngineId, usize>,
-    jobs: BTreeMap<u64, Job>,
-    ids: HashMap<RequestId, u64>,
-    next: u64,
-    keys: KeyLines,
-    held: BTreeSet<u64>,
-    pumped: Micros,
-    learned: Vec<Learned>,
-    least_memory: f64,
-    thread_memory: f64,
-    /// Mean work of all answers, between light and heavy; a turn of mix moves it slowly.
-    middle: f64,
-    shown: Vec<Shown>,
-    signs: Tally,
-    zones: Zones,
-    /// How crowded engines showed themselves, by the work of those who met them.
-    crowd: Tally,
-    /// Asked work by its price, and the share of it that is admitted, cheapest first.
-    prices: Prices,
-    admitted: f64,
-    stretch: f64,
-    stretch_n: f64,
-    best: f64,
-    surveyed: Micros,
-    model: Model,
-    miss_list: MissList,
-    blocked: BTreeMap<(usize, u64), Micros>,
-    groups: Groups,
-    plans: Vec<Plan>,
-    window_end: Micros,
-    extra: f64,
-    counts: AttemptCounts,
-    tenants: Rates,
-    list: Backoff,
-    log_after: Micros,
+    clock: Clock,
+    random: RandomSource,
+    engines: EngineTable,
+    requests: RequestTable,
+    keys: KeyQueues,
+    costs: CostModel,
+    /// By kind of machine; the last is for kinds that the settings do not name.
+    kinds: Vec<ObservedLoad>,
+    stretch: FleetStretch,
+    health: FleetHealth,
+    admission: AdmissionState,
+    flagging: FlaggingState,
+    placement: Placement,
+    retries: RetryState,
+    /// Requests of each tenant.
+    tenants: DecayingCounts,
+    list_backoff: Backoff,
 }
 
 impl Gateway {
     /// A gateway that has just come up and knows nothing but its settings. `seed` feeds all its random draws.
+    ///
+    /// # Errors
+    ///
+    /// A setting that makes no sense, by its path.
     pub fn new(settings: Settings, seed: u64) -> Result<Gateway, SettingsError> {
         settings.check()?;
         Ok(Gateway {
-            learned: vec![Learned::default(); settings.classes.len()],
-            shown: vec![Shown::default(); settings.kinds.len() + 1],
+            costs: CostModel::new(settings.classes.len()),
+            kinds: vec![ObservedLoad::default(); settings.kinds.len() + 1],
             settings,
-            random: mix(seed ^ 0x9e37_79b9_7f4a_7c15),
-            model: Model([-2.0, 1.0, 2.0, 1.0, 1.0]), // All but the first speak for trouble.
-            extra: EXTRA_MOST / 2.0,
-            admitted: 1.0,
+            random: RandomSource::from_seed(seed),
             ..Gateway::default()
         })
     }
 
-    /// Its part of what cold engines bear: one of so many gateways, and which. `None`: as the settings say.
+    /// Its part of what engines that warm up bear: one of so many gateways, and which. `None`: as the settings say.
     pub fn cold_among(&mut self, among: Option<(f64, u64)>) {
         self.settings.cold_among = among;
     }
 
     /// Takes one event at the time `now` and appends what is to be done. Time never goes backward.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let gap = self.born.map_or(Micros(0), |_| now.since(self.now)); // Timers fire each tick.
-        if gap > STOOD_STILL {
-            (self.lagged, self.gap) = (now, self.gap.max(gap));
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        self.clock.advance(now);
+        if self.clock.started_at.is_none() {
+            self.start(actions);
         }
-        self.now = self.now.max(now);
-        if self.born.is_none() {
-            (self.born, self.surveyed, self.window_end) = (Some(self.now), self.now, self.now.plus(WINDOW));
-            out.push(Action::SetTimer { after: TICK, timer: TICK_TIMER });
-            (self.settings.discovery != Discovery::Pushed).then(|| out.push(Action::Subscribe(true)));
-        }
-        let seq = event.about().and_then(|request| self.ids.get(request)).copied();
-        match (event, seq) {
-            (Event::Members { kind, members, .. }, _) => self.members(kind, members, out),
-            (Event::ListFailed, _) => {
-                let draw = self.draw();
-                self.list.failed(self.now, draw, EJECT_FIRST, EJECT_LONGEST);
+        match event {
+            Event::Members { kind, members, .. } => self.update_engine_list(kind, members, actions),
+            Event::ListFailed => self.list_failed(),
+            Event::Arrived(request) => self.request_arrived(request, actions),
+            Event::Streaming { request, .. } => {
+                if let Some(sequence) = self.requests.sequence_of(&request) {
+                    self.requests.get_mut(sequence).answered = true;
+                }
+            }
+            Event::Closed(end) => {
+                self.store_report(&end.engine, end.report.as_ref());
+                self.attempt_ended(&end, actions);
+                self.dispatch_waiting(actions);
             }
-            (Event::Arrived(request), _) => self.arrived(request, out),
-            (Event::Streaming { .. }, Some(seq)) => self.job(seq).over = true,
-            (Event::Closed(closed), seq) => {
-                self.reported(&closed.engine, closed.report.as_ref());
-                seq.into_iter().for_each(|seq| self.closed(seq, &closed, out));
-                self.pump(out);
+            Event::Abandoned(request) => {
+                if let Some(sequence) = self.requests.sequence_of(&request) {
+                    self.finish(sequence, actions);
+                }
             }
-            (Event::Abandoned(_), Some(seq)) => self.wind_up(seq, out),
-            (Event::Timer(TICK_TIMER), _) => self.tick(out),
-            (Event::Probed { engine, report, .. }, _) => {
-                self.reported(&engine, report.as_ref());
-                self.pump(out);
+            Event::Timer(TICK_TIMER) => self.tick(actions),
+            Event::Probed { engine, report, .. } => {
+                self.store_report(&engine, report.as_ref());
+                self.dispatch_waiting(actions);
             }
-            (Event::Noted { attempt, note, .. }, Some(seq)) => self.noted(seq, attempt, note, out),
-            _ => {}
+            Event::Noted { request, attempt, note, .. } => {
+                if let Some(sequence) = self.requests.sequence_of(&request) {
+                    self.attempt_progressed(sequence, attempt, note, actions);
+                }
+            }
+            Event::Timer(_) | Event::Peer { .. } => {}
         }
     }
 
-    /// Requests in mind: not answered yet, or with an attempt still out.
-    pub fn requests_held(&self) -> usize {
-        self.jobs.len()
-    }
-
-    fn draw(&mut self) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.random)
-    }
-
-    fn gateways(&self) -> f64 {
-        f64::from(self.settings.gateways)
+    fn start(&mut self, actions: &mut Vec<Action>) {
+        self.clock.start(WINDOW);
+        actions.push(Action::SetTimer { after: TICK_INTERVAL, timer: TICK_TIMER });
+        if self.settings.discovery != Discovery::Pushed {
+            actions.push(Action::Subscribe(true));
+        }
     }
 
-    fn report_worth(&self) -> f64 {
-        (self.gateways() - 1.0) / (self.gateways() - 1.0 + REPORT_WORTH)
+    fn list_failed(&mut self) {
+        let draw = self.random.draw();
+        self.list_backoff.failed(self.clock.now, draw, FIRST_LIST_RETRY, LONGEST_LIST_RETRY);
     }
 
-    fn class(&self, job: &Job) -> &ClassSettings {
-        &self.settings.classes[job.request.class.0]
+    fn tick(&mut self, actions: &mut Vec<Action>) {
+        let now = self.clock.now;
+        actions.push(Action::SetTimer { after: TICK_INTERVAL, timer: TICK_TIMER });
+        if now >= self.clock.window_end {
+            self.start_window();
+        }
+        if self.list_backoff.take_due(now) {
+            let pushed = self.settings.discovery == Discovery::Pushed;
+            actions.push(if pushed { Action::FetchList } else { Action::Subscribe(true) });
+        }
+        self.keys.expire(now);
+        self.engines.expire_held_groups(now);
+        self.expire_retry_counts();
+        self.finish_overdue(actions);
+        self.retry_lagging(actions);
+        if self.clock.since(self.clock.last_survey) >= SURVEY_INTERVAL {
+            self.survey();
+            self.dispatch_waiting(actions);
+        }
     }
 
-    fn threads(&self, job: &Job) -> f64 {
-        self.class(job).threads.max(0.1)
+    fn start_window(&mut self) {
+        self.clock.window_end = self.clock.now.plus(WINDOW);
+        self.refill_flag_quotas();
+        self.clock.shrink_longest_stall();
+        self.placement.counts.decay(remaining(WINDOW, GROUP_HALF_LIFE_MS));
+        self.admission.costs.decay(remaining(WINDOW, COST_HALF_LIFE_MS));
+        self.plan_all_groups();
     }
 
-    fn job(&mut self, seq: u64) -> &mut Job {
-        self.jobs.get_mut(&seq).expect("a number in use names a job")
+    /// Once each survey interval: mean work, each engine's and kind's load, and the share that is admitted.
+    fn survey(&mut self) {
+        self.costs.update_mean_work();
+        let elapsed = self.clock.since(self.clock.last_survey);
+        self.clock.last_survey = self.clock.now;
+        self.survey_engines(elapsed);
+        self.decay_tenant_counts(elapsed);
+        self.survey_kinds(elapsed);
+        self.update_admitted_share(elapsed);
+        self.update_best_stretch();
     }
 
-    fn members(&mut self, kind: ListKind, members: Vec<Member>, out: &mut Vec<Action>) {
-        self.list = Backoff::default();
-        if kind != ListKind::Changes {
-            self.engines.iter_mut().for_each(|e| (e.listed, e.member.state) = (false, MemberState::Gone));
-        }
-        let lets_in = self.settings.when_short == WhenShort::LetIn;
-        let start = if lets_in { BOUND_CAREFUL } else { BOUND_START };
-        for member in members {
-            let (kind, cores, memory_mb) = self.settings.machine(&member.kind);
-            let known = self.index.get(&member.engine).copied();
-            let (new, jobs) = (known.is_none(), &self.jobs);
-            let used = |e: usize| jobs.values().any(|job| job.tried(e));
-            let (engines, index) = (&mut self.engines, &mut self.index);
-            let e = known.unwrap_or_else(|| place(engines, index, &member.engine, used));
-            new.then(|| self.blocked.retain(|(held, _), _| *held != e));
-            let engine = &mut self.engines[e];
-            if new || member.started > engine.started {
-                engine.restarted(member.started, start * cores);
-                self.zones.named(&member.zone).tell(e, true);
-            }
-            (engine.cores, engine.memory_mb) = (cores, memory_mb);
-            engine.kind = kind;
-            engine.listed = member.state == MemberState::Serving;
-            engine.member = member;
-        }
-        let least = |of: fn(&Engine) -> f64| {
-            self.engines.iter().filter(|e| e.listed).map(of).fold(f64::INFINITY, f64::min)
-        };
-        self.least_memory = least(|e| e.memory_mb);
-        self.thread_memory = least(|e| e.memory_mb / e.cores) / BOUND_START;
-        self.plan_all();
-        self.pump(out);
+    fn gateways(&self) -> f64 {
+        f64::from(self.settings.gateways)
     }
 
-    fn reported(&mut self, engine: &EngineId, report: Option<&LoadReport>) {
-        let (Some(&e), Some(report)) = (self.index.get(engine), report) else { return };
-        self.engines[e].take_report(self.now, report);
+    fn class(&self, request: &TrackedRequest) -> &ClassSettings {
+        &self.settings.classes[request.request.class.0]
     }
 
-    fn tick(&mut self, out: &mut Vec<Action>) {
-        let now = self.now;
-        out.push(Action::SetTimer { after: TICK, timer: TICK_TIMER });
-        if now >= self.window_end {
-            self.window_end = now.plus(WINDOW);
-            self.refill();
-            self.gap.0 -= self.gap.0 / 8;
-            self.groups.fade(fade(WINDOW, PLAN_MS));
-            self.prices.fade(fade(WINDOW, PRICES_MS));
-            self.plan_all();
-        }
-        if self.list.due(now) {
-            let pushed = self.settings.discovery == Discovery::Pushed;
-            out.push(if pushed { Action::FetchList } else { Action::Subscribe(true) });
-        }
-        self.keys.tidy(now);
-        self.blocked.retain(|_, until| *until > now);
-        self.counts.tidy(now, self.settings.budget.map_or(Micros(0), |b| b.span));
-        self.overdue(out);
-        if self.now.since(self.surveyed) >= BEAT {
-            self.survey();
-            self.pump(out);
-        }
+    /// Threads that a request's query runs on.
+    fn threads(&self, request: &TrackedRequest) -> f64 {
+        self.class(request).threads.max(0.1)
     }
 }
--- /dev/null
+++ b/crates/decisions/src/decide/status.rs
@@ -0,0 +1,51 @@
+//! What outsiders see of the engines and of this gateway; nothing is changed here.
+
+use super::Gateway;
+use crate::state::engine::{Engine, Health};
+use crate::{MemberState, Standing};
+
+fn is_in_use(engine: &Engine) -> bool {
+    engine.listed && !matches!(engine.health.health, Health::Ejected(_))
+}
+
+impl Gateway {
+    /// All engines that are listed or draining, in the order of their ids.
+    pub fn standings(&self) -> Vec<Standing> {
+        let is_shown = |engine: &&Engine| engine.listed || engine.entry.state == MemberState::Draining;
+        let shown = self.engines.iter().filter(is_shown);
+        let mut statuses: Vec<Standing> = shown.map(|engine| self.engine_status(engine)).collect();
+        statuses.sort_by(|a, b| a.engine.cmp(&b.engine));
+        statuses
+    }
+
+    fn engine_status(&self, engine: &Engine) -> Standing {
+        let warmth = self.warmth(engine);
+        Standing {
+            engine: engine.entry.engine.clone(),
+            zone: engine.entry.zone.clone(),
+            state: engine.entry.state,
+            takes: is_in_use(engine),
+            weight: engine.cores * warmth / engine.stretch.blended.max(1.0),
+            warmth,
+        }
+    }
+
+    /// Engines that are remembered: those listed, and those gone to which a remembered request was sent.
+    pub fn engines_held(&self) -> usize {
+        self.engines.len()
+    }
+
+    /// Requests that are remembered: not answered yet, or with an attempt in flight.
+    pub fn requests_held(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// The share of the asked work that is admitted now, from 0 to 1; 0 where no engine is in use.
+    pub fn admitted_share(&self) -> f64 {
+        if self.engines.iter().any(is_in_use) {
+            self.admission.admitted_share
+        } else {
+            0.0
+        }
+    }
+}
--- a/crates/decisions/src/api/heard.rs
+++ b/crates/decisions/src/event.rs
@@ -1,7 +1,8 @@
 //! What a gateway hears: of engines, requests and outcomes; and how an engine stands by it.
 
-use super::*;
+use crate::{Attempt, ClassId, EngineId, Micros, RequestId, TimerId};
 use std::collections::BTreeMap;
+use std::sync::Arc;
 
 /// Whether an engine takes new work, as the list says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -220,19 +221,6 @@
     },
 }
 
-impl Event {
-    /// The request that the event tells of, unless it is a new one.
-    pub fn about(&self) -> Option<&RequestId> {
-        match self {
-            Event::Streaming { request, .. } | Event::Noted { request, .. } | Event::Abandoned(request) => {
-                Some(request)
-            }
-            Event::Closed(closed) => Some(&closed.request),
-            _ => None,
-        }
-    }
-}
-
 /// How an engine stands in the module's eyes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Standing {
--- a/crates/decisions/src/api/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told at its start: classes, machines, tenants, rules.
 
-use super::Micros;
+use crate::Micros;
 use std::fmt;
 
 /// Whether a request of a class may be run again.
@@ -168,8 +168,22 @@
     pub fall_span: Micros,
 }
 
-const CORES_UNSTATED: f64 = 8.0; // cores of a kind that states none: a small machine
-const MEMORY_UNSTATED: f64 = 16_384.0; // MB of a kind that states none: a small machine
+/// Cores of a kind of machine that states none.
+const UNSTATED_CORES: f64 = 8.0;
+
+/// Memory of a kind of machine that states none, in megabytes.
+const UNSTATED_MEMORY_MB: f64 = 16_384.0;
+
+/// What a kind of machine has.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Machine {
+    /// Place of the kind in [`Settings::kinds`], behind the last if it is not there.
+    pub kind: usize,
+    /// Cores.
+    pub cores: f64,
+    /// Memory in megabytes.
+    pub memory_mb: f64,
+}
 
 /// What a gateway is told at its start. What is absent binds nothing.
 #[derive(Clone, Debug, PartialEq)]
@@ -259,14 +273,17 @@
         }
     }
 
-    /// What a kind of machine has: its place in [`Settings::kinds`] (behind the last if it is not there),
-    /// its cores, and
-    /// its memory in megabytes; where none are stated, a small machine's.
-    pub fn machine(&self, kind: &str) -> (usize, f64, f64) {
-        let place = self.kinds.iter().position(|k| k.name == kind).unwrap_or(self.kinds.len());
-        let stated = |of: fn(&KindSettings) -> Option<f64>| of(self.kinds.get(place)?).filter(|f| *f > 0.0);
-        let (cores, memory) = (stated(|k| k.cores), stated(|k| k.memory_mb));
-        (place, cores.unwrap_or(CORES_UNSTATED), memory.unwrap_or(MEMORY_UNSTATED))
+    /// What a kind of machine has; where no cores or memory are stated, a small machine's.
+    pub fn machine(&self, kind: &str) -> Machine {
+        let place = self.kinds.iter().position(|stated| stated.name == kind);
+        let stated = place.map(|place| &self.kinds[place]);
+        let cores = stated.and_then(|kind| kind.cores).filter(|cores| *cores > 0.0);
+        let memory_mb = stated.and_then(|kind| kind.memory_mb).filter(|mb| *mb > 0.0);
+        Machine {
+            kind: place.unwrap_or(self.kinds.len()),
+            cores: cores.unwrap_or(UNSTATED_CORES),
+            memory_mb: memory_mb.unwrap_or(UNSTATED_MEMORY_MB),
+        }
     }
 
     /// Says which setting makes no sense, if one does not.
