--- /dev/null
+++ b/crates/decisions/src/decide/attempts.rs
@@ -0,0 +1,213 @@
+//! The life of an attempt: sent, heard of, ended.
+
+use super::outlier_ejection::{FIRST_EJECTION, LONGEST_EJECTION};
+use super::{Gateway, WINDOW};
+use crate::state::request::{TrackedAttempt, TrackedRequest};
+use crate::{Action, Attempt, Closed, Micros, Note, Outcome};
+
+/// Share of an engine's memory that is granted by threads; the rest is for light queries.
+const GRANTED_MEMORY_SHARE: f64 = 0.85;
+
+/// Times its class's mean work from which a query yields to the rest under pressure.
+const GIANT_QUERY: f64 = 3.0;
+
+/// Time for which a table group counts as held after a note of it.
+const HELD_GROUP_MEMORY: Micros = Micros::from_millis(1500);
+
+/// Priority where engines know none.
+const NO_PRIORITY: u8 = 1;
+
+/// Priority of light queries.
+const LIGHT_PRIORITY: u8 = 3;
+
+/// Priority of a heavy query that can be in time; one more if it holds its tables.
+const IN_TIME_PRIORITY: u8 = 1;
+
+/// Priority of a heavy query that is late, or a giant under pressure: its worth is spread over much work.
+const LOW_PRIORITY: u8 = 0;
+
+/// What is needed of an attempt whose progress has come.
+struct AttemptProgress {
+    engine: usize,
+    age_ms: f64,
+    expected_ms: f64,
+    stalled: bool,
+}
+
+impl Gateway {
+    /// Sends a request to an engine.
+    pub(super) fn send(&mut self, sequence: u64, index: usize, actions: &mut Vec<Action>) {
+        let now = self.clock.now;
+        if self.zone_is_lost(index) {
+            let zone = self.health.zones.zone_mut(&self.engines[index].entry.zone);
+            zone.trial_sent(now, FIRST_EJECTION, LONGEST_EJECTION);
+        }
+        let request = &self.requests[sequence];
+        let threads = self.threads(request);
+        let memory_mb = self.memory_for(request, index);
+        let expected_ms = request.work_ms / threads.max(1.0) * self.engines[index].stretch.blended.max(1.0);
+        let is_retry = !request.attempts.is_empty();
+        let repeats_work = request.last_attempt_took_work();
+        self.push_send(request, index, memory_mb, actions);
+        self.count_send(sequence, index, memory_mb);
+        let attempt = TrackedAttempt::new(index, now, memory_mb, expected_ms);
+        self.requests.get_mut(sequence).attempts.push(attempt);
+        if repeats_work {
+            self.retries.spend_token();
+        }
+        if is_retry {
+            self.retries.retry_sent(now);
+        }
+    }
+
+    fn push_send(&self, request: &TrackedRequest, index: usize, memory_mb: f64, actions: &mut Vec<Action>) {
+        let id = request.request.id.clone();
+        let granted_mb = if self.settings.grants { memory_mb.ceil() as u64 } else { 0 };
+        if self.settings.priorities || granted_mb > 0 {
+            let priority = self.priority(request, index);
+            actions.push(Action::Terms { request: id.clone(), memory_mb: granted_mb, priority });
+        }
+        let engine = self.engines[index].entry.engine.clone();
+        actions.push(Action::Send { request: id, engine, give_up_after: None });
+    }
+
+    /// Counts a send on its engine.
+    fn count_send(&mut self, sequence: u64, index: usize, memory_mb: f64) {
+        let now = self.clock.now;
+        let request = &self.requests[sequence];
+        let threads = self.threads(request);
+        let work_ms = self.cautious_work_ms(request);
+        let engine = &mut self.engines[index];
+        engine.attempt_sent(threads, memory_mb);
+        if engine.started.is_some() || engine.health.connect_failures_in_row > 0 {
+            let span = self.settings.cold.map_or(WINDOW, |rule| rule.warm_within);
+            engine.warmup_work_sent(now, work_ms, span);
+        }
+        if self.class(request).holds_tables {
+            self.engines.hold_group(index, request.request.tables, request.deadline);
+        }
+    }
+
+    /// Memory that is set aside for a request on an engine: its need, or its part by threads where grants count.
+    fn memory_for(&self, request: &TrackedRequest, index: usize) -> f64 {
+        let engine = &self.engines[index];
+        let threads = self.threads(request);
+        let part_by_threads = if self.settings.grants {
+            GRANTED_MEMORY_SHARE * threads * engine.memory_mb / engine.thread_bound.max(threads)
+        } else {
+            0.0
+        };
+        let largest = engine.memory_mb * self.settings.largest_grant;
+        request.memory_mb.max(part_by_threads).min(largest).max(0.0)
+    }
+
+    fn priority(&self, request: &TrackedRequest, index: usize) -> u8 {
+        if !self.settings.priorities {
+            return NO_PRIORITY;
+        }
+        if self.is_light(request) {
+            return LIGHT_PRIORITY;
+        }
+        let class_work_ms = self.costs.class(request.request.class.0).work_ms;
+        let is_giant =
+            request.work_ms > GIANT_QUERY * class_work_ms && self.is_pressed(index, self.load(index));
+        if self.can_be_in_time(request) && !is_giant {
+            IN_TIME_PRIORITY + u8::from(self.class(request).holds_tables)
+        } else {
+            LOW_PRIORITY
+        }
+    }
+
+    /// Takes in the end of an attempt, and sends its request again, answers it or forgets it.
+    pub(super) fn attempt_ended(&mut self, end: &Closed, actions: &mut Vec<Action>) {
+        let Some(sequence) = self.requests.sequence_of(&end.request) else { return };
+        let request = self.requests.get_mut(sequence);
+        let work_ms = request.work_ms;
+        let Some(attempt) = request.attempt_in_flight(end.attempt) else { return };
+        attempt.outcome = Some(end.outcome);
+        let index = attempt.engine;
+        let memory_mb = attempt.memory_mb;
+        let stalled = attempt.stalled;
+        let silence_counted = attempt.silence_counted;
+        let was_called_off = attempt.cancelled || end.outcome == Outcome::Moot;
+        self.rest_key_after(sequence, end.outcome);
+        self.release_engine(sequence, index, memory_mb);
+        if end.outcome == Outcome::Served {
+            self.learn_from_answer(sequence, index, end, stalled);
+        }
+        if end.outcome == Outcome::Served || !was_called_off {
+            self.judge_outcome(index, end.outcome, silence_counted, work_ms, actions);
+        }
+        self.count_errors(sequence, end.outcome, actions);
+        let request = &self.requests[sequence];
+        if end.request_over || request.answered {
+            self.finish(sequence, actions);
+        } else if request.in_flight() == 0 {
+            self.retry_or_reject(sequence, actions);
+        }
+    }
+
+    /// Takes an ended attempt off the counts of its engine.
+    fn release_engine(&mut self, sequence: u64, index: usize, memory_mb: f64) {
+        let request = &self.requests[sequence];
+        if self.class(request).holds_tables {
+            self.engines.release_group(index, request.request.tables);
+        }
+        let threads = self.threads(request);
+        self.engines[index].attempt_ended(threads, memory_mb);
+    }
+
+    /// Takes in a note of an attempt's progress.
+    pub(super) fn attempt_progressed(
+        &mut self,
+        sequence: u64,
+        attempt: Attempt,
+        note: Note,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(progress) = self.record_progress(sequence, attempt, note) else { return };
+        let engine = progress.engine;
+        let was_troubled = self.requests[sequence].troubled;
+        self.health.zones.zone_mut(&self.engines[engine].entry.zone).engine_alive();
+        if note == Note::WaitsForMemory {
+            self.queue_met(engine, self.requests[sequence].work_ms);
+            if self.is_hopeless_in_queue(sequence) {
+                self.reject_or_fail(sequence, actions);
+                return;
+            }
+            self.leave_engine_queue(sequence, attempt, actions);
+        }
+        match note {
+            Note::Spilling(_) | Note::WaitsForMemory => {
+                if !was_troubled {
+                    self.memory_trouble(sequence, engine);
+                }
+            }
+            Note::WaitsForHolder => {
+                let group = self.requests[sequence].request.tables;
+                let until = self.clock.now.plus(HELD_GROUP_MEMORY);
+                self.engines.observe_held_group(engine, group, until);
+            }
+            Note::Progress(share) => {
+                if !progress.stalled {
+                    let expected_total_ms = progress.age_ms / share.clamp(0.001, 1.0);
+                    let left_ms = expected_total_ms - progress.age_ms;
+                    let expected_ms = progress.expected_ms;
+                    self.resend_if_slow(sequence, attempt, expected_total_ms, left_ms, expected_ms, actions);
+                }
+            }
+        }
+    }
+
+    fn record_progress(&mut self, sequence: u64, attempt: Attempt, note: Note) -> Option<AttemptProgress> {
+        let now = self.clock.now;
+        let attempt = self.requests.get_mut(sequence).attempt_in_flight(attempt)?;
+        attempt.progressed(now, note);
+        Some(AttemptProgress {
+            engine: attempt.engine,
+            age_ms: now.since(attempt.sent).as_millis(),
+            expected_ms: attempt.expected_ms,
+            stalled: attempt.stalled,
+        })
+    }
+}
