--- /dev/null
+++ b/tests/stored_data.rs
@@ -0,0 +1,243 @@
+//! A data folder that an earlier version of the program wrote is opened, and shows what was agreed on then.
+//!
+//! The folder holds a snapshot and entries behind it. It is opened by the consensus and the fleet's state machine as a
+//! start does. The leader's own commands are left out, so that the state stays as it was stored.
+
+use beamgap::fleet::document;
+use beamgap::fleet::machine::{decode, encode, Answer, FleetMachine, Question, Status};
+use beamgap::fleet::trial::Trial;
+use beamgap_council::disk::{Files, SharedDisk};
+use beamgap_council::store::{Marker, Store};
+use beamgap_council::{Council, Machine, Plants, Settings};
+use beamgap_leases::state::{Lease, Outcome as StepOutcome, Run, Step, Task};
+use beamgap_policy::switch::state::{Outcome, Record};
+use beamgap_policy::switch::{Fault, Times};
+use flate2::read::GzDecoder;
+use std::io::Read;
+use std::net::TcpListener;
+use std::path::Path;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tempfile::TempDir;
+
+const STORE_FILE: &str = "council.redb";
+const STORED_STATE: &[u8] = include_bytes!("stored_data/state.bin");
+const CLUSTER_ID: u64 = 4_642_531_242_081_026_659;
+const ENTRIES_IN_LOG: usize = 269;
+const LAST_ENTRY: u64 = 568;
+const FRONT_1: (&str, u64) = ("front-1", 0x11);
+const FRONT_2: (&str, u64) = ("front-2", 0x23);
+const POLICY: &str = r#"form = 1
+
+budget "all" {
+  limits = "requests"
+  rate   = 300
+  burst  = 60
+}
+
+budget "munster" {
+  limits  = "open"
+  account = "munster"
+  most    = 12
+  longest = "26 s"
+}
+"#;
+
+/// The state machine, counting how it came to its state, and without commands of its own.
+struct Observed {
+    machine: FleetMachine,
+    restored: usize,
+    applied: usize,
+}
+
+impl Machine for Observed {
+    fn blank(&mut self) {
+        self.machine.blank();
+    }
+    fn apply(&mut self, command: &[u8]) {
+        self.applied += 1;
+        self.machine.apply(command);
+    }
+    fn snapshot(&self) -> Vec<u8> {
+        self.machine.snapshot()
+    }
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), String> {
+        self.restored += 1;
+        self.machine.restore(snapshot)
+    }
+    fn role(&mut self, now: f64, leads: bool) {
+        self.machine.role(now, leads);
+    }
+    fn answer(&mut self, now: f64, question: &[u8]) -> (Vec<u8>, Vec<Vec<u8>>) {
+        (self.machine.answer(now, question).0, Vec::new())
+    }
+    fn tick(&mut self, _: f64) -> Vec<Vec<u8>> {
+        Vec::new()
+    }
+}
+
+/// A copy of the stored folder.
+fn stored_folder() -> TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    let packed = include_bytes!("stored_data/council.redb.gz");
+    let mut bytes = Vec::new();
+    GzDecoder::new(&packed[..]).read_to_end(&mut bytes).unwrap();
+    std::fs::write(folder.path().join(STORE_FILE), bytes).unwrap();
+    folder
+}
+
+/// A voter that was started on the folder.
+struct Started {
+    council: Council,
+    machine: Arc<Mutex<Observed>>,
+}
+
+impl Started {
+    fn on(folder: &Path) -> Started {
+        let trial = Trial::default();
+        let machine = FleetMachine::new(Times::default(), 1, trial.plant, trial.leases, trial.budgets);
+        let machine = Arc::new(Mutex::new(Observed { machine, restored: 0, applied: 0 }));
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let settings = Settings {
+            fleet: "cedar".to_owned(),
+            member: "front-1".to_owned(),
+            deciders: [(1, listener.local_addr().unwrap())].into(),
+            seat: Some(1),
+            folder: Some(folder.to_owned()),
+            seed: 7,
+            clock: trial.clock(),
+            plants: Plants::default(),
+        };
+        let disk: SharedDisk = Arc::new(Files);
+        let council = Council::start(settings, Some(listener), disk, machine.clone(), || {}).unwrap();
+        Started { council, machine }
+    }
+
+    /// Asks until a leader answers.
+    fn ask(&self, question: &Question) -> Answer {
+        let deadline = Instant::now() + Duration::from_secs(30);
+        for tag in 0.. {
+            assert!(Instant::now() < deadline, "no leader answered: {:?}", self.council.status());
+            assert!(self.council.ask(tag, encode(question)));
+            std::thread::sleep(Duration::from_millis(50));
+            let answers: Vec<_> = self.council.answers().collect();
+            if let Some(answer) = answers.into_iter().find_map(|(_, answer)| answer) {
+                return decode(&answer).expect("an answer that can be read");
+            }
+        }
+        unreachable!()
+    }
+
+    fn tasks(&self) -> Vec<Task> {
+        match self.ask(&Question::Tasks(None)) {
+            Answer::Tasks(tasks) => tasks.into_iter().map(|(task, _)| task).collect(),
+            other => panic!("{other:?}"),
+        }
+    }
+
+    fn status(&self) -> Status {
+        match self.ask(&Question::Status) {
+            Answer::Status(status) => *status,
+            other => panic!("{other:?}"),
+        }
+    }
+}
+
+fn record(id: &str, outcome: Outcome) -> Record {
+    Record { id: id.to_owned(), by: "ada".to_owned(), outcome }
+}
+
+fn lease((name, life): (&str, u64), token: u64) -> Option<Lease> {
+    Some(Lease { who: (name.to_owned(), life), token })
+}
+
+fn step(step: u32, token: u64, member: &str, outcome: StepOutcome) -> Step {
+    Step { run: 1, step, token, member: member.to_owned(), outcome }
+}
+
+#[test]
+fn a_stored_folder_opens_with_its_cluster_id_snapshot_and_log() {
+    let folder = stored_folder();
+    let disk: SharedDisk = Arc::new(Files);
+    let store = Store::open(folder.path(), &disk, true).unwrap();
+    let marker = Marker { fleet: "cedar".to_owned(), founding: CLUSTER_ID, id: 1 };
+    assert_eq!(store.marker().unwrap(), Some(marker));
+    assert_eq!(store.entries(..).unwrap().len(), ENTRIES_IN_LOG);
+    for name in ["form", "vote", "purged", "snapshot"] {
+        assert!(store.get(name).unwrap().is_some(), "{name}");
+    }
+}
+
+#[test]
+fn a_start_on_a_stored_folder_shows_the_same_policy_budgets_tasks_and_history() {
+    let folder = stored_folder();
+    let started = Started::on(folder.path());
+
+    let status = started.status();
+    assert_eq!(status.version, 1);
+    assert_eq!(status.pending, Some(("c4".to_owned(), "ada".to_owned(), false)));
+    assert_eq!(status.times, Some(Times { right: 600_000.0, ..Times::default() }));
+    let members: Vec<_> = status.members.iter().map(|m| (m.name.as_str(), m.life)).collect();
+    assert_eq!(members, [FRONT_1, FRONT_2]);
+
+    assert_eq!(started.ask(&Question::Text(None)), Answer::Text(Some((1, POLICY.to_owned()))));
+    let budgets = document::read("policy", POLICY).unwrap().budgets;
+    let Answer::Budgets(standings) = started.ask(&Question::Budgets) else { panic!("other answer") };
+    let named: Vec<_> = budgets.iter().map(|budget| budget.name.as_str()).collect();
+    let divided: Vec<_> = standings.iter().map(|budget| budget.name.as_str()).collect();
+    assert_eq!((named, divided), (vec!["all", "munster"], vec!["all", "munster"]));
+
+    let rejected = vec![Fault { member: "front-1".to_owned(), text: "policy:2:1: unknown key".to_owned() }];
+    let history = vec![
+        record("c1", Outcome::InForce(1)),
+        record("c2", Outcome::TurnedDown(rejected)),
+        record("c3", Outcome::TakenBack),
+    ];
+    assert_eq!(started.ask(&Question::History), Answer::History(history));
+    assert_eq!(started.ask(&Question::Outcome("c4".to_owned())), Answer::Outcome(Some(Outcome::Checking), 0));
+}
+
+#[test]
+fn a_start_on_a_stored_folder_shows_the_same_leases_tokens_and_runs() {
+    let folder = stored_folder();
+    let started = Started::on(folder.path());
+    let tasks = started.tasks();
+    let [compact, sweep, watch] = tasks.as_slice() else { panic!("{tasks:?}") };
+
+    assert_eq!(compact.lease, lease(FRONT_2, 3));
+    let run = Run { no: 1, next: 2, tried: 1, open: Some(3), halted: None };
+    assert_eq!((compact.run.as_ref(), compact.runs), (Some(&run), 1));
+    assert_eq!(
+        (compact.spec.name.as_str(), compact.spec.lease, compact.spec.steps),
+        ("compact", 30_000.0, 4)
+    );
+
+    assert_eq!(sweep.lease, None);
+    assert_eq!((sweep.run.as_ref(), sweep.day), (Some(&Run { no: 1, ..Run::default() }), 20_000));
+    assert!(sweep.paused && !compact.paused && !watch.paused);
+    assert_eq!((sweep.spec.name.as_str(), sweep.spec.zones.as_slice()), ("sweep", &["z1".to_owned()][..]));
+
+    assert_eq!((watch.spec.name.as_str(), &watch.lease), ("watch", &lease(FRONT_1, 2)));
+
+    let Answer::Tasks(one) = started.ask(&Question::Tasks(Some("compact".to_owned()))) else {
+        panic!("other answer")
+    };
+    let history = [
+        step(0, 1, "front-1", StepOutcome::Done),
+        step(1, 1, "front-1", StepOutcome::Unknown("its lease ended".to_owned())),
+        step(2, 3, "front-2", StepOutcome::NeverRan("connection refused".to_owned())),
+    ];
+    assert_eq!(one[0].0.record, history);
+}
+
+#[test]
+fn a_start_on_a_stored_folder_restores_the_snapshot_applies_the_entries_and_has_the_same_state() {
+    let folder = stored_folder();
+    let started = Started::on(folder.path());
+    started.status();
+    let observed = started.machine.lock().unwrap();
+    assert_eq!(observed.restored, 1);
+    assert!((1..ENTRIES_IN_LOG).contains(&observed.applied), "{} entries applied", observed.applied);
+    assert!(started.council.status().log.1 >= LAST_ENTRY, "all entries are applied");
+    assert_eq!(observed.snapshot(), STORED_STATE, "the same bytes");
+}
