--- a/crates/consensus/src/link/mod.rs
+++ b/crates/consensus/src/connection/mod.rs
@@ -4,7 +4,7 @@
 pub mod client;
 pub mod server;
 
-use crate::entry::Types;
+use crate::log_entry::Types;
 use crate::store::Marker;
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -6,19 +6,19 @@
 //! It does not promise to be there without a majority. It knows no policy and no lease: those are commands and state of a
 //! [`Machine`].
 //!
-//! Consensus is openraft's, the disk redb's. What is own: the links ([`link`]), the pre-vote ([`elect`]), the marker that
-//! keeps a decider without its disk from voting ([`store`]), and standing aside while the disk fails ([`council`]).
-//! Start at [`council::Council`].
+//! Consensus is openraft's, the disk redb's. What is own: the links ([`connection`]), the pre-vote ([`pre_vote`]), the marker that
+//! keeps a decider without its disk from voting ([`store`]), and standing aside while the disk fails ([`node`]).
+//! Start at [`node::Council`].
 
-pub mod council;
+pub mod connection;
 pub mod disk;
-pub mod elect;
-mod entry;
-pub mod link;
+mod log_entry;
+pub mod node;
+pub mod pre_vote;
 mod raft;
 pub mod store;
 
-pub use council::{Caller, Council};
+pub use node::{Caller, Council};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/consensus/src/council/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -1,19 +1,19 @@
 //! A member's part in the council, on a thread of its own: as a decider, and as one that asks the leader.
 
-mod asked;
-mod caller;
-mod decide;
-mod seats;
+mod leader_client;
+mod membership;
+mod peer_requests;
+mod voter;
 
+use crate::connection::client::{Link, Traffic};
+use crate::connection::{server, Answer, Hello, Question, Status};
 use crate::disk::SharedDisk;
-use crate::elect::{self, Elector};
-use crate::entry::Command;
-use crate::link::client::{Link, Traffic};
-use crate::link::{server, Answer, Hello, Question, Status};
+use crate::log_entry::Command;
+use crate::pre_vote::{self as elect, Elector};
 use crate::raft::{lock, Applied, Links, Log, Raft};
 use crate::store::{Marker, SharedStore, Store};
 use crate::{Machine, Seat, Settings, SEATS};
-pub use caller::Caller;
+pub use leader_client::Caller;
 use openraft::storage::RaftLogStorage;
 use openraft::{BasicNode, ServerState, SnapshotPolicy};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(clippy::result_large_err)] // the library's own error types, in its traits' signatures
 
-use crate::entry::{Command, Types};
-use crate::link::client::{Link, Traffic};
-use crate::link::{Answer, Hello, LinkError, Question};
+use crate::connection::client::{Link, Traffic};
+use crate::connection::{Answer, Hello, LinkError, Question};
+use crate::log_entry::{Command, Types};
 use crate::store::{Batch, SharedStore, StoreError};
 use crate::Machine;
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, Timeout, Unreachable};
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -1,7 +1,7 @@
 //! A decider's disk under failure: no room in the middle, failed and lying fsyncs, power cuts, two processes, other forms.
 
-use beamgap_council::disk::{Disk, Files, SharedDisk};
-use beamgap_council::store::{Batch, Marker, Store, StoreError};
+use beamgap_consensus::disk::{Disk, Files, SharedDisk};
+use beamgap_consensus::store::{Batch, Marker, Store, StoreError};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io;
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -8,7 +8,7 @@
 use beamgap::fleet::settings::{self, Fleet};
 use beamgap::fleet::trial::{machine_clock, Trial};
 use beamgap::node::operator;
-use beamgap_council::{Caller, Plants, Settings};
+use beamgap_consensus::{Caller, Plants, Settings};
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::Arc;
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -9,7 +9,7 @@
 use super::trial::{machine_clock, Trial};
 use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
 use beamgap_config::Problem;
-use beamgap_council::{Council, Settings};
+use beamgap_consensus::{Council, Settings};
 use beamgap_policy::check::Known;
 use beamgap_policy::document::{Policy, FORM};
 use beamgap_policy::rules::{Meter, No, Ruling, Terms};
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -4,7 +4,7 @@
 use beamgap_budgets::lead::{Ask as BudgetAsk, Lead as BudgetLead, Reply as BudgetReply, Standing};
 use beamgap_budgets::spec::Spec as Budget;
 use beamgap_budgets::{Plant as BudgetPlant, Times as BudgetTimes};
-use beamgap_council::Machine;
+use beamgap_consensus::Machine;
 use beamgap_leases::lead::{self, Lead as LeaseLead};
 use beamgap_leases::state::{Command as TaskCommand, State as Tasks, Task};
 use beamgap_leases::{Clocks, Plant as LeasePlant, Token};
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -5,7 +5,7 @@
 use crate::node::config::ConfigError;
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use beamgap_config::schema::{Block, Key, Shape};
-use beamgap_council::{Seat, SEATS};
+use beamgap_consensus::{Seat, SEATS};
 use beamgap_leases::spec::Spec;
 use beamgap_policy::switch::state::good_name;
 use beamgap_policy::switch::Times;
--- a/src/fleet/tasks/call.rs
+++ b/src/fleet/tasks/call.rs
@@ -4,7 +4,7 @@
 //! newer token, and any other 4xx if it did nothing; all else leaves open whether the step ran.
 
 use crate::fleet::trial::{machine_clock, Trial};
-use beamgap_council::Clock;
+use beamgap_consensus::Clock;
 use beamgap_leases::hold::Pass;
 use beamgap_leases::state::{Command, Outcome};
 use serde_json::{json, Value};
--- a/src/fleet/tasks/mod.rs
+++ b/src/fleet/tasks/mod.rs
@@ -7,7 +7,7 @@
 pub mod read;
 
 use super::trial::Trial;
-use beamgap_council::Clock;
+use beamgap_consensus::Clock;
 use beamgap_leases::hold::{Holder, No};
 use beamgap_leases::lead::{Ask, Reply};
 use beamgap_leases::state::{Command, Outcome};
--- a/src/fleet/trial.rs
+++ b/src/fleet/trial.rs
@@ -4,8 +4,8 @@
 
 use super::trial_disk::PowerCut;
 use beamgap_budgets::Plant as BudgetPlant;
-use beamgap_council::disk::{Files, SharedDisk};
-use beamgap_council::{Clock, Plants};
+use beamgap_consensus::disk::{Files, SharedDisk};
+use beamgap_consensus::{Clock, Plants};
 use beamgap_leases::Plant as LeasePlant;
 use beamgap_policy::switch::Plant;
 use rustix::time::{clock_gettime, ClockId};
--- a/src/fleet/trial_disk.rs
+++ b/src/fleet/trial_disk.rs
@@ -1,6 +1,6 @@
 //! A disk for tests whose power can be cut: what was not synced is lost with the process, and fsync can be made to fail.
 
-use beamgap_council::disk::{Backend, Disk, Files};
+use beamgap_consensus::disk::{Backend, Disk, Files};
 use std::io;
 use std::ops::Range;
 use std::path::{Path, PathBuf};
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -6,9 +6,9 @@
 use beamgap::fleet::document;
 use beamgap::fleet::machine::{decode, encode, Answer, FleetMachine, Question, Status};
 use beamgap::fleet::trial::Trial;
-use beamgap_council::disk::{Files, SharedDisk};
-use beamgap_council::store::{Marker, Store};
-use beamgap_council::{Council, Machine, Plants, Settings};
+use beamgap_consensus::disk::{Files, SharedDisk};
+use beamgap_consensus::store::{Marker, Store};
+use beamgap_consensus::{Council, Machine, Plants, Settings};
 use beamgap_leases::state::{Lease, Outcome as StepOutcome, Run, Step, Task};
 use beamgap_policy::switch::state::{Outcome, Record};
 use beamgap_policy::switch::{Fault, Times};
