--- a/crates/policy/src/switch/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -3,8 +3,8 @@
 //! Three pure parts, with events in and actions out; program, model and tests on a set clock run the same code:
 //!
 //! - [`state`]: what the fleet has agreed on. Commands come in the order of the council's log, the same everywhere.
-//! - [`lead`]: what the leading decider does: answers members, has them check, decides, activates.
-//! - [`hold`]: what each front end does: holds the right to admit under a version, renews it, stops when it has run out.
+//! - [`leader`]: what the leading decider does: answers members, has them check, decides, activates.
+//! - [`member`]: what each front end does: holds the right to admit under a version, renews it, stops when it has run out.
 //!
 //! **Rights.** A front end admits only while it holds a right under the version in force. It asks the leader at a moment
 //! `t0` of its own clock, and the right ends at `t0` plus a length. The leader answers only after a majority has confirmed
@@ -17,8 +17,8 @@
 //! under the new version. A right under the old one was asked for before `Activate`, and is short: so it ends within
 //! `switch_bound` of the first admission under the new.
 
-pub mod hold;
-pub mod lead;
+pub mod leader;
+pub mod member;
 pub mod state;
 
 use serde::{Deserialize, Serialize};
--- a/crates/policy/tests/common/encoding.rs
+++ b/crates/policy/tests/common/encoding.rs
@@ -1,8 +1,8 @@
 //! The output of a step as bytes.
 
+use beamgap_policy::rollout::leader::Lead;
+use beamgap_policy::rollout::member::{Act, Hold};
 use beamgap_policy::rules::{No, Terms};
-use beamgap_policy::switch::hold::{Act, Hold};
-use beamgap_policy::switch::lead::Lead;
 use serde::Serialize;
 
 /// Bytes of one step.
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -3,11 +3,11 @@
 use super::encoding::Encoding;
 use super::random::Random;
 use beamgap_policy::document::{read, TEXT_MOST};
+use beamgap_policy::rollout::leader::Lead;
+use beamgap_policy::rollout::member::{Act, Hold};
+use beamgap_policy::rollout::state::{Change, Command, Outcome, State};
+use beamgap_policy::rollout::{Ask, Fault, Plant, Reply, Times};
 use beamgap_policy::rules::{Meter, Ruling};
-use beamgap_policy::switch::hold::{Act, Hold};
-use beamgap_policy::switch::lead::Lead;
-use beamgap_policy::switch::state::{Change, Command, Outcome, State};
-use beamgap_policy::switch::{Ask, Fault, Plant, Reply, Times};
 
 const MEMBERS: usize = 5;
 const CLASSES: [&str; 3] = ["lookup", "report", "batch"];
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/rollout.rs
@@ -1,10 +1,10 @@
 //! The switch on a set clock with 300 members: how long a change takes, how wide versions overlap, and what each failure
 //! does to it. The machines are those of the program; what stands in for the council is a log that commits at once.
 
-use beamgap_policy::switch::hold::{Act, Hold};
-use beamgap_policy::switch::lead::Lead;
-use beamgap_policy::switch::state::{Change, Command, Outcome, State};
-use beamgap_policy::switch::{Plant, Times};
+use beamgap_policy::rollout::leader::Lead;
+use beamgap_policy::rollout::member::{Act, Hold};
+use beamgap_policy::rollout::state::{Change, Command, Outcome, State};
+use beamgap_policy::rollout::{Plant, Times};
 
 struct Fleet {
     now: f64,
--- a/crates/sim/src/switch.rs
+++ b/crates/sim/src/rollout.rs
@@ -8,10 +8,10 @@
 //! Left out: how consensus comes about (the library's), how long things take within a tick, clocks that run apart (the
 //! members' own arithmetic, tested by itself), and more than one question a tick.
 
-use beamgap_policy::switch::hold::{Act, Hold};
-use beamgap_policy::switch::lead::Lead;
-use beamgap_policy::switch::state::{Change, Command, Outcome, State};
-use beamgap_policy::switch::{Ask, Fault, Plant, Reply, Times};
+use beamgap_policy::rollout::leader::Lead;
+use beamgap_policy::rollout::member::{Act, Hold};
+use beamgap_policy::rollout::state::{Change, Command, Outcome, State};
+use beamgap_policy::rollout::{Ask, Fault, Plant, Reply, Times};
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
--- a/crates/sim/tests/switch.rs
+++ b/crates/sim/tests/rollout.rs
@@ -1,8 +1,8 @@
 //! What the model of the switch shows: the promises hold in every state, and each planted fault is found.
 
-use beamgap_policy::switch::state::Outcome;
-use beamgap_policy::switch::Plant;
-use beamgap_sim::switch::{Step, Switch};
+use beamgap_policy::rollout::state::Outcome;
+use beamgap_policy::rollout::Plant;
+use beamgap_sim::rollout::{Step, Switch};
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
 use std::time::Duration;
 
@@ -106,7 +106,7 @@
     );
 }
 
-fn all_idle(model: &Switch, world: &beamgap_sim::switch::World) -> bool {
+fn all_idle(model: &Switch, world: &beamgap_sim::rollout::World) -> bool {
     let mut all = Vec::new();
     model.actions(world, &mut all);
     all.iter().all(|step| matches!(step, Step::Tick))
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -5,7 +5,7 @@
 use beamgap::fleet::machine::{Answer, Question, Status};
 use beamgap_budgets::lead::Standing;
 use beamgap_council::link::{Answer as Told, Question as Asked, Status as Decider};
-use beamgap_policy::switch::Mark;
+use beamgap_policy::rollout::Mark;
 use serde_json::json;
 use std::time::Duration;
 
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -7,7 +7,7 @@
 use beamgap::fleet::trial::machine_clock;
 use beamgap::node::config::Config;
 use beamgap_policy::check::Known;
-use beamgap_policy::switch::state::{Change, Outcome};
+use beamgap_policy::rollout::state::{Change, Outcome};
 use serde_json::json;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -8,9 +8,9 @@
 use beamgap_leases::lead::{self, Lead as LeaseLead};
 use beamgap_leases::state::{Command as TaskCommand, State as Tasks, Task};
 use beamgap_leases::{Clocks, Plant as LeasePlant, Token};
-use beamgap_policy::switch::lead::Lead;
-use beamgap_policy::switch::state::{Change, Command, Outcome, Record, State};
-use beamgap_policy::switch::{Ask, Mark, Plant, Reply, Times, Version};
+use beamgap_policy::rollout::leader::Lead;
+use beamgap_policy::rollout::state::{Change, Command, Outcome, Record, State};
+use beamgap_policy::rollout::{Ask, Mark, Plant, Reply, Times, Version};
 use serde::{Deserialize, Serialize};
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -343,7 +343,7 @@
                 let version = version.unwrap_or(self.state.version());
                 let kept = self.state.versions.iter().find(|(v, _)| *v == version);
                 let text = kept.map(|(v, text)| (*v, text.clone()));
-                let empty = (version == 0).then(|| (0, beamgap_policy::switch::state::EMPTY.to_owned()));
+                let empty = (version == 0).then(|| (0, beamgap_policy::rollout::state::EMPTY.to_owned()));
                 Answer::Text(text.or(empty))
             }
             None => Answer::Unreadable,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`settings`]: the `fleet` block of the operator's file.
 //! - [`machine`]: policy as commands and questions of the council.
-//! - [`gate`]: which requests come in, under which version; what the decision module is offered of the list.
+//! - [`admission`]: which requests come in, under which version; what the decision module is offered of the list.
 //! - [`document`]: a policy's text with all that stands in it.
 //! - [`budgets`]: what the fleet has in common, divided among its front ends.
 //! - [`tasks`]: leases for tasks of the whole fleet, and what is acted on.
@@ -10,9 +10,9 @@
 //!
 //! Off without a `fleet` block: no thread, listener, descriptor or file.
 
+pub mod admission;
 pub mod budgets;
 pub mod document;
-pub mod gate;
 pub mod machine;
 pub mod settings;
 pub mod tasks;
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -7,8 +7,8 @@
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_council::{Seat, SEATS};
 use beamgap_leases::spec::Spec;
-use beamgap_policy::switch::state::good_name;
-use beamgap_policy::switch::Times;
+use beamgap_policy::rollout::state::good_name;
+use beamgap_policy::rollout::Times;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/node/exchange/mod.rs
+++ b/src/node/exchange/mod.rs
@@ -10,8 +10,8 @@
 use super::clock::{from_micros, to_micros};
 use super::deadlines::{Deadlines, Handle, Wake};
 use super::slots::{Key, Slots};
+use crate::fleet::admission::Admitted;
 use crate::fleet::budgets::Held;
-use crate::fleet::gate::Admitted;
 use crate::{
     Action, Attempt, ClassId, Closed, EngineId, Event, Gateway, ListKind, LoadReport, Member, MemberState,
     Micros, Note, Outcome, Repeat, Request, RequestId, Settings, SettingsError, TimerId, TrueCost,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -21,7 +21,7 @@
 pub mod shutdown;
 pub mod slots;
 pub mod tables;
-use crate::fleet::gate::Gate;
+use crate::fleet::admission::Gate;
 use crate::Repeat;
 use backend::mysql::MysqlBoxes;
 use backend::warehouse::Warehouses;
