--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! - [`spec`]: a task as the operator writes it.
 //! - [`state`]: what the fleet has agreed on; commands come in the order of the council's log.
-//! - [`lead`]: what the leading decider does: renews by groups, ends what was not renewed, grants, starts runs.
-//! - [`hold`]: what each member does: holds leases, and hands out a [`hold::Pass`] for each act.
+//! - [`leader`]: what the leading decider does: renews by groups, ends what was not renewed, grants, starts runs.
+//! - [`member`]: what each member does: holds leases, and hands out a [`member::Pass`] for each act.
 //!
 //! **Why one acts.** A lease ends at `t0` plus its length less drift and margin by its holder's clock, where `t0` is when the
 //! holder asked; a leader answers only after a majority confirmed it *after* the question came. A leader ends a lease when
@@ -13,8 +13,8 @@
 //! it never did. Only then is another granted. A process that stands still between its look at the clock and its act
 //! is beyond all that: each act carries the lease's token, which grows over the fleet's life, and a target refuses an older one.
 
-pub mod hold;
-pub mod lead;
+pub mod leader;
+pub mod member;
 pub mod spec;
 pub mod state;
 
--- a/crates/leases/src/hold.rs
+++ b/crates/leases/src/member.rs
@@ -2,7 +2,7 @@
 //!
 //! All times are of the member's own monotonic clock that counts suspension, in milliseconds.
 
-use crate::lead::{Ask, Reply, Told};
+use crate::leader::{Ask, Reply, Told};
 use crate::state::{Command, Outcome, Run};
 use crate::{Plant, Token, Who};
 use std::collections::BTreeMap;
@@ -35,17 +35,17 @@
 /// Leave to act once. It comes from a live lease only, can't be copied, and is used up by the act or by what is told of it.
 ///
 /// ```compile_fail
-/// fn twice(pass: beamgap_leases::hold::Pass) {
+/// fn twice(pass: beamgap_leases::member::Pass) {
 ///     let again = pass.clone(); // one leave, one act
 /// }
 /// ```
 ///
 /// ```compile_fail
-/// let pass = beamgap_leases::hold::Pass { task: String::new(), token: 1, step: None, until: 1e9 }; // only from a lease
+/// let pass = beamgap_leases::member::Pass { task: String::new(), token: 1, step: None, until: 1e9 }; // only from a lease
 /// ```
 ///
 /// ```compile_fail
-/// fn act(holder: &beamgap_leases::hold::Holder, pass: beamgap_leases::hold::Pass) {
+/// fn act(holder: &beamgap_leases::member::Holder, pass: beamgap_leases::member::Pass) {
 ///     let acted = pass.act(0.0).unwrap();
 ///     let late = pass.act(0.0); // it is used up
 /// }
--- a/crates/leases/tests/common/encoding.rs
+++ b/crates/leases/tests/common/encoding.rs
@@ -1,6 +1,6 @@
 //! The bytes that a replay compares. They hold no names of Rust items, so that a renaming leaves them as they are.
 
-use beamgap_leases::hold::{Missed, No, Pass};
+use beamgap_leases::member::{Missed, No, Pass};
 use beamgap_leases::state::Command;
 use serde::Serialize;
 
--- a/crates/leases/tests/common/member.rs
+++ b/crates/leases/tests/common/member.rs
@@ -4,8 +4,8 @@
 use super::random::Random;
 use super::tasks::NAMES;
 use super::world::Coverage;
-use beamgap_leases::hold::{Acted, Holder, No, Pass};
-use beamgap_leases::lead::{Ask, Reply};
+use beamgap_leases::leader::{Ask, Reply};
+use beamgap_leases::member::{Acted, Holder, No, Pass};
 use beamgap_leases::state::{Command, Outcome};
 use beamgap_leases::Plant;
 
--- a/crates/leases/tests/common/world.rs
+++ b/crates/leases/tests/common/world.rs
@@ -4,8 +4,8 @@
 use super::member::{Answer, Member, Question};
 use super::random::Random;
 use super::tasks::{invalid_task, random_tasks, usual_tasks, NAMES};
-use beamgap_leases::hold::{No, Pass};
-use beamgap_leases::lead::Lead;
+use beamgap_leases::leader::Lead;
+use beamgap_leases::member::{No, Pass};
 use beamgap_leases::state::{Command, Outcome, State};
 use beamgap_leases::{Clocks, Plant};
 
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! 300 members and up to 1,000 leases on a set clock, with one leader's state and commits that take no time. The promises are
 //! those of `docs/leases.md`.
 
-use beamgap_leases::hold::Holder;
-use beamgap_leases::lead::{Lead, CALM};
+use beamgap_leases::leader::{Lead, CALM};
+use beamgap_leases::member::Holder;
 use beamgap_leases::spec::{Spec, Unknown, When};
 use beamgap_leases::state::{Command, Outcome, State};
 use beamgap_leases::{Clocks, Plant, Token};
--- a/crates/sim/src/leases.rs
+++ b/crates/sim/src/leases.rs
@@ -8,8 +8,8 @@
 //! Left out: how consensus comes about, what takes less than a tick, questions beyond one on its way for each member, and
 //! clocks whose rate changes.
 
-use beamgap_leases::hold::{Acted, Holder};
-use beamgap_leases::lead::{Ask, Lead, Reply};
+use beamgap_leases::leader::{Ask, Lead, Reply};
+use beamgap_leases::member::{Acted, Holder};
 use beamgap_leases::spec::{Spec, Unknown, When};
 use beamgap_leases::state::{Command, Outcome, State};
 use beamgap_leases::{Clocks, Plant, Token};
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -5,7 +5,7 @@
 use beamgap_budgets::spec::Spec as Budget;
 use beamgap_budgets::{Plant as BudgetPlant, Times as BudgetTimes};
 use beamgap_council::Machine;
-use beamgap_leases::lead::{self, Lead as LeaseLead};
+use beamgap_leases::leader::{self as lead, Lead as LeaseLead};
 use beamgap_leases::state::{Command as TaskCommand, State as Tasks, Task};
 use beamgap_leases::{Clocks, Plant as LeasePlant, Token};
 use beamgap_policy::switch::lead::Lead;
--- a/src/fleet/tasks/call.rs
+++ b/src/fleet/tasks/call.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::trial::{machine_clock, Trial};
 use beamgap_council::Clock;
-use beamgap_leases::hold::Pass;
+use beamgap_leases::member::Pass;
 use beamgap_leases::state::{Command, Outcome};
 use serde_json::{json, Value};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
--- a/src/fleet/tasks/mod.rs
+++ b/src/fleet/tasks/mod.rs
@@ -8,8 +8,8 @@
 
 use super::trial::Trial;
 use beamgap_council::Clock;
-use beamgap_leases::hold::{Holder, No};
-use beamgap_leases::lead::{Ask, Reply};
+use beamgap_leases::leader::{Ask, Reply};
+use beamgap_leases::member::{Holder, No};
 use beamgap_leases::state::{Command, Outcome};
 use call::Runner;
 use std::sync::Arc;
