--- /dev/null
+++ b/crates/budgets/tests/replay.rs
@@ -0,0 +1,191 @@
+//! Every output of the budgets' state machines is equal to what was recorded of them.
+//!
+//! The recording, `tests/replay/recording.txt`, has one section for each seeded world and one line for each step:
+//! a hash of all that the step gave. The first line that differs names the first step that behaves differently.
+//! To record anew, after a change of behaviour that is meant:
+//! `cargo test -p beamgap-budgets --test replay record -- --ignored`
+
+#[path = "replay/world.rs"]
+mod world;
+
+use beamgap_budgets::fill::{divide, Want};
+use beamgap_budgets::spec::{read, schema};
+use beamgap_budgets::{parts, units, Plant};
+use beamgap_config::schema::Block;
+use beamgap_standins::draw::Draw;
+use std::path::PathBuf;
+use world::{Counts, Recorder, World};
+
+/// Seeds and steps of the worlds without an injected bug.
+const SEEDS: std::ops::Range<u64> = 1..6;
+const STEPS: usize = 1500;
+/// Steps of each world with one.
+const STEPS_WITH_BUG: usize = 400;
+const BUGS: [(&str, Plant); 5] = [
+    ("no wait", Plant::NoWait),
+    ("given twice", Plant::GivenTwice),
+    ("full bucket", Plant::FullBucket),
+    ("no end", Plant::NoEnd),
+    ("dead is over", Plant::DeadIsOver),
+];
+
+struct Section {
+    title: String,
+    lines: Vec<String>,
+}
+
+fn recording_path() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/replay/recording.txt")
+}
+
+fn play(title: String, seed: u64, plant: Plant, steps: usize) -> (Section, Counts) {
+    let mut world = World::new(seed, plant);
+    let lines = (0..steps).map(|_| world.step()).collect();
+    (Section { title, lines }, world.counts)
+}
+
+/// What is allocated to members with drawn demands.
+fn play_allocations() -> Section {
+    let mut draw = Draw::new(77);
+    let mut recorder = Recorder::default();
+    let mut lines = Vec::new();
+    for _ in 0..200 {
+        let members = draw.below(12);
+        let wants: Vec<Want> = (0..members)
+            .map(|_| Want {
+                demand: [0.0, draw.unit(), 20.0 * draw.unit(), 500.0][draw.below(4) as usize],
+                weight: [1.0, 2.0, 5.0][draw.below(3) as usize],
+            })
+            .collect();
+        let whole = draw.below(300);
+        for n in divide(&wants, whole) {
+            recorder.number(n);
+            recorder.number(parts(n, whole));
+            recorder.number(units(parts(n, whole), whole / 3 + 1));
+        }
+        lines.push(recorder.line());
+    }
+    Section { title: "allocations".to_owned(), lines }
+}
+
+/// What is read of drawn budget blocks, good and faulty ones.
+fn play_blocks() -> Section {
+    let keys = [
+        &[
+            "limits = \"requests\"",
+            "limits = \"further_attempts\"",
+            "limits = \"open\"",
+            "limits = \"connections\"",
+            "limits = \"cold_engines\"",
+            "limits = \"engines\"",
+        ][..],
+        &["", "", "account = \"munster\""],
+        &["", "", "class = \"report\""],
+        &["", "rate = 40", "rate = 3.5", "rate = 0"],
+        &["", "", "burst = 9"],
+        &["", "most = 30", "most = 2"],
+        &["", "longest = \"20 s\"", "longest = \"300 ms\""],
+        &["", "", "floor = \"30%\"", "floor = \"60%\""],
+        &["", "floor_among = 4", "floor_among = 900"],
+        &[
+            "",
+            "",
+            "weight \"n1\" {\n  is = 3\n}",
+            "weight \"n1\" {\n  is = 3\n}\nweight \"east\" {\n  is = 7\n}",
+        ],
+    ];
+    let root = Block { blocks: vec![schema()], ..Block::default() };
+    let mut draw = Draw::new(78);
+    let mut recorder = Recorder::default();
+    let mut lines = Vec::new();
+    for _ in 0..600 {
+        let mut text = String::new();
+        for _ in 0..=draw.below(3) {
+            let name = ["b1", "b2", "b3", ""][draw.below(4) as usize];
+            text.push_str(&format!("budget \"{name}\" {{\n"));
+            for choices in keys {
+                text.push_str(choices[draw.below(choices.len() as u64) as usize]);
+                text.push('\n');
+            }
+            text.push_str("}\n");
+        }
+        match beamgap_config::read("p.hcl", &text, &root).and_then(|document| read(&document)) {
+            Ok(specs) => {
+                recorder.tag(1);
+                recorder.encoded(&specs);
+                for spec in &specs {
+                    recorder.encoded(&spec.told());
+                }
+            }
+            Err(problems) => {
+                recorder.tag(2);
+                recorder.encoded(&problems.iter().map(ToString::to_string).collect::<Vec<String>>());
+            }
+        }
+        lines.push(recorder.line());
+    }
+    Section { title: "blocks".to_owned(), lines }
+}
+
+fn play_all() -> Vec<Section> {
+    let mut sections = vec![play_allocations(), play_blocks()];
+    let mut total = Counts::default();
+    for seed in SEEDS {
+        let (section, counts) = play(format!("seed {seed}"), seed, Plant::None, STEPS);
+        println!("{}: {counts:?}", section.title);
+        sections.push(section);
+        total.admitted += counts.admitted;
+        total.rejected += counts.rejected;
+        total.full_statements += counts.full_statements;
+        total.answers_refusing += counts.answers_refusing;
+        total.elections += counts.elections;
+        total.restarts += counts.restarts;
+        total.drained += counts.drained;
+        total.changes += counts.changes;
+        total.lost += counts.lost;
+    }
+    assert!(total.admitted > 3000 && total.rejected > 3000, "too few requests: {total:?}");
+    assert!(total.full_statements > 50 && total.answers_refusing > 50, "too few statements: {total:?}");
+    assert!(total.elections > 5 && total.changes > 10 && total.lost > 100, "too few events: {total:?}");
+    assert!(total.restarts > 5 && total.drained > 3, "too few restarts: {total:?}");
+    for (title, plant) in BUGS {
+        sections.push(play(title.to_owned(), 9, plant, STEPS_WITH_BUG).0);
+    }
+    sections
+}
+
+fn text_of(sections: &[Section]) -> String {
+    let mut text = String::new();
+    for section in sections {
+        text.push_str(&format!("# {}\n", section.title));
+        for line in &section.lines {
+            text.push_str(line);
+            text.push('\n');
+        }
+    }
+    text
+}
+
+#[test]
+fn every_step_gives_what_was_recorded() {
+    let recording = std::fs::read_to_string(recording_path()).expect("the recording is beside the test");
+    let replayed = text_of(&play_all());
+    let mut title = "";
+    let mut step = 0;
+    for (recorded, now) in recording.lines().zip(replayed.lines()) {
+        if recorded.starts_with('#') {
+            title = recorded;
+            step = 0;
+        } else {
+            step += 1;
+        }
+        assert_eq!(now, recorded, "first difference: {title}, step {step}");
+    }
+    assert_eq!(replayed.lines().count(), recording.lines().count(), "the recording has another length");
+}
+
+#[test]
+#[ignore = "writes the recording"]
+fn record() {
+    std::fs::write(recording_path(), text_of(&play_all())).expect("the recording can be written");
+}
