--- a/crates/budgets/src/lead.rs
+++ b/crates/budgets/src/leader.rs
@@ -4,10 +4,10 @@
 //! however many budgets there are. Where that does not tell it, as after a change of leaders, the member is asked to state
 //! all that it holds.
 
-use crate::fill::{divide, Want};
-use crate::pool::Pool;
+use crate::allocation::{divide, Want};
+use crate::ledger::Pool;
+pub use crate::message::{Ask, Epoch, Holding, Reply, Standing};
 use crate::spec::{Amount, Spec};
-pub use crate::talk::{Ask, Epoch, Holding, Reply, Standing};
 use crate::{parts, Parts, Plant, Times, Who, WHOLE};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -4,11 +4,11 @@
 //! The promises are numbered in `docs/budgets.md`. Program, model and tests share these parts:
 //!
 //! - [`spec`]: a budget as the operator writes it in the policy.
-//! - [`fill`]: who is to have how much: max-min by weight.
-//! - [`pool`]: the books of one whole: what each may still use, and what is free for sure. The arithmetic of promise A1.
-//! - [`talk`]: what a member and the leader say to each other.
-//! - [`lead`]: what the leading decider does: hears what members hold and want, moves parts among them.
-//! - [`hold`]: what each front end does: holds parts until they end by themselves, and admits from memory only.
+//! - [`allocation`]: who is to have how much: max-min by weight.
+//! - [`ledger`]: the books of one whole: what each may still use, and what is free for sure. The arithmetic of promise A1.
+//! - [`message`]: what a member and the leader say to each other.
+//! - [`leader`]: what the leading decider does: hears what members hold and want, moves parts among them.
+//! - [`member`]: what each front end does: holds parts until they end by themselves, and admits from memory only.
 //!
 //! **Why it is never more.** Parts move, they are never copied. A part ends at `t0` plus its length less drift by its
 //! holder's clock, where `t0` is when the holder asked. The leader gives on what a holder has said *in a later question* that
@@ -20,12 +20,12 @@
 //! **What a part is.** A fraction of the whole, not a figure: what it comes to follows from the policy under which its holder
 //! admits. So a whole that is lowered is lowered with the policy, within its bound, and the division goes on as it was.
 
-pub mod fill;
-pub mod hold;
-pub mod lead;
-pub mod pool;
+pub mod allocation;
+pub mod leader;
+pub mod ledger;
+pub mod member;
+pub mod message;
 pub mod spec;
-pub mod talk;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/budgets/src/hold.rs
+++ b/crates/budgets/src/member.rs
@@ -2,7 +2,7 @@
 //!
 //! All times are of the member's own monotonic clock that counts suspension, in milliseconds.
 
-use crate::lead::{Ask, Epoch, Reply};
+use crate::leader::{Ask, Epoch, Reply};
 use crate::spec::{Amount, Of, Spec};
 use crate::{units, Parts, Plant, Who, WHOLE};
 
--- a/crates/budgets/tests/fill.rs
+++ b/crates/budgets/tests/allocation.rs
@@ -1,6 +1,6 @@
 //! How a whole is divided in whole units.
 
-use beamgap_budgets::fill::{divide, Want};
+use beamgap_budgets::allocation::{divide, Want};
 use beamgap_budgets::{parts, units, WHOLE};
 use proptest::prelude::*;
 
--- a/crates/budgets/tests/common/mod.rs
+++ b/crates/budgets/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet on a set clock: the program's own leader and holders, links that delay and lose, clocks that run apart. What was
 //! admitted is judged from outside, in true time.
 
-use beamgap_budgets::hold::Holder;
-use beamgap_budgets::lead::{Ask, Lead, Reply};
+use beamgap_budgets::leader::{Ask, Lead, Reply};
+use beamgap_budgets::member::Holder;
 use beamgap_budgets::spec::{Amount, Of, Spec};
 use beamgap_budgets::{Plant, Times, Who};
 use beamgap_standins::draw::Draw;
--- a/crates/budgets/tests/replay.rs
+++ b/crates/budgets/tests/replay.rs
@@ -8,7 +8,7 @@
 #[path = "replay/world.rs"]
 mod world;
 
-use beamgap_budgets::fill::{divide, Want};
+use beamgap_budgets::allocation::{divide, Want};
 use beamgap_budgets::spec::{read, schema};
 use beamgap_budgets::{parts, units, Plant};
 use beamgap_config::schema::Block;
--- a/crates/budgets/tests/replay/world.rs
+++ b/crates/budgets/tests/replay/world.rs
@@ -3,8 +3,8 @@
 //! It calls the public interface only. Everything that a call gives back is encoded: what has a serde form by
 //! postcard, everything else by fixed tags, so that no name of the code enters the recording.
 
-use beamgap_budgets::hold::Holder;
-use beamgap_budgets::lead::{Ask, Lead, Reply};
+use beamgap_budgets::leader::{Ask, Lead, Reply};
+use beamgap_budgets::member::Holder;
 use beamgap_budgets::spec::{Amount, Of, Spec};
 use beamgap_budgets::{Plant, Times, Who};
 use beamgap_standins::draw::Draw;
--- a/crates/sim/src/budgets.rs
+++ b/crates/sim/src/budgets.rs
@@ -8,8 +8,8 @@
 //! Left out: how consensus comes about, that a change of the policy is under way, what takes less than a tick, more than
 //! one question of a member on its way, and clocks whose rate changes.
 
-use beamgap_budgets::hold::Holder;
-use beamgap_budgets::lead::{Ask, Lead, Reply};
+use beamgap_budgets::leader::{Ask, Lead, Reply};
+use beamgap_budgets::member::Holder;
 use beamgap_budgets::spec::{Amount, Of, Spec};
 use beamgap_budgets::{Plant, Times, Who, WHOLE};
 use stateright::{Model, Property};
--- a/examples/fleet_budgets.rs
+++ b/examples/fleet_budgets.rs
@@ -6,7 +6,7 @@
 
 use beamgap::fleet::budgets::Shares;
 use beamgap::fleet::trial::{machine_clock, Trial};
-use beamgap_budgets::lead::Lead;
+use beamgap_budgets::leader::Lead;
 use beamgap_budgets::spec::{Amount, Of, Spec};
 use beamgap_budgets::{Plant, Times};
 use beamgap_rig::history::What;
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -3,7 +3,7 @@
 use super::{Asker, End, NO, UNKNOWN};
 use crate::cli::{Ask, Fleet, Seat};
 use beamgap::fleet::machine::{Answer, Question, Status};
-use beamgap_budgets::lead::Standing;
+use beamgap_budgets::leader::Standing;
 use beamgap_council::link::{Answer as Told, Question as Asked, Status as Decider};
 use beamgap_policy::switch::Mark;
 use serde_json::json;
--- a/src/fleet/budgets/mod.rs
+++ b/src/fleet/budgets/mod.rs
@@ -2,8 +2,8 @@
 //! connections. An admission looks at memory only.
 
 use super::trial::{machine_clock, Trial};
-use beamgap_budgets::hold::Holder;
-use beamgap_budgets::lead::{Ask, Reply};
+use beamgap_budgets::leader::{Ask, Reply};
+use beamgap_budgets::member::Holder;
 use beamgap_budgets::spec::{Of, Spec};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -1,7 +1,7 @@
 //! Policy, tasks and budgets as commands and questions of the council.
 
 use super::document;
-use beamgap_budgets::lead::{Ask as BudgetAsk, Lead as BudgetLead, Reply as BudgetReply, Standing};
+use beamgap_budgets::leader::{Ask as BudgetAsk, Lead as BudgetLead, Reply as BudgetReply, Standing};
 use beamgap_budgets::spec::Spec as Budget;
 use beamgap_budgets::{Plant as BudgetPlant, Times as BudgetTimes};
 use beamgap_council::Machine;
