--- a/examples/record_replay/main.rs
+++ b/examples/record_decisions/main.rs
@@ -5,7 +5,7 @@
 //!
 //! ```text
 //! cargo build --release
-//! cargo run --example record_replay -- target/release/beamgap-simhost tests/replay
+//! cargo run --example record_decisions -- target/release/beamgap-simhost tests/replay
 //! ```
 
 mod host;
@@ -22,7 +22,7 @@
 
 fn main() -> io::Result<()> {
     let mut arguments = std::env::args().skip(1);
-    let usage = || io::Error::other("usage: record_replay SIMHOST FOLDER");
+    let usage = || io::Error::other("usage: record_decisions SIMHOST FOLDER");
     let program = arguments.next().ok_or_else(usage)?;
     let folder = arguments.next().ok_or_else(usage)?;
     for site in sites::all() {
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,6 +1,6 @@
 //! The decision module gives the actions that it gave when the streams in `tests/replay` were recorded.
 //!
-//! The streams are batches on the simulator's text wire (`examples/record_replay` made them), so that no
+//! The streams are batches on the simulator's text wire (`examples/record_decisions` made them), so that no
 //! name inside the program is part of them. They hold for any change that leaves the decisions as they are.
 
 use flate2::read::GzDecoder;
