--- a/crates/decisions/src/action.rs
+++ b/crates/decisions/src/action.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Hand the request to an engine.
-    Send {
+    Forward {
         /// Which request.
         request: RequestId,
         /// To which engine.
@@ -15,7 +15,7 @@
         give_up_after: Option<Micros>,
     },
     /// End the request unserved; trying again is harmless.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// When to come back, where such advice is given.
@@ -34,7 +34,7 @@
         attempt: Attempt,
     },
     /// Set the terms of the request's next attempts, and at once the priority of those out.
-    Terms {
+    SetTerms {
         /// Which request.
         request: RequestId,
         /// Memory for each further attempt in megabytes; 0: the engine chooses.
@@ -45,7 +45,7 @@
     /// Give idle connections back.
     CloseIdle(EngineId),
     /// Send a message to another gateway, or to all.
-    Tell {
+    SendToPeer {
         /// Whom; `None` for all.
         to: Option<u32>,
         /// What, 256 bytes at most.
--- a/crates/decisions/src/decide/admission.rs
+++ b/crates/decisions/src/decide/admission.rs
@@ -56,8 +56,8 @@
 
     /// Priority weight of a request, less while its tenant is over its quota.
     fn priority_weight(&self, request: &TrackedRequest) -> f64 {
-        let kept = if request.over_quota { self.settings.over_share_worth } else { 1.0 };
-        (self.class(request).worth * kept).max(1e-6)
+        let kept = if request.over_quota { self.settings.over_quota_weight } else { 1.0 };
+        (self.class(request).priority_weight * kept).max(1e-6)
     }
 
     /// What a request costs for its worth: work over priority weight.
@@ -74,13 +74,13 @@
     /// Whether a request should wait no longer: worth nothing late, not to be done before its client leaves, or
     /// lost if this gateway stalls.
     pub(super) fn is_too_late(&self, request: &TrackedRequest) -> bool {
-        let patience_ms = request.request.left.as_millis();
+        let patience_ms = request.request.time_left.as_millis();
         let run_ms = (RUN_MARGIN * request.work_ms / self.threads(request)).min(patience_ms / 2.0)
             + ANSWER_MARGIN.as_millis();
         let stall_ms = STALL_ALLOWANCE_MS
             .min(MAX_STALL_PART * patience_ms)
             .max(RUN_MARGIN * self.clock.longest_stall.as_millis());
-        (!self.can_be_in_time(request) && self.class(request).late_worth < LEAST_LATE_WEIGHT)
+        (!self.can_be_in_time(request) && self.class(request).late_weight < LEAST_LATE_WEIGHT)
             || request.deadline.since(self.clock.now).as_millis() <= run_ms.max(stall_ms)
     }
 
@@ -88,9 +88,9 @@
     pub(super) fn can_be_in_time(&self, request: &TrackedRequest) -> bool {
         let class = self.class(request);
         let run_ms = request.work_ms / self.threads(request);
-        let objective_ms = class.aim.as_millis() + class.aim_stretch * run_ms;
+        let objective_ms = class.latency_objective.as_millis() + class.objective_stretch * run_ms;
         let age_ms = self.clock.since(request.arrived).as_millis();
-        age_ms + RUN_MARGIN * run_ms < objective_ms.min(request.request.left.as_millis())
+        age_ms + RUN_MARGIN * run_ms < objective_ms.min(request.request.time_left.as_millis())
     }
 
     /// Answers a request that is given up, at once: rejected where trying again is harmless, else failed.
@@ -101,7 +101,7 @@
         let harmless = may_be_refused || request.first_that_may_have_run().is_none();
         let id = request.request.id.clone();
         if harmless {
-            actions.push(Action::Refuse { request: id, retry_after });
+            actions.push(Action::Reject { request: id, retry_after });
         } else {
             actions.push(Action::Fail { request: id });
         }
--- a/crates/decisions/src/decide/arrival.rs
+++ b/crates/decisions/src/decide/arrival.rs
@@ -21,7 +21,7 @@
         self.costs.class_mut(request.request.class.0).requested_work_ms += request.work_ms;
         self.admission.costs.count(self.cost(&request), request.work_ms);
         let queue_length = self.join_key_queue(sequence, &request);
-        self.count_group(request.request.tables);
+        self.count_group(request.request.table_group);
         self.requests.insert(sequence, request);
         if queue_length > MAX_REQUESTS_PER_KEY {
             self.reject_or_fail(sequence, actions);
--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -3,7 +3,7 @@
 use super::outlier_ejection::{FIRST_EJECTION, LONGEST_EJECTION};
 use super::{Gateway, WINDOW};
 use crate::state::request::{TrackedAttempt, TrackedRequest};
-use crate::{Action, Attempt, Closed, Micros, Note, Outcome};
+use crate::{Action, Attempt, AttemptEnd, Micros, Outcome, Progress};
 
 /// Share of an engine's memory that is granted by threads; the rest is for light queries.
 const GRANTED_MEMORY_SHARE: f64 = 0.85;
@@ -65,10 +65,10 @@
         let granted_mb = if self.settings.grants { memory_mb.ceil() as u64 } else { 0 };
         if self.settings.priorities || granted_mb > 0 {
             let priority = self.priority(request, index);
-            actions.push(Action::Terms { request: id.clone(), memory_mb: granted_mb, priority });
+            actions.push(Action::SetTerms { request: id.clone(), memory_mb: granted_mb, priority });
         }
         let engine = self.engines[index].entry.engine.clone();
-        actions.push(Action::Send { request: id, engine, give_up_after: None });
+        actions.push(Action::Forward { request: id, engine, give_up_after: None });
     }
 
     /// Counts a send on its engine.
@@ -80,11 +80,11 @@
         let engine = &mut self.engines[index];
         engine.attempt_sent(threads, memory_mb);
         if engine.started.is_some() || engine.health.connect_failures_in_row > 0 {
-            let span = self.settings.cold.map_or(WINDOW, |rule| rule.warm_within);
+            let span = self.settings.slow_start.map_or(WINDOW, |rule| rule.warm_within);
             engine.warmup_work_sent(now, work_ms, span);
         }
         if self.class(request).holds_tables {
-            self.engines.hold_group(index, request.request.tables, request.deadline);
+            self.engines.hold_group(index, request.request.table_group, request.deadline);
         }
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Takes in the end of an attempt, and sends its request again, answers it or forgets it.
-    pub(super) fn attempt_ended(&mut self, end: &Closed, actions: &mut Vec<Action>) {
+    pub(super) fn attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(sequence) = self.requests.sequence_of(&end.request) else { return };
         let request = self.requests.get_mut(sequence);
         let work_ms = request.work_ms;
@@ -129,7 +129,7 @@
         let memory_mb = attempt.memory_mb;
         let stalled = attempt.stalled;
         let silence_counted = attempt.silence_counted;
-        let was_called_off = attempt.cancelled || end.outcome == Outcome::Moot;
+        let was_called_off = attempt.cancelled || end.outcome == Outcome::NotSent;
         self.rest_key_after(sequence, end.outcome);
         self.release_engine(sequence, index, memory_mb);
         if end.outcome == Outcome::Served {
@@ -140,7 +140,7 @@
         }
         self.count_errors(sequence, end.outcome, actions);
         let request = &self.requests[sequence];
-        if end.request_over || request.answered {
+        if end.request_answered || request.answered {
             self.finish(sequence, actions);
         } else if request.in_flight() == 0 {
             self.retry_or_reject(sequence, actions);
@@ -151,7 +151,7 @@
     fn release_engine(&mut self, sequence: u64, index: usize, memory_mb: f64) {
         let request = &self.requests[sequence];
         if self.class(request).holds_tables {
-            self.engines.release_group(index, request.request.tables);
+            self.engines.release_group(index, request.request.table_group);
         }
         let threads = self.threads(request);
         self.engines[index].attempt_ended(threads, memory_mb);
@@ -162,14 +162,14 @@
         &mut self,
         sequence: u64,
         attempt: Attempt,
-        note: Note,
+        note: Progress,
         actions: &mut Vec<Action>,
     ) {
         let Some(progress) = self.record_progress(sequence, attempt, note) else { return };
         let engine = progress.engine;
         let was_troubled = self.requests[sequence].troubled;
         self.health.zones.zone_mut(&self.engines[engine].entry.zone).engine_alive();
-        if note == Note::WaitsForMemory {
+        if note == Progress::WaitsForMemory {
             self.queue_met(engine, self.requests[sequence].work_ms);
             if self.is_hopeless_in_queue(sequence) {
                 self.reject_or_fail(sequence, actions);
@@ -178,17 +178,17 @@
             self.leave_engine_queue(sequence, attempt, actions);
         }
         match note {
-            Note::Spilling(_) | Note::WaitsForMemory => {
+            Progress::Spilling(_) | Progress::WaitsForMemory => {
                 if !was_troubled {
                     self.memory_trouble(sequence, engine);
                 }
             }
-            Note::WaitsForHolder => {
-                let group = self.requests[sequence].request.tables;
+            Progress::WaitsForHolder => {
+                let group = self.requests[sequence].request.table_group;
                 let until = self.clock.now.plus(HELD_GROUP_MEMORY);
                 self.engines.observe_held_group(engine, group, until);
             }
-            Note::Progress(share) => {
+            Progress::ShareDone(share) => {
                 if !progress.stalled {
                     let expected_total_ms = progress.age_ms / share.clamp(0.001, 1.0);
                     let left_ms = expected_total_ms - progress.age_ms;
@@ -199,7 +199,12 @@
         }
     }
 
-    fn record_progress(&mut self, sequence: u64, attempt: Attempt, note: Note) -> Option<AttemptProgress> {
+    fn record_progress(
+        &mut self,
+        sequence: u64,
+        attempt: Attempt,
+        note: Progress,
+    ) -> Option<AttemptProgress> {
         let now = self.clock.now;
         let attempt = self.requests.get_mut(sequence).attempt_in_flight(attempt)?;
         attempt.progressed(now, note);
--- a/crates/decisions/src/decide/dispatch.rs
+++ b/crates/decisions/src/decide/dispatch.rs
@@ -53,7 +53,7 @@
     /// for the first engine to be free.
     fn candidates(&self, sequence: u64, ranked: Vec<usize>) -> Vec<usize> {
         let request = &self.requests[sequence];
-        let group = request.request.tables;
+        let group = request.request.table_group;
         let mut candidates = ranked;
         candidates.retain(|engine| self.is_usable(sequence, *engine));
         if self.class(request).holds_tables {
--- a/crates/decisions/src/decide/engine_list.rs
+++ b/crates/decisions/src/decide/engine_list.rs
@@ -3,13 +3,13 @@
 use super::load::{CAREFUL_THREADS_PER_CORE, INITIAL_THREADS_PER_CORE};
 use super::Gateway;
 use crate::state::clock::Backoff;
-use crate::{Action, EngineId, ListKind, LoadReport, Member, WhenShort};
+use crate::{Action, EngineEntry, EngineId, ListKind, LoadReport, WhenShort};
 
 impl Gateway {
     pub(super) fn update_engine_list(
         &mut self,
         kind: ListKind,
-        entries: Vec<Member>,
+        entries: Vec<EngineEntry>,
         actions: &mut Vec<Action>,
     ) {
         self.list_backoff = Backoff::default();
@@ -24,7 +24,7 @@
         self.dispatch_waiting(actions);
     }
 
-    fn update_engine(&mut self, entry: Member) {
+    fn update_engine(&mut self, entry: EngineEntry) {
         let machine = self.settings.machine(&entry.kind);
         let known = self.engines.index_of(&entry.engine);
         let requests = &self.requests;
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -4,7 +4,7 @@
 use super::Gateway;
 use crate::state::costs::CostSample;
 use crate::state::request::TrackedRequest;
-use crate::{Closed, Micros};
+use crate::{AttemptEnd, Micros};
 
 /// Deviations of the logarithmic estimate error that a memory need covers; about four needs in five.
 const MEMORY_DEVIATIONS: f64 = 0.9;
@@ -68,7 +68,13 @@
     }
 
     /// Takes in what a served attempt took. `stalled`: it spilled or waited, so that its latency says nothing.
-    pub(super) fn learn_from_answer(&mut self, sequence: u64, engine: usize, end: &Closed, stalled: bool) {
+    pub(super) fn learn_from_answer(
+        &mut self,
+        sequence: u64,
+        engine: usize,
+        end: &AttemptEnd,
+        stalled: bool,
+    ) {
         let request = &self.requests[sequence];
         let threads = self.threads(request);
         let latency_ms = end.latency.as_millis();
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -43,7 +43,9 @@
 use crate::state::request::TrackedRequest;
 use crate::state::request_table::RequestTable;
 use crate::state::retry_state::RetryState;
-use crate::{Action, ClassSettings, Discovery, Event, Micros, Settings, SettingsError, TimerId};
+use crate::{
+    Action, ClassSettings, Discovery, Event, Micros, Settings, SettingsError, SlowStartShare, TimerId,
+};
 use flagging::FlaggingState;
 use outlier_ejection::FleetHealth;
 
@@ -111,9 +113,9 @@
         })
     }
 
-    /// Its part of what engines that warm up bear: one of so many gateways, and which. `None`: as the settings say.
-    pub fn cold_among(&mut self, among: Option<(f64, u64)>) {
-        self.settings.cold_among = among;
+    /// Sets its part of what engines that warm up bear; `None`: as the number of gateways in the settings says.
+    pub fn set_slow_start_share(&mut self, share: Option<SlowStartShare>) {
+        self.settings.slow_start_share = share;
     }
 
     /// Takes one event at the time `now` and appends what is to be done. Time never goes backward.
@@ -123,32 +125,32 @@
             self.start(actions);
         }
         match event {
-            Event::Members { kind, members, .. } => self.update_engine_list(kind, members, actions),
+            Event::EngineList { kind, entries, .. } => self.update_engine_list(kind, entries, actions),
             Event::ListFailed => self.list_failed(),
-            Event::Arrived(request) => self.request_arrived(request, actions),
+            Event::RequestArrived(request) => self.request_arrived(request, actions),
             Event::Streaming { request, .. } => {
                 if let Some(sequence) = self.requests.sequence_of(&request) {
                     self.requests.get_mut(sequence).answered = true;
                 }
             }
-            Event::Closed(end) => {
+            Event::AttemptEnded(end) => {
                 self.store_report(&end.engine, end.report.as_ref());
                 self.attempt_ended(&end, actions);
                 self.dispatch_waiting(actions);
             }
-            Event::Abandoned(request) => {
+            Event::ClientGone(request) => {
                 if let Some(sequence) = self.requests.sequence_of(&request) {
                     self.finish(sequence, actions);
                 }
             }
             Event::Timer(TICK_TIMER) => self.tick(actions),
-            Event::Probed { engine, report, .. } => {
+            Event::ProbeEnded { engine, report, .. } => {
                 self.store_report(&engine, report.as_ref());
                 self.dispatch_waiting(actions);
             }
-            Event::Noted { request, attempt, note, .. } => {
+            Event::AttemptProgress { request, attempt, progress, .. } => {
                 if let Some(sequence) = self.requests.sequence_of(&request) {
-                    self.attempt_progressed(sequence, attempt, note, actions);
+                    self.attempt_progressed(sequence, attempt, progress, actions);
                 }
             }
             Event::Timer(_) | Event::Peer { .. } => {}
--- a/crates/decisions/src/decide/ordering.rs
+++ b/crates/decisions/src/decide/ordering.rs
@@ -28,7 +28,7 @@
 
     /// Lets a key rest after an attempt whose work may go on.
     pub(super) fn rest_key_after(&mut self, sequence: u64, outcome: Outcome) {
-        if !outcome.end_unsure() {
+        if !outcome.may_still_run() {
             return;
         }
         let until = self.clock.now.plus(self.settings.key_rest);
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -87,10 +87,10 @@
         self.health.zones.zone_mut(zone).attempt_ended(index, outcome);
         match outcome {
             Outcome::Served => self.engine_served(index, silence_counted),
-            Outcome::Full => self.queue_met(index, work_ms),
+            Outcome::Overloaded => self.queue_met(index, work_ms),
             Outcome::ConnectFailed => self.connect_failed(index, actions),
             Outcome::Reset => self.connection_reset(index, actions),
-            Outcome::Error | Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Error | Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -156,7 +156,7 @@
 
     /// Silence after which an attempt has missed a note, in milliseconds.
     fn sure_silence_ms(&self) -> f64 {
-        let interval = self.settings.notes_every;
+        let interval = self.settings.progress_interval;
         interval.map_or(f64::INFINITY, |every| every.as_millis() * SILENCE_FACTOR + SILENCE_ALLOWANCE_MS)
     }
 
@@ -223,7 +223,7 @@
         let fallback = candidates.first().copied().filter(|_| urgent);
         if let Some(engine) = with_room.or(fallback) {
             self.send(sequence, engine, actions);
-        } else if is_lost && !self.settings.second_copies {
+        } else if is_lost && !self.settings.hedging {
             self.cancel_and_resend(sequence, Attempt(lagging.number as u32), actions);
         }
     }
--- a/crates/decisions/src/decide/retry_budget.rs
+++ b/crates/decisions/src/decide/retry_budget.rs
@@ -6,7 +6,7 @@
 impl Gateway {
     /// Whether one more retry stays inside the budget.
     pub(super) fn retry_budget_allows(&self) -> bool {
-        let Some(budget) = self.settings.budget else { return true };
+        let Some(budget) = self.settings.retry_budget else { return true };
         let requests = self.retries.requests_within(self.clock.now, budget.span);
         let sent = self.retries.retries_within(self.clock.now, budget.span);
         // A cancelled attempt that is to be sent again has its retry reserved until its outcome.
@@ -16,7 +16,7 @@
     }
 
     pub(super) fn expire_retry_counts(&mut self) {
-        let span = self.settings.budget.map_or(Micros(0), |budget| budget.span);
+        let span = self.settings.retry_budget.map_or(Micros(0), |budget| budget.span);
         self.retries.expire(self.clock.now, span);
     }
 }
--- a/crates/decisions/src/decide/routing.rs
+++ b/crates/decisions/src/decide/routing.rs
@@ -112,7 +112,7 @@
 
     fn rank_engine(&self, request: &TrackedRequest, index: usize, engine: &Engine) -> RankedEngine {
         let class = self.class(request);
-        let group = request.request.tables;
+        let group = request.request.table_group;
         let plan = self.placement.plans.get(request.request.class.0);
         let part = plan.and_then(|plan| plan.part(group, index));
         let (avoided, unplanned, distance) = if class.holds_tables {
--- a/crates/decisions/src/decide/send_rules.rs
+++ b/crates/decisions/src/decide/send_rules.rs
@@ -3,13 +3,13 @@
 use super::Gateway;
 use crate::state::engine::Engine;
 use crate::state::request::TrackedRequest;
-use crate::{ClassSettings, Member, Micros, Repeat, RepeatGroup};
+use crate::{ClassSettings, EngineEntry, Micros, Repeat, RepeatGroup};
 
 /// Time before the end of its window that a keyed repeat is still sent.
 const KEYED_WINDOW_MARGIN: Micros = Micros::from_millis(200);
 
 /// Whether an engine is among those that a class is bound to.
-pub(super) fn is_open_to(class: &ClassSettings, engine: &Member) -> bool {
+pub(super) fn is_open_to(class: &ClassSettings, engine: &EngineEntry) -> bool {
     let kind_open = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind));
     kind_open && class.zones.as_ref().is_none_or(|zones| zones.contains(&engine.zone))
 }
@@ -25,7 +25,7 @@
             && self.clock.now < request.deadline
             && engine.listed
             && is_open_to(class, &engine.entry)
-            && (in_flight == 0 || (in_flight == 1 && self.settings.second_copies))
+            && (in_flight == 0 || (in_flight == 1 && self.settings.hedging))
             && self.attempts_left(request)
             && self.is_in_turn(sequence, request)
             && self.repeat_allowed(request, class, engine)
@@ -35,7 +35,7 @@
 
     /// Whether the bound on a request's attempts leaves one more.
     pub(super) fn attempts_left(&self, request: &TrackedRequest) -> bool {
-        self.settings.send_cap.is_none_or(|cap| (request.attempts.len() as u32) < cap)
+        self.settings.max_attempts.is_none_or(|cap| (request.attempts.len() as u32) < cap)
     }
 
     /// Work of a request as slow start counts it.
--- a/crates/decisions/src/decide/slow_start.rs
+++ b/crates/decisions/src/decide/slow_start.rs
@@ -8,7 +8,7 @@
 use super::{Gateway, SURVEY_INTERVAL};
 use crate::state::engine::Engine;
 use crate::state::hash::{mix, unit_fraction};
-use crate::{ColdRule, Micros};
+use crate::{Micros, SlowStart, SlowStartShare};
 
 /// Share of a warming engine's budget that is used: its capacity is a guess.
 const BUDGET_MARGIN: f64 = 0.75;
@@ -27,7 +27,7 @@
 
 /// Slow start of one engine, as one gateway sees it.
 struct WarmupShare<'a> {
-    rule: ColdRule,
+    rule: SlowStart,
     engine: &'a Engine,
     started: Micros,
     /// Gateways that share the engine.
@@ -43,7 +43,7 @@
 impl Gateway {
     /// Share of its capacity that an engine surely has: how it warms up is not known, the square is careful.
     pub(super) fn warmth(&self, engine: &Engine) -> f64 {
-        let (Some(rule), Some(started)) = (self.settings.cold, engine.started) else { return 1.0 };
+        let (Some(rule), Some(started)) = (self.settings.slow_start, engine.started) else { return 1.0 };
         let progress = self.clock.since(started).as_millis() / rule.warm_within.as_millis().max(1.0);
         rule.start_share + (1.0 - rule.start_share) * progress.min(1.0).powi(2)
     }
@@ -66,10 +66,11 @@
     }
 
     fn warmup_share<'a>(&self, engine: &'a Engine) -> Option<WarmupShare<'a>> {
-        let rule = self.settings.cold?;
+        let rule = self.settings.slow_start?;
         let started = engine.started?;
-        let own_place = (self.gateways(), u64::from(self.settings.me));
-        let (gateways, number) = self.settings.cold_among.unwrap_or(own_place);
+        let by_settings =
+            SlowStartShare { gateways: self.gateways(), number: u64::from(self.settings.own_number) };
+        let SlowStartShare { gateways, number } = self.settings.slow_start_share.unwrap_or(by_settings);
         let capacity = self.warmth(engine) * engine.cores * BUSY_CAPACITY;
         let jitter = unit_fraction(mix(engine.hash ^ mix(number)));
         Some(WarmupShare { rule, engine, started, gateways, number, capacity, jitter })
--- a/crates/decisions/src/decide/status.rs
+++ b/crates/decisions/src/decide/status.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use crate::state::engine::{Engine, Health};
-use crate::{MemberState, Standing};
+use crate::{EngineState, EngineStatus};
 
 fn is_in_use(engine: &Engine) -> bool {
     engine.listed && !matches!(engine.health.health, Health::Ejected(_))
@@ -10,21 +10,21 @@
 
 impl Gateway {
     /// All engines that are listed or draining, in the order of their ids.
-    pub fn standings(&self) -> Vec<Standing> {
-        let is_shown = |engine: &&Engine| engine.listed || engine.entry.state == MemberState::Draining;
+    pub fn engine_statuses(&self) -> Vec<EngineStatus> {
+        let is_shown = |engine: &&Engine| engine.listed || engine.entry.state == EngineState::Draining;
         let shown = self.engines.iter().filter(is_shown);
-        let mut statuses: Vec<Standing> = shown.map(|engine| self.engine_status(engine)).collect();
+        let mut statuses: Vec<EngineStatus> = shown.map(|engine| self.engine_status(engine)).collect();
         statuses.sort_by(|a, b| a.engine.cmp(&b.engine));
         statuses
     }
 
-    fn engine_status(&self, engine: &Engine) -> Standing {
+    fn engine_status(&self, engine: &Engine) -> EngineStatus {
         let warmth = self.warmth(engine);
-        Standing {
+        EngineStatus {
             engine: engine.entry.engine.clone(),
             zone: engine.entry.zone.clone(),
             state: engine.entry.state,
-            takes: is_in_use(engine),
+            in_use: is_in_use(engine),
             weight: engine.cores * warmth / engine.stretch.blended.max(1.0),
             warmth,
         }
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -6,19 +6,19 @@
 
 /// Whether an engine takes new work, as the list says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum MemberState {
+pub enum EngineState {
     /// Takes work.
     #[default]
     Serving,
     /// Finishes what it has.
     Draining,
     /// Is no more.
-    Gone,
+    Removed,
 }
 
 /// An engine, as listed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Member {
+pub struct EngineEntry {
     /// Its address.
     pub engine: EngineId,
     /// Its zone.
@@ -32,7 +32,7 @@
     /// When it last started; `None` for long ago.
     pub started: Option<Micros>,
     /// Whether it takes work.
-    pub state: MemberState,
+    pub state: EngineState,
 }
 
 /// How a list is to be read.
@@ -54,9 +54,9 @@
     /// Its class.
     pub class: ClassId,
     /// How long the client still waits.
-    pub left: Micros,
+    pub time_left: Micros,
     /// Its group of tables.
-    pub tables: u64,
+    pub table_group: u64,
     /// Estimated work, on one thread; `None` if there is no estimate.
     pub work_hint: Option<Micros>,
     /// Estimated memory in megabytes; `None` if there is no estimate.
@@ -77,7 +77,7 @@
     /// The engine answered with an error; it may have run.
     Error,
     /// Turned away unseen; it has not run.
-    Full,
+    Overloaded,
     /// No answer in time; it may still run.
     TimedOut,
     /// No connection; it has not run.
@@ -87,16 +87,16 @@
     /// Called off; it may have run.
     Cancelled,
     /// Not sent; it has not run.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether the attempt has certainly not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
     /// Whether the work may go on after this outcome.
-    pub fn end_unsure(self) -> bool {
+    pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
     }
 }
@@ -129,9 +129,9 @@
 
 /// News of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Progress {
     /// Share of the work done; rough.
-    Progress(f64),
+    ShareDone(f64),
     /// It spills; so many megabytes are missing.
     Spilling(f64),
     /// It stands in the engine's line for memory.
@@ -142,7 +142,7 @@
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Closed {
+pub struct AttemptEnd {
     /// Which request.
     pub request: RequestId,
     /// Which attempt.
@@ -154,7 +154,7 @@
     /// How long it took.
     pub latency: Micros,
     /// Whether nothing more is owed to the client.
-    pub request_over: bool,
+    pub request_answered: bool,
     /// What it took, where told.
     pub cost: Option<TrueCost>,
     /// The engine's load, where told.
@@ -165,18 +165,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The engine list, or changes to it.
-    Members {
+    EngineList {
         /// How to read it.
         kind: ListKind,
         /// Its version; it only grows.
         version: u64,
         /// The entries.
-        members: Vec<Member>,
+        entries: Vec<EngineEntry>,
     },
     /// A list call failed or the subscription broke.
     ListFailed,
     /// A request was taken.
-    Arrived(Request),
+    RequestArrived(Request),
     /// A stream began to flow: the request is bound to this attempt.
     Streaming {
         /// Which request.
@@ -185,13 +185,13 @@
         attempt: Attempt,
     },
     /// An attempt is over.
-    Closed(Closed),
+    AttemptEnded(AttemptEnd),
     /// Nobody waits for the request any more.
-    Abandoned(RequestId),
+    ClientGone(RequestId),
     /// A timer is up.
     Timer(TimerId),
     /// A probe's result.
-    Probed {
+    ProbeEnded {
         /// Which engine.
         engine: EngineId,
         /// How it ended; [`Outcome::Served`] if it passed.
@@ -209,7 +209,7 @@
         data: Vec<u8>,
     },
     /// News of a running attempt.
-    Noted {
+    AttemptProgress {
         /// Which request.
         request: RequestId,
         /// Which attempt.
@@ -217,21 +217,21 @@
         /// On which engine.
         engine: EngineId,
         /// What.
-        note: Note,
+        progress: Progress,
     },
 }
 
 /// How an engine stands in the module's eyes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct EngineStatus {
     /// The engine.
     pub engine: EngineId,
     /// Its zone.
     pub zone: String,
     /// What the list says of it.
-    pub state: MemberState,
+    pub state: EngineState,
     /// Whether it is trusted with new work: listed, and not put aside for bad signs.
-    pub takes: bool,
+    pub in_use: bool,
     /// What it can do against the others: cores, less while it is cold or slow.
     pub weight: f64,
     /// The share of its capacity that it surely has, from 0 to 1: below 1 while it warms.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -23,30 +23,30 @@
 //! let mut gateway = Gateway::new(Settings::plain(vec![class]), 7)?;
 //! let engine = EngineId(Arc::from("10.0.0.1:7000"));
 //! let mut actions = Vec::new();
-//! let entry = Member {
+//! let entry = EngineEntry {
 //!     engine: engine.clone(),
 //!     zone: "a".into(),
 //!     kind: "std".into(),
 //!     size_hint: 1.0,
 //!     cell: 0,
 //!     started: None,
-//!     state: MemberState::Serving,
+//!     state: EngineState::Serving,
 //! };
-//! let list = Event::Members { kind: ListKind::Cached, version: 1, members: vec![entry] };
+//! let list = Event::EngineList { kind: ListKind::Cached, version: 1, entries: vec![entry] };
 //! gateway.handle(Micros(0), list, &mut actions);
 //! let request = Request {
 //!     id: RequestId(Arc::from("r1")),
 //!     class: ClassId(0),
-//!     left: Micros::from_millis(3000),
-//!     tables: 4,
+//!     time_left: Micros::from_millis(3000),
+//!     table_group: 4,
 //!     work_hint: None,
 //!     memory_hint_mb: None,
 //!     key: None,
 //!     tenant: None,
 //!     repeat: false,
 //! };
-//! gateway.handle(Micros(10), Event::Arrived(request), &mut actions);
-//! assert!(actions.iter().any(|action| matches!(action, Action::Send { engine: to, .. } if *to == engine)));
+//! gateway.handle(Micros(10), Event::RequestArrived(request), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::Forward { engine: to, .. } if *to == engine)));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
@@ -63,12 +63,13 @@
 pub use action::Action;
 pub use decide::Gateway;
 pub use event::{
-    Closed, Event, ListKind, LoadReport, Member, MemberState, Note, Outcome, Request, Standing, TrueCost,
+    AttemptEnd, EngineEntry, EngineState, EngineStatus, Event, ListKind, LoadReport, Outcome, Progress,
+    Request, TrueCost,
 };
 pub use ids::{Attempt, ClassId, EngineId, RequestId, TimerId};
 pub use settings::{
-    AttemptBudget, ClassSettings, ColdRule, Discovery, KindSettings, Machine, Repeat, RepeatGroup, Reports,
-    Settings, SettingsError, TenantSettings, WhenShort,
+    ClassSettings, Discovery, KindSettings, Machine, Repeat, RepeatGroup, Reports, RetryBudget, Settings,
+    SettingsError, SlowStart, SlowStartShare, TenantSettings, WhenShort,
 };
 pub use state::hash::mix;
 pub use state::key_queues::KeyQueues;
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -42,16 +42,16 @@
 pub struct ClassSettings {
     /// Its name, for logs only.
     pub name: String,
-    /// An answer within this (and `aim_stretch`) earns the full worth.
-    pub aim: Micros,
+    /// An answer within this (and `objective_stretch`) earns the full worth.
+    pub latency_objective: Micros,
     /// The aim grows by this times the true work over the threads.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth for a late answer.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Whether it may be repeated.
     pub repeat: Repeat,
     /// Whether requests with one key run in the order of arrival.
@@ -70,14 +70,14 @@
 
 impl ClassSettings {
     /// A safe class on one thread with no bound of place or order; aim and deadline as given.
-    pub fn plain(name: &str, aim: Micros, deadline: Micros) -> ClassSettings {
+    pub fn plain(name: &str, latency_objective: Micros, deadline: Micros) -> ClassSettings {
         ClassSettings {
             name: name.to_owned(),
-            aim,
-            aim_stretch: 0.0,
+            latency_objective,
+            objective_stretch: 0.0,
             deadline,
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_weight: 0.0,
             repeat: Repeat::Safe,
             in_order: false,
             kinds: None,
@@ -92,7 +92,7 @@
 /// A kind of machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// Its name, as in [`Member::kind`](crate::Member::kind).
+    /// Its name, as in [`EngineEntry::kind`](crate::Member::kind).
     pub name: String,
     /// Cores, if known.
     pub cores: Option<f64>,
@@ -146,7 +146,7 @@
 
 /// A bound on further attempts, over a sliding span.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptBudget {
+pub struct RetryBudget {
     /// Further attempts that need no request to earn them.
     pub free: f64,
     /// Further attempts that one request taken earns.
@@ -157,7 +157,7 @@
 
 /// Bounds on what a freshly started engine may be sent by all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdRule {
+pub struct SlowStart {
     /// It starts at this share of its capacity or more.
     pub start_share: f64,
     /// It is warm after this at the latest.
@@ -185,15 +185,24 @@
     pub memory_mb: f64,
 }
 
+/// One gateway's part of what engines that warm up bear.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SlowStartShare {
+    /// Gateways that share the engines.
+    pub gateways: f64,
+    /// Which of them this one is, from 0.
+    pub number: u64,
+}
+
 /// What a gateway is told at its start. What is absent binds nothing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Gateways that share the engines, this one included; at least 1.
     pub gateways: u32,
     /// Where it is told while it runs: one of how many gateways it is for cold engines, and which.
-    pub cold_among: Option<(f64, u64)>,
+    pub slow_start_share: Option<SlowStartShare>,
     /// This gateway's number among them, from 0.
-    pub me: u32,
+    pub own_number: u32,
     /// This gateway's zone.
     pub zone: Option<String>,
     /// Classes; at least one.
@@ -203,42 +212,42 @@
     /// Tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
     /// Worth share that remains for a request over its tenant's quota.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Load reports.
     pub reports: Reports,
     /// Engine list.
     pub discovery: Discovery,
     /// Most attempts of one request; `None` for no bound.
-    pub send_cap: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Whether a request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub cancel: bool,
-    /// Whether [`Action::Tell`](crate::Action::Tell) is allowed.
+    /// Whether [`Action::SendToPeer`](crate::Action::SendToPeer) is allowed.
     pub peers: bool,
-    /// The longest [`Action::Refuse`](crate::Action::Refuse) advice that clients heed; `None` where none is
+    /// The longest [`Action::Reject`](crate::Action::Reject) advice that clients heed; `None` where none is
     /// given.
     pub retry_after: Option<Micros>,
     /// Bound on further attempts, where one is stated.
-    pub budget: Option<AttemptBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Cold engines, where a rule is stated.
-    pub cold: Option<ColdRule>,
+    pub slow_start: Option<SlowStart>,
     /// Time in which sends to a draining or gone engine must end.
     pub drain_grace: Micros,
     /// Rest of a key after an attempt whose end is not sure.
     pub key_rest: Micros,
-    /// Whether the memory in [`Action::Terms`](crate::Action::Terms) is heeded.
+    /// Whether the memory in [`Action::SetTerms`](crate::Action::SetTerms) is heeded.
     pub grants: bool,
-    /// Whether the priority in [`Action::Terms`](crate::Action::Terms) is heeded.
+    /// Whether the priority in [`Action::SetTerms`](crate::Action::SetTerms) is heeded.
     pub priorities: bool,
     /// What happens when grants pass an engine's memory.
     pub when_short: WhenShort,
     /// Share of an engine's memory that one query gets at most.
     pub largest_grant: f64,
     /// Time between notes of progress; `None` where there are none.
-    pub notes_every: Option<Micros>,
+    pub progress_interval: Option<Micros>,
     /// Whether answers tell the true work and memory.
-    pub tells_cost: bool,
+    pub reports_cost: bool,
 }
 
 impl Settings {
@@ -246,30 +255,30 @@
     pub fn plain(classes: Vec<ClassSettings>) -> Settings {
         Settings {
             gateways: 1,
-            cold_among: None,
-            me: 0,
+            slow_start_share: None,
+            own_number: 0,
             zone: None,
             classes,
             kinds: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             reports: Reports::Absent,
             discovery: Discovery::Pushed,
-            send_cap: None,
-            second_copies: false,
+            max_attempts: None,
+            hedging: false,
             cancel: false,
             peers: false,
             retry_after: None,
-            budget: None,
-            cold: None,
+            retry_budget: None,
+            slow_start: None,
             drain_grace: Micros(0),
             key_rest: Micros(0),
             grants: false,
             priorities: false,
             when_short: WhenShort::Waits,
             largest_grant: 1.0,
-            notes_every: None,
-            tells_cost: false,
+            progress_interval: None,
+            reports_cost: false,
         }
     }
 
@@ -305,9 +314,9 @@
             return broken("gateways", "is 0");
         }
         for (i, c) in self.classes.iter().enumerate() {
-            figure(&format!("classes[{i}].aim_stretch"), c.aim_stretch)?;
-            figure(&format!("classes[{i}].worth"), c.worth)?;
-            figure(&format!("classes[{i}].late_worth"), c.late_worth)?;
+            figure(&format!("classes[{i}].aim_stretch"), c.objective_stretch)?;
+            figure(&format!("classes[{i}].worth"), c.priority_weight)?;
+            figure(&format!("classes[{i}].late_worth"), c.late_weight)?;
             figure(&format!("classes[{i}].threads"), c.threads)?;
             if c.deadline == Micros(0) {
                 return broken(&format!("classes[{i}].deadline"), "is 0");
@@ -320,13 +329,13 @@
         for (i, t) in self.tenants.iter().enumerate() {
             figure(&format!("tenants[{i}].quota_per_s"), t.quota_per_s.unwrap_or(0.0))?;
         }
-        figure("over_share_worth", self.over_share_worth)?;
+        figure("over_share_worth", self.over_quota_weight)?;
         figure("largest_grant", self.largest_grant)?;
-        if let Some(b) = self.budget {
+        if let Some(b) = self.retry_budget {
             figure("budget.free", b.free)?;
             figure("budget.per_request", b.per_request)?;
         }
-        if let Some(c) = self.cold {
+        if let Some(c) = self.slow_start {
             figure("cold.start_share", c.start_share)?;
             figure("cold.fall_multiple", c.fall_multiple)?;
         }
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -48,7 +48,7 @@
         if self.answers > 0.0 {
             self.work_ms
         } else {
-            class.aim.as_millis() * class.threads.max(0.1) / 4.0
+            class.latency_objective.as_millis() * class.threads.max(0.1) / 4.0
         }
     }
 
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -3,7 +3,7 @@
 use super::decay::{remaining, Tally};
 use super::hash::hash_text;
 use super::observed_load::ObservedLoad;
-use crate::{EngineId, LoadReport, Member, Micros};
+use crate::{EngineEntry, EngineId, LoadReport, Micros};
 use std::collections::VecDeque;
 
 /// Whether outlier ejection lets an engine be used.
@@ -107,7 +107,7 @@
 pub struct Engine {
     /// Hash of its id, for placement.
     pub hash: u64,
-    pub entry: Member,
+    pub entry: EngineEntry,
     pub cores: f64,
     pub memory_mb: f64,
     /// Place of its kind in the settings, behind the last if it is not there.
--- a/crates/decisions/src/state/engine_table.rs
+++ b/crates/decisions/src/state/engine_table.rs
@@ -1,7 +1,7 @@
 //! All engines that are known, and the tables that are held on them.
 
 use super::engine::Engine;
-use crate::{EngineId, Member, MemberState, Micros};
+use crate::{EngineEntry, EngineId, EngineState, Micros};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
 
@@ -58,14 +58,14 @@
     pub fn remove_all(&mut self) {
         for engine in &mut self.engines {
             engine.listed = false;
-            engine.entry.state = MemberState::Gone;
+            engine.entry.state = EngineState::Removed;
         }
     }
 
     /// A place for an engine not known before: that of one that is gone and not in use, so that replacements of
     /// engines do not make the table grow.
     pub fn insert(&mut self, id: &EngineId, in_use: impl Fn(usize) -> bool) -> usize {
-        let is_gone = |engine: &Engine| engine.entry.state == MemberState::Gone;
+        let is_gone = |engine: &Engine| engine.entry.state == EngineState::Removed;
         let free = (0..self.engines.len()).find(|place| is_gone(&self.engines[*place]) && !in_use(*place));
         let place = free.unwrap_or(self.engines.len());
         if free.is_some() {
@@ -80,9 +80,9 @@
     }
 
     /// Stores what the list says of an engine.
-    pub fn store_entry(&mut self, engine: usize, entry: Member) {
+    pub fn store_entry(&mut self, engine: usize, entry: EngineEntry) {
         let engine = &mut self.engines[engine];
-        engine.listed = entry.state == MemberState::Serving;
+        engine.listed = entry.state == EngineState::Serving;
         engine.entry = entry;
     }
 
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -2,7 +2,7 @@
 
 use super::hash::hash_text;
 use super::trouble_model::{MissKey, FEATURES};
-use crate::{Attempt, Micros, Note, Outcome, Request};
+use crate::{Attempt, Micros, Outcome, Progress, Request};
 
 /// One attempt of a request.
 pub struct TrackedAttempt {
@@ -45,16 +45,16 @@
     }
 
     /// Stores a note of its progress.
-    pub fn progressed(&mut self, now: Micros, note: Note) {
+    pub fn progressed(&mut self, now: Micros, note: Progress) {
         self.last_progress = now;
-        self.stalled |= !matches!(note, Note::Progress(_));
-        self.waits = matches!(note, Note::WaitsForMemory | Note::WaitsForHolder);
+        self.stalled |= !matches!(note, Progress::ShareDone(_));
+        self.waits = matches!(note, Progress::WaitsForMemory | Progress::WaitsForHolder);
     }
 
     /// Whether it took work; an error, a failed connection or a wait took next to none.
     fn took_work(&self) -> bool {
         match self.outcome {
-            Some(Outcome::Error | Outcome::ConnectFailed | Outcome::Moot) => false,
+            Some(Outcome::Error | Outcome::ConnectFailed | Outcome::NotSent) => false,
             Some(Outcome::Cancelled) => !self.waits,
             _ => true,
         }
@@ -90,7 +90,7 @@
 
 impl TrackedRequest {
     pub fn new(request: Request, now: Micros) -> TrackedRequest {
-        let deadline = now.plus(request.left);
+        let deadline = now.plus(request.time_left);
         let hash = hash_text(&request.id.0);
         TrackedRequest {
             request,
@@ -145,7 +145,7 @@
         let estimate = self.request.memory_hint_mb.filter(|mb| *mb > 0.0);
         MissKey {
             class: self.request.class.0,
-            group: self.request.tables,
+            group: self.request.table_group,
             bucket: estimate.map_or(-1, |mb| mb.log2().round() as i32),
         }
     }
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -27,7 +27,7 @@
 
     /// An attempt ended there. Time-outs, resets and cancels may come from an engine that is silent: no sign.
     pub fn attempt_ended(&mut self, engine: usize, outcome: Outcome) {
-        if outcome.end_unsure() || outcome == Outcome::Moot {
+        if outcome.may_still_run() || outcome == Outcome::NotSent {
             return;
         }
         if outcome == Outcome::ConnectFailed {
--- a/src/bin/beamgap-simhost/wire.rs
+++ b/src/bin/beamgap-simhost/wire.rs
@@ -57,7 +57,7 @@
     /// A list follows, of so many entries, under this number.
     List(u8, usize),
     /// An entry of a list.
-    Entry(Member),
+    Entry(EngineEntry),
     /// News of the list kept under a number; its kind and version.
     Registry(u32, Option<ListKind>, u64, Option<u8>),
     /// Anything else that happens to an instance.
@@ -95,12 +95,12 @@
             };
             let started = p.maybe_number("a start time")?.filter(|at| *at > 0.0).map(micros);
             let state = match p.text("SERVING, DRAINING or DELETED")? {
-                "SERVING" => MemberState::Serving,
-                "DRAINING" => MemberState::Draining,
-                "DELETED" => MemberState::Gone,
+                "SERVING" => EngineState::Serving,
+                "DRAINING" => EngineState::Draining,
+                "DELETED" => EngineState::Removed,
                 other => return bad(other, "SERVING, DRAINING or DELETED"),
             };
-            Line::Entry(Member { engine, zone, kind, size_hint, cell, started, state })
+            Line::Entry(EngineEntry { engine, zone, kind, size_hint, cell, started, state })
         }
         "registry" => {
             let inst = p.int("an instance number")?;
@@ -129,21 +129,21 @@
             let (inst, request) = (p.int("an instance number")?, id(&mut p)?);
             let value = p.maybe_number("a value")?.unwrap_or(0.0);
             let note = match (p.int::<u32>("a topic from 1 to 3")?, value) {
-                (1, v) => Note::Progress(v),
-                (2, v) => Note::Spilling(v),
-                (3, v) if v < 1.5 => Note::WaitsForMemory,
-                (3, _) => Note::WaitsForHolder,
+                (1, v) => Progress::ShareDone(v),
+                (2, v) => Progress::Spilling(v),
+                (3, v) if v < 1.5 => Progress::WaitsForMemory,
+                (3, _) => Progress::WaitsForHolder,
                 (other, _) => return bad(&other.to_string(), "a topic from 1 to 3"),
             };
             let (attempt, engine) = (attempt(&mut p)?, engine(&mut p)?);
-            Line::Event(inst, Event::Noted { request, attempt, engine, note })
+            Line::Event(inst, Event::AttemptProgress { request, attempt, engine, progress: note })
         }
         "closed_attempt" => {
             let (inst, request, outcome) = (p.int("an instance number")?, id(&mut p)?, outcome(&mut p)?);
             let attempt = attempt(&mut p)?;
             let latency = micros(p.maybe_number("a delay")?.unwrap_or(0.0));
             let engine = engine(&mut p)?;
-            let request_over = p.flag("1 or 0")?;
+            let request_answered = p.flag("1 or 0")?;
             let cost =
                 p.maybe("a cost")?.map(|c| c.parse::<u64>().or_else(|_| bad(c, "a cost"))).transpose()?;
             let cost = cost.filter(|c| *c > 0).map(|c| TrueCost {
@@ -151,17 +151,18 @@
                 memory_mb: (c % 4096) as f64 * 4.0,
             });
             let report = report(&mut p)?;
-            let closed = Closed { request, attempt, engine, outcome, latency, request_over, cost, report };
-            Line::Event(inst, Event::Closed(closed))
+            let closed =
+                AttemptEnd { request, attempt, engine, outcome, latency, request_answered, cost, report };
+            Line::Event(inst, Event::AttemptEnded(closed))
         }
-        "abandoned" => Line::Event(p.int("an instance number")?, Event::Abandoned(id(&mut p)?)),
+        "abandoned" => Line::Event(p.int("an instance number")?, Event::ClientGone(id(&mut p)?)),
         "timeout_fired" => {
             Line::Event(p.int("an instance number")?, Event::Timer(TimerId(p.int("a timer handle")?)))
         }
         "sampled" => {
             let (inst, engine, outcome) = (p.int("an instance number")?, engine(&mut p)?, outcome(&mut p)?);
             let latency = micros(p.maybe_number("a delay")?.unwrap_or(0.0));
-            Line::Event(inst, Event::Probed { engine, outcome, latency, report: report(&mut p)? })
+            Line::Event(inst, Event::ProbeEnded { engine, outcome, latency, report: report(&mut p)? })
         }
         "peer_data" => {
             let (inst, from, data) = (p.int("an instance number")?, p.int("a sender")?, p.text("base64")?);
@@ -190,8 +191,8 @@
     let request = Request {
         id,
         class: ClassId(0),
-        left,
-        tables,
+        time_left: left,
+        table_group: tables,
         work_hint: hint.filter(|h| options & 1 != 0 && *h > 0.0).map(micros),
         memory_hint_mb,
         key,
@@ -217,12 +218,12 @@
     Ok(match p.text("an outcome code")? {
         "200" => Outcome::Served,
         "502" => Outcome::Error,
-        "429" => Outcome::Full,
+        "429" => Outcome::Overloaded,
         "408" => Outcome::TimedOut,
         "521" => Outcome::ConnectFailed,
         "520" => Outcome::Reset,
         "444" => Outcome::Cancelled,
-        "409" => Outcome::Moot,
+        "409" => Outcome::NotSent,
         other => return bad(other, "an outcome code"),
     })
 }
@@ -242,21 +243,21 @@
 pub fn write(inst: u32, action: &Action, out: &mut String) {
     let ms = |t: &Micros| format!("{}.{:03}", t.0 / 1000, t.0 % 1000);
     let written = match action {
-        Action::Send { request, engine, give_up_after } => {
+        Action::Forward { request, engine, give_up_after } => {
             let after = give_up_after.as_ref().map_or("0".to_owned(), ms);
             writeln!(out, "assign {inst} {} {} {after}", request.0, engine.0)
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             let after = retry_after.as_ref().map_or("0".to_owned(), ms);
             writeln!(out, "not_now {inst} {} {after}", request.0)
         }
         Action::Fail { request } => writeln!(out, "finish_error {inst} {}", request.0),
         Action::Cancel { request, attempt } => writeln!(out, "abandon {inst} {} {}", request.0, attempt.0),
-        Action::Terms { request, memory_mb, priority } => {
+        Action::SetTerms { request, memory_mb, priority } => {
             writeln!(out, "set_terms {inst} {} {memory_mb} {priority}", request.0)
         }
         Action::CloseIdle(engine) => writeln!(out, "free_links {inst} {}", engine.0),
-        Action::Tell { to, data } => {
+        Action::SendToPeer { to, data } => {
             let to = to.map_or("*".to_owned(), |to| to.to_string());
             let data = if data.is_empty() { "-".to_owned() } else { BASE64_STANDARD.encode(data) };
             writeln!(out, "announce {inst} {to} {data}")
@@ -274,7 +275,7 @@
 pub struct Host {
     now: Micros,
     open: bool,
-    lists: BTreeMap<u8, Vec<Member>>,
+    lists: BTreeMap<u8, Vec<EngineEntry>>,
     filling: Option<(u8, usize)>,
     instances: BTreeMap<u32, (Gateway, HashMap<String, usize>)>,
     actions: Vec<Action>,
@@ -320,7 +321,7 @@
                     Some(kind) => {
                         let members = list.and_then(|list| self.lists.get(&list)).cloned();
                         let Some(members) = members else { return bad(line, "the number of a list") };
-                        Event::Members { kind, version, members }
+                        Event::EngineList { kind, version, entries: members }
                     }
                 };
                 self.event(inst, event, line)?;
@@ -332,7 +333,7 @@
                 };
                 let Some(place) = names.get(&class) else { return bad(&class, "a class of the settings") };
                 request.class = ClassId(*place);
-                self.event(inst, Event::Arrived(request), line)?;
+                self.event(inst, Event::RequestArrived(request), line)?;
             }
         }
         Ok(None)
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -7,7 +7,7 @@
 use super::settings::Fleet;
 use super::tasks::Keeper;
 use super::trial::{machine_clock, Trial};
-use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
+use crate::{EngineEntry, EngineId, EngineState, Settings as ModuleSettings};
 use beamgap_config::Problem;
 use beamgap_council::{Council, Settings};
 use beamgap_policy::check::Known;
@@ -61,7 +61,7 @@
     plain_until: f64,
     trial: Trial,
     /// The list as it was told, to offer it anew when the policy changes.
-    listed: BTreeMap<EngineId, Member>,
+    listed: BTreeMap<EngineId, EngineEntry>,
     /// The loop's turn's reading, for a fault that tests plant.
     turn: f64,
     was_shut: bool,
@@ -205,12 +205,12 @@
     }
 
     /// News of the list: as the decision module is to have it.
-    pub fn offer(&mut self, whole: bool, members: Vec<Member>) -> Vec<Member> {
+    pub fn offer(&mut self, whole: bool, members: Vec<EngineEntry>) -> Vec<EngineEntry> {
         if whole {
             self.listed.clear();
         }
         for member in &members {
-            if member.state == MemberState::Gone {
+            if member.state == EngineState::Removed {
                 self.listed.remove(&member.engine);
             } else {
                 self.listed.insert(member.engine.clone(), member.clone());
@@ -221,7 +221,7 @@
 
     /// What the council has answered, and what is to be asked: changes for the module's list, and lines for the log.
     /// `open` requests are open at this front end.
-    pub fn turn(&mut self, open: usize) -> (Vec<Member>, Vec<String>) {
+    pub fn turn(&mut self, open: usize) -> (Vec<EngineEntry>, Vec<String>) {
         let (mut changed, mut lines) = (Vec::new(), Vec::new());
         self.turn = self.now();
         let answers: Vec<_> = self.council.answers().collect();
@@ -301,7 +301,7 @@
         (changed, lines)
     }
 
-    fn act(&mut self, act: Act, changed: &mut Vec<Member>, lines: &mut Vec<String>) {
+    fn act(&mut self, act: Act, changed: &mut Vec<EngineEntry>, lines: &mut Vec<String>) {
         match act {
             Act::Check(id, text) => {
                 let read = usable(FILE, &text, &self.here);
@@ -316,7 +316,7 @@
                     let ruling = Rc::new(Ruling::new(whole.read.policy, &self.classes));
                     let before = std::mem::replace(&mut self.ruling, ruling);
                     self.shares.borrow_mut().uses(self.now(), version, whole.budgets);
-                    let offered = |ruling: &Ruling, m: &Member| narrowed(ruling, m.clone()).state;
+                    let offered = |ruling: &Ruling, m: &EngineEntry| narrowed(ruling, m.clone()).state;
                     let other =
                         self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
                     changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
@@ -356,7 +356,7 @@
 }
 
 /// An engine as the policy has it offered: one that it leaves out takes nothing new, and ends what it has.
-fn narrowed(ruling: &Ruling, member: Member) -> Member {
-    let out = member.state == MemberState::Serving && ruling.leaves_out(&member.engine.0, &member.zone);
-    Member { state: if out { MemberState::Draining } else { member.state }, ..member }
+fn narrowed(ruling: &Ruling, member: EngineEntry) -> EngineEntry {
+    let out = member.state == EngineState::Serving && ruling.leaves_out(&member.engine.0, &member.zone);
+    EngineEntry { state: if out { EngineState::Draining } else { member.state }, ..member }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,30 +13,30 @@
 //! let mut gateway = Gateway::new(Settings::plain(vec![class]), 7)?;
 //! let engine = EngineId(Arc::from("10.0.0.1:7000"));
 //! let mut actions = Vec::new();
-//! let member = Member {
+//! let member = EngineEntry {
 //!     engine: engine.clone(),
 //!     zone: "a".into(),
 //!     kind: "std".into(),
 //!     size_hint: 1.0,
 //!     cell: 0,
 //!     started: None,
-//!     state: MemberState::Serving,
+//!     state: EngineState::Serving,
 //! };
-//! let list = Event::Members { kind: ListKind::Cached, version: 1, members: vec![member] };
+//! let list = Event::EngineList { kind: ListKind::Cached, version: 1, entries: vec![member] };
 //! gateway.handle(Micros(0), list, &mut actions);
 //! let request = Request {
 //!     id: RequestId(Arc::from("r1")),
 //!     class: ClassId(0),
-//!     left: Micros::from_millis(3000),
-//!     tables: 4,
+//!     time_left: Micros::from_millis(3000),
+//!     table_group: 4,
 //!     work_hint: None,
 //!     memory_hint_mb: None,
 //!     key: None,
 //!     tenant: None,
 //!     repeat: false,
 //! };
-//! gateway.handle(Micros(10), Event::Arrived(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { engine: e, .. } if *e == engine)));
+//! gateway.handle(Micros(10), Event::RequestArrived(request), &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::Forward { engine: e, .. } if *e == engine)));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -142,7 +142,7 @@
             if !conn.job.as_ref().is_some_and(|job| job.sent) {
                 if let Some(job) = conn.job.take() {
                     self.placed.remove(&job.at);
-                    cx.heard.push(Heard::Ended(Ended::bare(job.at, Outcome::Full)));
+                    cx.heard.push(Heard::Ended(Ended::bare(job.at, Outcome::Overloaded)));
                 }
                 self.lose(key, Outcome::Reset, cx);
             }
@@ -154,11 +154,11 @@
         let at = start.attempt;
         let job = Job { at, payload: start.payload, sent: false, renewed: false };
         let outcome = if self.roster.serving(&start.engine).is_none() {
-            Outcome::Full // The list changed between the decision and now.
+            Outcome::Overloaded // The list changed between the decision and now.
         } else if let Some(key) = self.idle(&start.engine, &job) {
             return self.take(key, job, cx);
         } else if self.roster.links(&start.engine).len() >= self.settings.box_connections {
-            Outcome::Full
+            Outcome::Overloaded
         } else {
             match self.dial(&start.engine, cx) {
                 Some(key) => return self.take(key, job, cx),
@@ -263,7 +263,7 @@
         let Some(key) = self.placed.get(&at) else { return };
         if self.conns.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
             self.give_up(at, false, cx);
-            cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::Moot)));
+            cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
         }
     }
 
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -14,7 +14,7 @@
                 conn.advance(cx.now);
                 Next::Go
             }
-            Phase::Schema => self.end(key, Outcome::Moot, Some(Answer::Error(body.to_vec())), cx),
+            Phase::Schema => self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), cx),
             Phase::Preparing(state) => match state {
                 None if body.first() == Some(&0xff) => self.error(key, body, cx),
                 None => {
@@ -53,7 +53,7 @@
                         let text = "the result is larger than beamgap keeps; it has run";
                         let body = packets::error(1105, "HY000", text);
                         // The rest of the result is still to come: the connection goes.
-                        self.end(key, Outcome::Moot, Some(Answer::Error(body)), cx);
+                        self.end(key, Outcome::NotSent, Some(Answer::Error(body)), cx);
                         Next::Lose
                     }
                     Step::Done => {
@@ -142,7 +142,7 @@
         let logged_in = !matches!(conn.phase, Phase::Greeting | Phase::Login);
         if !logged_in {
             cx.log.push(format!("login: engine={} error={code}", conn.engine.0));
-            let outcome = if NO_PLACE.contains(&code) { Outcome::Full } else { Outcome::ConnectFailed };
+            let outcome = if NO_PLACE.contains(&code) { Outcome::Overloaded } else { Outcome::ConnectFailed };
             self.end(key, outcome, None, cx);
             return Next::Lose;
         }
@@ -159,13 +159,13 @@
             }
         }
         if NO_PLACE.contains(&code) {
-            self.end(key, Outcome::Full, None, cx);
+            self.end(key, Outcome::Overloaded, None, cx);
         } else if BOX_TROUBLE.contains(&code) {
             // What was only prepared has not run, whatever the trouble.
-            self.end(key, if running { Outcome::Error } else { Outcome::Full }, None, cx);
+            self.end(key, if running { Outcome::Error } else { Outcome::Overloaded }, None, cx);
         } else {
             // The statement's own error; the box is well, and running it elsewhere would say the same.
-            return self.end(key, Outcome::Moot, Some(Answer::Error(body.to_vec())), cx);
+            return self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), cx);
         }
         Next::Lose
     }
--- a/src/node/backend/roster.rs
+++ b/src/node/backend/roster.rs
@@ -2,7 +2,7 @@
 
 use crate::node::bulletin::Listing;
 use crate::node::slots::Key;
-use crate::{EngineId, ListKind, MemberState};
+use crate::{EngineId, EngineState, ListKind};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether it takes work.
-    pub state: MemberState,
+    pub state: EngineState,
     /// The connections to it.
     pub links: Vec<Key>,
     /// How long a connection to it may be quiet and still be used, and until when that is believed.
@@ -31,7 +31,7 @@
         if kind != ListKind::Changes {
             let named: HashSet<&EngineId> = listings.iter().map(|l| &l.member.engine).collect();
             let gone = self.0.iter_mut().filter(|(id, _)| !named.contains(id));
-            gone.for_each(|(_, engine)| engine.state = MemberState::Gone);
+            gone.for_each(|(_, engine)| engine.state = EngineState::Removed);
         }
         let mut stale = Vec::new();
         for listing in listings {
@@ -43,21 +43,21 @@
                 stale.extend(&engine.links);
             }
             (engine.address, engine.state) = (address, state);
-            if state != MemberState::Gone {
+            if state != EngineState::Removed {
                 // Guards against an address that has passed to another id: whoever held it before is dead.
                 let before = self.0.iter().filter(|(other, e)| *other != id && e.address == address);
                 stale.extend(
-                    before.filter(|(_, e)| e.state != MemberState::Serving).flat_map(|(_, e)| &e.links),
+                    before.filter(|(_, e)| e.state != EngineState::Serving).flat_map(|(_, e)| &e.links),
                 );
             }
         }
-        self.0.retain(|_, e| e.state != MemberState::Gone || !e.links.is_empty());
+        self.0.retain(|_, e| e.state != EngineState::Removed || !e.links.is_empty());
         stale
     }
 
     /// An engine that may be sent new work.
     pub fn serving(&self, id: &EngineId) -> Option<&Engine> {
-        self.0.get(id).filter(|engine| engine.state == MemberState::Serving)
+        self.0.get(id).filter(|engine| engine.state == EngineState::Serving)
     }
 
     /// Where an engine listens.
--- a/src/node/backend/warehouse/line.rs
+++ b/src/node/backend/warehouse/line.rs
@@ -63,13 +63,13 @@
         let value = self.field(name).and_then(|value| value.parse::<usize>().ok());
         value.filter(|value| (1..=most).contains(value)).ok_or(Lost)
     }
-    pub(super) fn note(&self) -> Option<Note> {
+    pub(super) fn note(&self) -> Option<Progress> {
         let value = self.number("v").unwrap_or(0.0);
         match self.field("remark")? {
-            "so_far" => Some(Note::Progress(value)),
-            "lacking" => Some(Note::Spilling(value)),
-            "waiting" if value < 1.5 => Some(Note::WaitsForMemory),
-            "waiting" => Some(Note::WaitsForHolder),
+            "so_far" => Some(Progress::ShareDone(value)),
+            "lacking" => Some(Progress::Spilling(value)),
+            "waiting" if value < 1.5 => Some(Progress::WaitsForMemory),
+            "waiting" => Some(Progress::WaitsForHolder),
             _ => None,
         }
     }
--- a/src/node/backend/warehouse/mod.rs
+++ b/src/node/backend/warehouse/mod.rs
@@ -12,7 +12,7 @@
 use crate::node::exchange::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
 use crate::node::reactor::{Link, Owner, ReadEnd};
 use crate::node::slots::{Key, Slots};
-use crate::{settings, EngineId, ListKind, LoadReport, Micros, Note, Outcome, TrueCost};
+use crate::{settings, EngineId, ListKind, LoadReport, Micros, Outcome, Progress, TrueCost};
 use line::{line, page, Line, Lost};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io::ErrorKind;
@@ -177,7 +177,7 @@
         let wants = self.conns.get_mut(key).map(|conn| std::mem::take(&mut conn.wants));
         for want in wants.into_iter().flatten() {
             self.placed.remove(&want.at);
-            cx.heard.push(Heard::Ended(Ended::bare(want.at, Outcome::Full)));
+            cx.heard.push(Heard::Ended(Ended::bare(want.at, Outcome::Overloaded)));
         }
     }
 
@@ -189,11 +189,11 @@
             Some(_) => match self.choose(&start.engine, &start.name, once, cx) {
                 Some(key) => return self.queue(key, start, once, cx),
                 // It says nothing of the engine where the fleet's budget leaves no room.
-                None if self.links_short(&start.engine) => Outcome::Full,
+                None if self.links_short(&start.engine) => Outcome::Overloaded,
                 None => Outcome::ConnectFailed,
             },
             // The list changed between the decision and now.
-            None => Outcome::Full,
+            None => Outcome::Overloaded,
         };
         cx.heard.push(Heard::Ended(Ended::bare(at, outcome)));
     }
@@ -226,7 +226,7 @@
         }
         let outcome = match called_off {
             CalledOff::Told(_) => return,
-            CalledOff::TakenBack => Outcome::Moot,
+            CalledOff::TakenBack => Outcome::NotSent,
             CalledOff::Stuck(_) | CalledOff::Gone => Outcome::Cancelled,
         };
         if again {
@@ -266,7 +266,7 @@
         let Some(place) = conn.wants.iter().position(|want| want.at == at) else { return };
         conn.wants.remove(place);
         self.placed.remove(&at);
-        cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::Moot)));
+        cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
     }
 
     /// Tells a new priority.
--- a/src/node/backend/warehouse/talk.rs
+++ b/src/node/backend/warehouse/talk.rs
@@ -105,8 +105,8 @@
                 }
                 Outcome::Served
             }
-            "overload" => Outcome::Full,
-            "nobody" => Outcome::Moot,
+            "overload" => Outcome::Overloaded,
+            "nobody" => Outcome::NotSent,
             "crashed" => Outcome::Error,
             _ => return Ok(()),
         };
--- a/src/node/bulletin.rs
+++ b/src/node/bulletin.rs
@@ -6,7 +6,7 @@
 use super::deadlines::{Deadlines, Handle, Wake};
 use super::reactor::{Link, Owner, ReadEnd};
 use crate::mix;
-use crate::{EngineId, ListKind, Member, MemberState};
+use crate::{EngineEntry, EngineId, EngineState, ListKind};
 use mio::Registry;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
     /// What the decision module is told.
-    pub member: Member,
+    pub member: EngineEntry,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -81,16 +81,16 @@
 fn record(r: &[u8], zones: &[String], kinds: &[String]) -> Result<Listing, BadFrame> {
     let name = |list: &[String], place: u8| list.get(usize::from(place)).cloned().unwrap_or_default();
     let state = match r[10] {
-        0 => MemberState::Serving,
-        1 => MemberState::Draining,
-        2 => MemberState::Gone,
+        0 => EngineState::Serving,
+        1 => EngineState::Draining,
+        2 => EngineState::Removed,
         _ => return Err(BadFrame),
     };
     let started = unsigned(&r[19..27]);
     let address = Ipv4Addr::from(unsigned(&r[4..8]) as u32);
     Ok(Listing {
         address: SocketAddr::from((address, unsigned(&r[8..10]) as u16)),
-        member: Member {
+        member: EngineEntry {
             engine: EngineId(Arc::from(format!("s-{:08x}", unsigned(&r[..4])))),
             zone: name(zones, r[11]),
             kind: name(kinds, r[12]),
--- a/src/node/config/known.rs
+++ b/src/node/config/known.rs
@@ -40,14 +40,14 @@
     };
     let number = |key: &str| target.get(key).and_then(json::number);
     let state = match text("state")? {
-        "in_service" => MemberState::Serving,
-        "terminating" => MemberState::Draining,
-        "terminated" => MemberState::Gone,
+        "in_service" => EngineState::Serving,
+        "terminating" => EngineState::Draining,
+        "terminated" => EngineState::Removed,
         other => return wrong(&at("state"), format!("is '{other}'")),
     };
     Ok(Listing {
         address: address(text("endpoint")?, &at("endpoint"))?,
-        member: Member {
+        member: EngineEntry {
             engine: EngineId(Arc::from(text("uid")?)),
             zone: target.get("az").and_then(|v| v.as_str()).unwrap_or_default().to_owned(),
             kind: target.get("model").and_then(|v| v.as_str()).unwrap_or_default().to_owned(),
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -8,7 +8,7 @@
 use super::json::{self, *};
 use super::operator;
 use crate::settings::read as read_settings;
-use crate::{ClassId, EngineId, ListKind, Member, MemberState, Micros, Repeat, Settings};
+use crate::{ClassId, EngineEntry, EngineId, EngineState, ListKind, Micros, Repeat, Settings};
 use beamgap_xds::core::picture::{ColdTerms, Listener, Terms};
 use beamgap_xds::transport::Service;
 use known::read_known;
--- a/src/node/config/xds.rs
+++ b/src/node/config/xds.rs
@@ -43,7 +43,7 @@
     }
     let mut cold = None;
     let request_ms = number("request_ms", 15_000.0, 1.0, 3_600_000.0)?;
-    if let Some(rule) = settings.cold {
+    if let Some(rule) = settings.slow_start {
         let terms = ColdTerms {
             fall_multiple: rule.fall_multiple,
             fall_span_ms: rule.fall_span.as_millis(),
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -7,7 +7,7 @@
 use super::deadlines::Wake;
 use super::reactor::{Link, Owner, ReadEnd};
 use super::slots::{Key, Slots};
-use crate::Standing;
+use crate::EngineStatus;
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     /// The share of the work asked for that is admitted, from 0 to 1; 0 where no engine takes any.
     pub admitted: f64,
     /// The engines with their addresses.
-    pub engines: Vec<(Standing, SocketAddr)>,
+    pub engines: Vec<(EngineStatus, SocketAddr)>,
     /// Which proxies are connected over xDS, as JSON; none if that is off.
     pub clients: Option<Arc<str>>,
 }
--- a/src/node/control/xds.rs
+++ b/src/node/control/xds.rs
@@ -3,7 +3,7 @@
 
 use super::View;
 use crate::node::json::{self, quoted, ValueAsArray, ValueAsScalar, ValueObjectAccess};
-use crate::MemberState;
+use crate::EngineState;
 use beamgap_xds::core::allot::hash;
 use beamgap_xds::core::picture::{Engine, Health, Picture};
 use beamgap_xds::core::plane::Told;
@@ -70,12 +70,12 @@
 
 /// The module's view as the service takes it.
 pub fn picture(view: &View) -> Picture {
-    let engine = |(standing, address): &(crate::Standing, SocketAddr)| Engine {
+    let engine = |(standing, address): &(crate::EngineStatus, SocketAddr)| Engine {
         name: standing.engine.0.clone(),
         address: *address,
         zone: standing.zone.clone(),
-        health: match (standing.state, standing.takes) {
-            (MemberState::Draining, _) => Health::Draining,
+        health: match (standing.state, standing.in_use) {
+            (EngineState::Draining, _) => Health::Draining,
             (_, true) => Health::Usable,
             (_, false) => Health::Aside,
         },
@@ -112,8 +112,8 @@
 fn resources(cluster: &str, view: &View) -> String {
     let mut zones: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     for (standing, address) in &view.engines {
-        let health = match (standing.state, standing.takes) {
-            (MemberState::Draining, _) => "DRAINING",
+        let health = match (standing.state, standing.in_use) {
+            (EngineState::Draining, _) => "DRAINING",
             (_, true) => "HEALTHY",
             (_, false) => "UNHEALTHY",
         };
--- a/src/node/exchange/mod.rs
+++ b/src/node/exchange/mod.rs
@@ -13,8 +13,9 @@
 use crate::fleet::budgets::Held;
 use crate::fleet::gate::Admitted;
 use crate::{
-    Action, Attempt, ClassId, Closed, EngineId, Event, Gateway, ListKind, LoadReport, Member, MemberState,
-    Micros, Note, Outcome, Repeat, Request, RequestId, Settings, SettingsError, TimerId, TrueCost,
+    Action, Attempt, AttemptEnd, ClassId, EngineEntry, EngineId, EngineState, Event, Gateway, ListKind,
+    LoadReport, Micros, Outcome, Progress, Repeat, Request, RequestId, Settings, SettingsError,
+    SlowStartShare, TimerId, TrueCost,
 };
 pub use orders::*;
 pub use request::*;
@@ -124,7 +125,8 @@
 
     /// Which part of what cold engines bear is this front end's, where the fleet divides that.
     pub fn cold_among(&mut self, among: Option<(f64, u64)>) {
-        self.gateway.cold_among(among);
+        self.gateway
+            .set_slow_start_share(among.map(|(gateways, number)| SlowStartShare { gateways, number }));
     }
 
     /// From now on requests may be bound by a policy that speaks of zones.
@@ -167,7 +169,7 @@
                 open.asker = None;
                 let id = RequestId(open.ask.name.clone());
                 trace!(target: ACCOUNT, "gone: id={}", id.0);
-                self.tell(now, Event::Abandoned(id), deadlines);
+                self.tell(now, Event::ClientGone(id), deadlines);
                 self.withdraw(key);
                 self.forget(key, deadlines);
             }
@@ -176,18 +178,22 @@
                 let Some(open) = self.open.get(r.request) else { return };
                 let Some(out) = open.out.as_ref().filter(|out| out.attempt == r.attempt) else { return };
                 let (request, engine) = (RequestId(open.ask.name.clone()), out.engine.clone());
-                self.tell(now, Event::Noted { request, attempt: r.attempt, engine, note }, deadlines);
+                self.tell(
+                    now,
+                    Event::AttemptProgress { request, attempt: r.attempt, engine, progress: note },
+                    deadlines,
+                );
             }
             Heard::Members(kind, version, members) => {
                 if let Some(zones) = &mut self.zones {
                     for m in &members {
                         match m.state {
-                            MemberState::Gone => drop(zones.remove(&m.engine)),
+                            EngineState::Removed => drop(zones.remove(&m.engine)),
                             _ => drop(zones.insert(m.engine.clone(), m.zone.clone())),
                         }
                     }
                 }
-                self.tell(now, Event::Members { kind, version, members }, deadlines);
+                self.tell(now, Event::EngineList { kind, version, entries: members }, deadlines);
             }
         }
     }
@@ -214,7 +220,7 @@
         let cut = now < open.deadline;
         let answer = if cut { self.given_up(key, BACKOFF) } else { Answer::TimedOut };
         self.answer(key, answer);
-        self.tell(now, Event::Abandoned(id), deadlines);
+        self.tell(now, Event::ClientGone(id), deadlines);
         self.forget(key, deadlines);
     }
 
@@ -238,8 +244,8 @@
         let request = Request {
             id: id.clone(),
             class: ask.class,
-            left: to_micros(deadline.min(self.response_deadline) - now),
-            tables: ask.tables,
+            time_left: to_micros(deadline.min(self.response_deadline) - now),
+            table_group: ask.tables,
             work_hint: ask.work_ms.filter(|ms| *ms > 0.0).map(to_micros),
             memory_hint_mb: ask.memory_mb.filter(|mb| *mb > 0.0),
             key: ask.order.clone(),
@@ -268,7 +274,7 @@
         trace!(target: ACCOUNT, "ask: id={} class={}", id.0, self.open.get(key).map_or(0, |o| o.ask.class.0));
         self.names.insert(id, key);
         self.askers.insert(asker, key);
-        self.tell(now, Event::Arrived(request), deadlines);
+        self.tell(now, Event::RequestArrived(request), deadlines);
     }
 
     fn ended(&mut self, now: f64, ended: Ended, deadlines: &mut Deadlines) {
@@ -283,26 +289,26 @@
             // Its policy allows no further attempt, or none could end before the response deadline of a shutdown.
             let answer = self.given_up(key, BACKOFF);
             self.answer(key, answer);
-            closed.request_over = true;
+            closed.request_answered = true;
         }
-        self.tell(now, Event::Closed(closed), deadlines);
+        self.tell(now, Event::AttemptEnded(closed), deadlines);
         self.forget(key, deadlines);
     }
 
     /// Takes an attempt out of the table; `None` if it is not out any more (a late line tells nothing).
-    fn close_attempt(&mut self, now: f64, ended: &Ended, deadlines: &mut Deadlines) -> Option<Closed> {
+    fn close_attempt(&mut self, now: f64, ended: &Ended, deadlines: &mut Deadlines) -> Option<AttemptEnd> {
         let open = self.open.get_mut(ended.attempt.request)?;
         let out = open.out.take_if(|out| out.attempt == ended.attempt.attempt)?;
         deadlines.clear(out.due);
         open.may_have_run |= !ended.outcome.never_ran();
-        open.unsure |= ended.outcome.end_unsure() && !ended.confirmed;
-        Some(Closed {
+        open.unsure |= ended.outcome.may_still_run() && !ended.confirmed;
+        Some(AttemptEnd {
             request: RequestId(open.ask.name.clone()),
             attempt: out.attempt,
             engine: out.engine,
             outcome: ended.outcome,
             latency: to_micros(now - out.since),
-            request_over: open.asker.is_none() || ended.answer.is_some(),
+            request_answered: open.asker.is_none() || ended.answer.is_some(),
             cost: ended.cost,
             report: ended.report.clone(),
         })
--- a/src/node/exchange/module.rs
+++ b/src/node/exchange/module.rs
@@ -11,7 +11,7 @@
             self.gateway.handle(to_micros(now), event, &mut actions);
             for action in actions.drain(..) {
                 if let Some(closed) = self.apply(now, action, deadlines) {
-                    events.push_back(Event::Closed(closed));
+                    events.push_back(Event::AttemptEnded(closed));
                 }
             }
         }
@@ -35,12 +35,17 @@
         self.names.get(id).copied()
     }
 
-    pub(super) fn apply(&mut self, now: f64, action: Action, deadlines: &mut Deadlines) -> Option<Closed> {
+    pub(super) fn apply(
+        &mut self,
+        now: f64,
+        action: Action,
+        deadlines: &mut Deadlines,
+    ) -> Option<AttemptEnd> {
         match action {
-            Action::Send { request, engine, give_up_after } => {
+            Action::Forward { request, engine, give_up_after } => {
                 self.send(now, request, engine, give_up_after, deadlines)
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let key = self.key(&request)?;
                 let answer = self.given_up(key, retry_after.map_or(BACKOFF, from_micros));
                 self.answer(key, answer);
@@ -71,7 +76,7 @@
                 self.forget(attempt.request, deadlines);
                 Some(closed)
             }
-            Action::Terms { request, memory_mb, priority } => {
+            Action::SetTerms { request, memory_mb, priority } => {
                 let key = self.key(&request)?;
                 let open = self.open.get_mut(key)?;
                 (open.memory_mb, open.priority) = (memory_mb, priority);
@@ -94,7 +99,7 @@
                 None
             }
             // Talk between front ends is not allowed, and the list comes by itself.
-            Action::Tell { .. } | Action::Subscribe(_) | Action::FetchList => None,
+            Action::SendToPeer { .. } | Action::Subscribe(_) | Action::FetchList => None,
         }
     }
 
@@ -105,7 +110,7 @@
         engine: EngineId,
         give_up_after: Option<Micros>,
         deadlines: &mut Deadlines,
-    ) -> Option<Closed> {
+    ) -> Option<AttemptEnd> {
         let key = self.key(&request)?;
         let open = self.open.get_mut(key)?;
         let attempt = Attempt(open.attempts);
@@ -119,10 +124,19 @@
         });
         // Guards: never two attempts out, nothing after the end, nothing without time left.
         if open.out.is_some() || open.asker.is_none() || max_ms < 1.0 || barred {
-            let outcome = Outcome::Moot;
-            let (latency, request_over) = (Micros(0), open.asker.is_none());
+            let outcome = Outcome::NotSent;
+            let (latency, request_answered) = (Micros(0), open.asker.is_none());
             let (cost, report) = (None, None);
-            return Some(Closed { request, attempt, engine, outcome, latency, request_over, cost, report });
+            return Some(AttemptEnd {
+                request,
+                attempt,
+                engine,
+                outcome,
+                latency,
+                request_answered,
+                cost,
+                report,
+            });
         }
         // Beyond the first, the fleet's budget is asked too, beside this front end's own ration.
         let further = open.ask.admitted.as_ref().and_then(|a| a.further.as_ref()).filter(|_| open.sent > 0);
@@ -130,13 +144,13 @@
             let answer = self.given_up(key, BACKOFF);
             self.answer(key, answer);
             self.forget(key, deadlines);
-            return Some(Closed {
+            return Some(AttemptEnd {
                 request,
                 attempt,
                 engine,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 latency: Micros(0),
-                request_over: true,
+                request_answered: true,
                 cost: None,
                 report: None,
             });
--- a/src/node/exchange/orders.rs
+++ b/src/node/exchange/orders.rs
@@ -90,7 +90,7 @@
     /// An attempt ended.
     Ended(Ended),
     /// News of a running attempt.
-    Noted(AttemptRef, Note),
+    Noted(AttemptRef, Progress),
     /// The list of engines, or changes to it.
-    Members(ListKind, u64, Vec<Member>),
+    Members(ListKind, u64, Vec<EngineEntry>),
 }
--- a/src/node/exchange/seen.rs
+++ b/src/node/exchange/seen.rs
@@ -19,7 +19,8 @@
 impl Seen {
     /// None yet; a ration's span may ask for longer than the least.
     pub(super) fn new(settings: &Settings) -> Seen {
-        let span_ms = settings.budget.map_or(0.0, |b| b.span.as_millis()).clamp(LEAST_MS, 6.0 * LEAST_MS);
+        let span_ms =
+            settings.retry_budget.map_or(0.0, |b| b.span.as_millis()).clamp(LEAST_MS, 6.0 * LEAST_MS);
         Seen { span_ms, names: HashSet::new(), order: VecDeque::new() }
     }
 
--- a/src/node/exchange/shutdown.rs
+++ b/src/node/exchange/shutdown.rs
@@ -56,7 +56,7 @@
             if self.is_unfinishable(now, open) {
                 let id = RequestId(open.ask.name.clone());
                 self.answer(key, Answer::Refused { backoff_ms: BACKOFF });
-                self.tell(now, Event::Abandoned(id), deadlines);
+                self.tell(now, Event::ClientGone(id), deadlines);
                 self.forget(key, deadlines);
             }
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -232,12 +232,12 @@
 
     fn view(&self) -> View {
         let gateway = self.exchange.gateway();
-        let with_address = |s: crate::Standing| Some((s.clone(), self.warehouses.address(&s.engine)?));
+        let with_address = |s: crate::EngineStatus| Some((s.clone(), self.warehouses.address(&s.engine)?));
         View {
             shutting_down: self.shutdown.is_some(),
             why_not: self.gate.as_ref().and_then(Gate::why_not),
             admitted: gateway.admitted_share(),
-            engines: gateway.standings().into_iter().filter_map(with_address).collect(),
+            engines: gateway.engine_statuses().into_iter().filter_map(with_address).collect(),
             clients: self.xds.as_ref().map(Feed::status),
         }
     }
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -38,7 +38,7 @@
             (MysqlFront::new(mysql, &config.settings, out_most), boxes)
         });
         // Where no seed is given, front ends still differ by their number.
-        let lots = config.seed ^ u64::from(config.settings.me).rotate_left(32);
+        let lots = config.seed ^ u64::from(config.settings.own_number).rotate_left(32);
         let zones = config.zones.clone();
         let mut exchange = Exchange::new(config.settings, config.seed, config.open_most, out_most)
             .map_err(io::Error::other)?;
--- a/src/node/turns.rs
+++ b/src/node/turns.rs
@@ -3,6 +3,15 @@
 use super::*;
 use mio::event::Event;
 
+/// An engine's state as the log names it.
+fn state_in_log(state: crate::EngineState) -> &'static str {
+    match state {
+        crate::EngineState::Serving => "Serving",
+        crate::EngineState::Draining => "Draining",
+        crate::EngineState::Removed => "Gone",
+    }
+}
+
 impl Node {
     /// One turn: waits for sockets or a deadline, handles all that there is. Under a set clock it waits for sockets
     /// no longer than `most`, and for deadlines not at all.
@@ -144,8 +153,8 @@
             mysql.iter_mut().for_each(|(_, boxes)| boxes.members(kind, &listings, &mut cx));
             for listing in &listings {
                 let m = &listing.member;
-                let (engine, address, state) = (&m.engine.0, listing.address, m.state);
-                self.log.push(format!("list: no={number} engine={engine} address={address} state={state:?}"));
+                let (engine, address, state) = (&m.engine.0, listing.address, state_in_log(m.state));
+                self.log.push(format!("list: no={number} engine={engine} address={address} state={state}"));
             }
             let members: Vec<_> = listings.into_iter().map(|listing| listing.member).collect();
             let members = match &mut self.gate {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -116,9 +116,9 @@
         )?;
         let name = p.text(&at("Name")).unwrap_or("").to_owned();
         let mut class = ClassSettings::plain(&name, p.time(&at("OnTime"))?.unwrap_or(deadline), deadline);
-        class.aim_stretch = p.number(&at("AimStretch"))?.unwrap_or(0.0);
-        class.worth = p.number(&at("Value"))?.unwrap_or(1.0);
-        class.late_worth = p.number(&at("LateWorth"))?.unwrap_or(0.0);
+        class.objective_stretch = p.number(&at("AimStretch"))?.unwrap_or(0.0);
+        class.priority_weight = p.number(&at("Value"))?.unwrap_or(1.0);
+        class.late_weight = p.number(&at("LateWorth"))?.unwrap_or(0.0);
         class.repeat = p.one_of(
             &at("Repeat"),
             &[
@@ -148,9 +148,9 @@
         s.tenants.push(TenantSettings { name, quota_per_s: p.number(&format!("Parties.{i}.QuotaPerS"))? });
     }
     s.gateways = p.number("Balancers")?.unwrap_or(1.0) as u32;
-    s.me = p.number("Me")?.unwrap_or(0.0) as u32;
+    s.own_number = p.number("Me")?.unwrap_or(0.0) as u32;
     s.zone = p.text("Zone").map(str::to_owned);
-    s.over_share_worth = p.number("OverShareWorth")?.unwrap_or(1.0);
+    s.over_quota_weight = p.number("OverShareWorth")?.unwrap_or(1.0);
     s.reports = p.one_of(
         "Report.How",
         &[("inline", Reports::InAnswers), ("on_probe", Reports::InProbes), ("off", Reports::Absent)],
@@ -162,8 +162,8 @@
         &[("automatic", Discovery::Pushed), ("subscribe", Discovery::Subscribed { ask_within })],
         Discovery::Pushed,
     )?;
-    s.send_cap = p.number("Limits.SendCap")?.map(|cap| cap as u32);
-    s.second_copies = p.flag("Limits.SecondCopies")?.unwrap_or(false);
+    s.max_attempts = p.number("Limits.SendCap")?.map(|cap| cap as u32);
+    s.hedging = p.flag("Limits.SecondCopies")?.unwrap_or(false);
     s.cancel = p.flag("Limits.Cancel")?.unwrap_or(false);
     s.peers = p.flag("Limits.PeerMessages")?.unwrap_or(false);
     if p.flag("Limits.RetryAfter")?.unwrap_or(false) {
@@ -172,17 +172,17 @@
     if let Some(per_request) = p.number("Contract.ExtraRatio")? {
         let free = p.number("Contract.MinExtra")?.unwrap_or(0.0);
         let span = p.time("Contract.RatioSpan")?.unwrap_or(Micros(u64::MAX));
-        s.budget = Some(AttemptBudget { free, per_request, span });
+        s.retry_budget = Some(RetryBudget { free, per_request, span });
     } else if let Some(free) = p.number("Contract.MinExtra")? {
         let span = p.time("Contract.RatioSpan")?.unwrap_or(Micros(u64::MAX));
-        s.budget = Some(AttemptBudget { free, per_request: 0.0, span });
+        s.retry_budget = Some(RetryBudget { free, per_request: 0.0, span });
     }
     if let (Some(fall_multiple), Some(fall_span)) =
         (p.number("Contract.FallMultiple")?, p.time("Contract.Fall")?)
     {
         let start_share = p.number("Contract.StartCapacity")?.unwrap_or(0.0);
         let warm_within = p.time("Contract.WarmWithin")?.unwrap_or_default();
-        s.cold = Some(ColdRule { start_share, warm_within, fall_multiple, fall_span });
+        s.slow_start = Some(SlowStart { start_share, warm_within, fall_multiple, fall_span });
     }
     s.drain_grace = p.time("Contract.DrainGrace")?.unwrap_or_default();
     s.key_rest = p.time("Contract.TurnGap")?.unwrap_or_default();
@@ -194,8 +194,8 @@
         WhenShort::Waits,
     )?;
     s.largest_grant = p.number("Domain.LargestShare")?.unwrap_or(1.0);
-    s.notes_every = p.time("Domain.TellsEvery")?.filter(|every| every.0 > 0);
-    s.tells_cost = p.flag("Domain.TellsCost")?.unwrap_or(false);
+    s.progress_interval = p.time("Domain.TellsEvery")?.filter(|every| every.0 > 0);
+    s.reports_cost = p.flag("Domain.TellsCost")?.unwrap_or(false);
     s.check().or_else(|e| bad(&e.to_string(), "settings that make sense"))?;
     let fit = fit::fit(given, &p.asked.borrow());
     Ok((s, fit))
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -10,7 +10,7 @@
 use beamgap::node::front::closing::ClosingConnections;
 use beamgap::node::reactor::Owner;
 use beamgap::node::slots::Key;
-use beamgap::{Attempt, ClassId, EngineId, ListKind, Member, MemberState, Outcome};
+use beamgap::{Attempt, ClassId, EngineEntry, EngineId, EngineState, ListKind, Outcome};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -50,9 +50,9 @@
     [Pool::Lines(lines), Pool::Mysql(Box::new(MysqlBoxes::new(mysql, 250.0, 15_000.0, 100, 1 << 20)))]
 }
 
-fn listing(address: SocketAddr, state: MemberState) -> Listing {
+fn listing(address: SocketAddr, state: EngineState) -> Listing {
     let engine = EngineId(Arc::from("s-00000001"));
-    Listing { address, member: Member { engine, state, ..Member::default() } }
+    Listing { address, member: EngineEntry { engine, state, ..EngineEntry::default() } }
 }
 
 fn start(number: u32) -> Start {
@@ -94,12 +94,12 @@
             heard: &mut heard,
             log: &mut log,
         };
-        pool.members(listing(address, MemberState::Serving), &mut cx);
+        pool.members(listing(address, EngineState::Serving), &mut cx);
         pool.start(start(1), &mut cx);
         assert_eq!(outcomes(cx.heard), []);
-        pool.members(listing(address, MemberState::Draining), &mut cx);
+        pool.members(listing(address, EngineState::Draining), &mut cx);
         pool.start(start(2), &mut cx);
-        assert_eq!(outcomes(cx.heard), [(1, Outcome::Full), (2, Outcome::Full)]);
+        assert_eq!(outcomes(cx.heard), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
         let mut got = Vec::new();
         listener.accept().unwrap().0.read_to_end(&mut got).unwrap();
         assert_eq!(got, b"", "not a byte of it was written");
@@ -123,7 +123,7 @@
         heard: &mut heard,
         log: &mut log,
     };
-    pool.members(listing(listener.local_addr().unwrap(), MemberState::Serving), &mut cx);
+    pool.members(listing(listener.local_addr().unwrap(), EngineState::Serving), &mut cx);
     pool.start(start(1), &mut cx);
     drop(listener.accept().unwrap());
     let Pool::Lines(pool) = &mut pool else { unreachable!() };
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -32,7 +32,7 @@
 }
 
 /// The end to come of an attempt that is out.
-struct AttemptEnd {
+struct ScheduledEnd {
     front: usize,
     request: String,
     attempt: u32,
@@ -46,7 +46,7 @@
     fleet: Fleet,
     random: ChaCha8Rng,
     now: u64,
-    ends: BTreeMap<(u64, u64), AttemptEnd>,
+    ends: BTreeMap<(u64, u64), ScheduledEnd>,
     works: BTreeMap<String, (usize, f64)>,
     attempts: BTreeMap<String, u32>,
     /// What came to engines: when, where, and its work.
@@ -55,18 +55,18 @@
 }
 
 fn settings_of(fleet: Fleet, me: usize) -> Settings {
-    let cold = ColdRule {
+    let cold = SlowStart {
         start_share: START_SHARE,
         warm_within: Micros::from_millis(WARM_MS as u64),
         fall_multiple: FALL_MULTIPLE,
         fall_span: ms(FALL_MS),
     };
     let me = me as u32 % fleet.told;
-    Settings { me, cold: Some(cold), gateways: fleet.told, second_copies: false, ..settings() }
+    Settings { own_number: me, slow_start: Some(cold), gateways: fleet.told, hedging: false, ..settings() }
 }
 
 impl World {
-    fn new(fleet: Fleet, seed: u64, members: &[Member]) -> World {
+    fn new(fleet: Fleet, seed: u64, members: &[EngineEntry]) -> World {
         let born = |me| Bench::born(settings_of(fleet, me), seed ^ me as u64, ms(1000), members.to_vec());
         World {
             fronts: (0..fleet.there).map(born).collect(),
@@ -83,7 +83,7 @@
 
     fn take(&mut self, front: usize, actions: Vec<Action>) {
         for action in actions {
-            let Action::Send { request, engine, .. } = action else { continue };
+            let Action::Forward { request, engine, .. } = action else { continue };
             let id = request.0.to_string();
             let attempt = *self.attempts.entry(id.clone()).and_modify(|n| *n += 1).or_insert(0);
             let (_, work) = self.works[&id];
@@ -92,7 +92,8 @@
             // One attempt in twenty breaks off and is tried again.
             let breaks = self.random.random_bool(0.05);
             let lasts = if breaks { 20 } else { work as u64 + 5 };
-            let end = AttemptEnd { front, request: id, attempt, engine, work_ms: (!breaks).then_some(work) };
+            let end =
+                ScheduledEnd { front, request: id, attempt, engine, work_ms: (!breaks).then_some(work) };
             self.ends.insert((self.now + lasts, self.count), end);
         }
     }
@@ -115,13 +116,13 @@
                 let outcome = if end.work_ms.is_some() { Outcome::Served } else { Outcome::Reset };
                 let cost = |work: f64| TrueCost { work: Micros((work * 1000.0) as u64), memory_mb: 40.0 };
                 let (class, _) = self.works[&end.request];
-                let done = self.fronts[end.front].tell(Event::Closed(Closed {
+                let done = self.fronts[end.front].tell(Event::AttemptEnded(AttemptEnd {
                     request: request(&end.request, class, 0, 0).id,
                     attempt: Attempt(end.attempt),
                     engine: end.engine,
                     outcome,
                     latency: ms(end.work_ms.unwrap_or_default() as u64),
-                    request_over: end.work_ms.is_some(),
+                    request_answered: end.work_ms.is_some(),
                     cost: end.work_ms.map(cost),
                     report: None,
                 }));
@@ -162,12 +163,12 @@
 /// Half of the engines are replaced at once while some front ends start anew; the worst of the new ones.
 fn replace(fleet: Fleet, seed: u64) -> (f64, usize) {
     let name = |i: usize| format!("10.0.0.{i}:70");
-    let mut members: Vec<Member> = (0..ENGINES).map(|i| member(&name(i))).collect();
+    let mut members: Vec<EngineEntry> = (0..ENGINES).map(|i| member(&name(i))).collect();
     let mut world = World::new(fleet, seed, &members);
     world.run(3000);
     let started = world.now;
-    members.iter_mut().take(ENGINES / 2).for_each(|old| old.state = MemberState::Gone);
-    let new = (0..ENGINES / 2).map(|i| Member { started: Some(ms(started)), ..member(&name(100 + i)) });
+    members.iter_mut().take(ENGINES / 2).for_each(|old| old.state = EngineState::Removed);
+    let new = (0..ENGINES / 2).map(|i| EngineEntry { started: Some(ms(started)), ..member(&name(100 + i)) });
     members.extend(new);
     for front in 0..world.fronts.len() {
         if front < fleet.restarted {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,20 +12,26 @@
     EngineId(Arc::from(name))
 }
 
-pub fn member(name: &str) -> Member {
-    Member { engine: engine(name), zone: "a".into(), kind: "std".into(), size_hint: 1.0, ..Member::default() }
+pub fn member(name: &str) -> EngineEntry {
+    EngineEntry {
+        engine: engine(name),
+        zone: "a".into(),
+        kind: "std".into(),
+        size_hint: 1.0,
+        ..EngineEntry::default()
+    }
 }
 
-pub fn list(kind: ListKind, members: Vec<Member>) -> Event {
-    Event::Members { kind, version: 1, members }
+pub fn list(kind: ListKind, members: Vec<EngineEntry>) -> Event {
+    Event::EngineList { kind, version: 1, entries: members }
 }
 
 pub fn request(id: &str, class: usize, tables: u64, left: u64) -> Request {
     Request {
         id: RequestId(Arc::from(id)),
         class: ClassId(class),
-        tables,
-        left: ms(left),
+        table_group: tables,
+        time_left: ms(left),
         work_hint: Some(ms(if class == 0 { 100 } else { 3000 })),
         memory_hint_mb: Some(if class == 0 { 50.0 } else { 4000.0 }),
         ..Request::default()
@@ -36,11 +42,11 @@
 pub fn settings() -> Settings {
     let light = ClassSettings::plain("light", ms(800), ms(4000));
     let mut heavy = ClassSettings::plain("heavy", ms(3000), ms(20_000));
-    (heavy.threads, heavy.aim_stretch, heavy.late_worth, heavy.worth) = (4.0, 2.5, 0.3, 8.0);
+    (heavy.threads, heavy.objective_stretch, heavy.late_weight, heavy.priority_weight) = (4.0, 2.5, 0.3, 8.0);
     let mut s = Settings::plain(vec![light, heavy]);
     s.kinds = vec![KindSettings { name: "std".into(), cores: Some(8.0), memory_mb: Some(16_384.0) }];
-    (s.cancel, s.second_copies, s.priorities, s.grants) = (true, true, true, true);
-    (s.notes_every, s.tells_cost, s.send_cap) = (Some(ms(1000)), true, Some(6));
+    (s.cancel, s.hedging, s.priorities, s.grants) = (true, true, true, true);
+    (s.progress_interval, s.reports_cost, s.max_attempts) = (Some(ms(1000)), true, Some(6));
     s
 }
 
@@ -52,11 +58,11 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Bench {
+    pub fn new(settings: Settings, members: Vec<EngineEntry>) -> Bench {
         Bench::born(settings, 11, ms(1000), members)
     }
     /// A gateway that comes up at a time of its own, with the list as it stands then.
-    pub fn born(settings: Settings, seed: u64, now: Micros, members: Vec<Member>) -> Bench {
+    pub fn born(settings: Settings, seed: u64, now: Micros, members: Vec<EngineEntry>) -> Bench {
         let gateway = Gateway::new(settings, seed).expect("good settings");
         let mut bench = Bench { gateway, now, timers: Vec::new() };
         bench.tell(list(ListKind::Cached, members));
@@ -87,7 +93,7 @@
         all
     }
     pub fn arrive(&mut self, request: Request) -> Vec<Action> {
-        self.tell(Event::Arrived(request))
+        self.tell(Event::RequestArrived(request))
     }
     pub fn close(
         &mut self,
@@ -99,35 +105,35 @@
     ) -> Vec<Action> {
         let served = outcome == Outcome::Served;
         let cost = Some(TrueCost { work: ms(100), memory_mb: 40.0 }).filter(|_| served);
-        self.tell(Event::Closed(Closed {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             request: RequestId(Arc::from(id)),
             attempt: Attempt(attempt),
             engine: at.clone(),
             outcome,
             latency: ms(latency),
-            request_over: served,
+            request_answered: served,
             cost,
             report: None,
         }))
     }
-    pub fn note(&mut self, id: &str, attempt: u32, at: &EngineId, note: Note) -> Vec<Action> {
-        self.tell(Event::Noted {
+    pub fn note(&mut self, id: &str, attempt: u32, at: &EngineId, note: Progress) -> Vec<Action> {
+        self.tell(Event::AttemptProgress {
             request: RequestId(Arc::from(id)),
             attempt: Attempt(attempt),
             engine: at.clone(),
-            note,
+            progress: note,
         })
     }
 }
 
 /// The engines sent to, in order.
 pub fn sent(actions: &[Action]) -> Vec<EngineId> {
-    let to = |a: &Action| if let Action::Send { engine, .. } = a { Some(engine.clone()) } else { None };
+    let to = |a: &Action| if let Action::Forward { engine, .. } = a { Some(engine.clone()) } else { None };
     actions.iter().filter_map(to).collect()
 }
 
 pub fn refused(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
 pub fn failed(actions: &[Action]) -> usize {
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -6,16 +6,16 @@
 use common::{cancelled, engine, list, member, ms, refused, request, sent, settings, Bench};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn fleet(n: usize) -> Vec<Member> {
+fn fleet(n: usize) -> Vec<EngineEntry> {
     (0..n).map(|i| member(&format!("10.0.0.{i}:70"))).collect()
 }
 
 fn of(gateways: u32) -> Settings {
-    Settings { gateways, second_copies: false, ..settings() }
+    Settings { gateways, hedging: false, ..settings() }
 }
 
 fn granted(actions: &[Action]) -> u64 {
-    let of = |a: &Action| if let Action::Terms { memory_mb, .. } = a { Some(*memory_mb) } else { None };
+    let of = |a: &Action| if let Action::SetTerms { memory_mb, .. } = a { Some(*memory_mb) } else { None };
     actions.iter().filter_map(of).next_back().expect("terms before a send")
 }
 
@@ -24,7 +24,7 @@
     for (gateways, least, most) in [(1, 5, 5), (300, 30, 40)] {
         let mut sends: BTreeMap<EngineId, usize> = BTreeMap::new();
         for g in 0..40 {
-            let mut b = Bench::new(Settings { me: g.min(gateways - 1), ..of(gateways) }, fleet(40));
+            let mut b = Bench::new(Settings { own_number: g.min(gateways - 1), ..of(gateways) }, fleet(40));
             for i in 0..40 {
                 let id = format!("{g}-{i}");
                 let to = sent(&b.arrive(request(&id, 0, i % 5, 4000)))[0].clone();
@@ -54,13 +54,13 @@
         b.pass(20);
         let mut closed = b.close(&id, 9, &at, Outcome::Served, 20); // No such attempt: passed over.
         assert!(closed.is_empty());
-        closed = b.tell(Event::Closed(Closed {
+        closed = b.tell(Event::AttemptEnded(AttemptEnd {
             request: request(&id, 0, 1, 1).id,
             attempt: Attempt(0),
             engine: at.clone(),
             outcome: Outcome::Served,
             latency: ms(20),
-            request_over: true,
+            request_answered: true,
             cost: Some(TrueCost { work: ms(20), memory_mb: 400.0 }),
             report: None,
         }));
@@ -90,7 +90,7 @@
             // With one engine there is none to move to; with four and no cancel it cannot move.
             let mut b = Bench::new(Settings { cancel: engines == 1, ..of(gateways) }, fleet(engines));
             let to = sent(&b.arrive(request("h", 1, 1, 20_000)))[0].clone();
-            b.note("h", 0, &to, Note::WaitsForMemory);
+            b.note("h", 0, &to, Progress::WaitsForMemory);
             let meanwhile = b.pass(7000);
             assert_eq!(cancelled(&meanwhile), 0, "{gateways}: its place in the line is kept");
             assert!(!meanwhile.iter().any(|a| matches!(a, Action::Log(_))), "{gateways}: {to:?} ejected");
@@ -104,11 +104,11 @@
     let mut at = sent(&b.arrive(request("h", 1, 1, 20_000)))[0].clone();
     let mut used = BTreeSet::from([at.clone()]);
     for attempt in 0..2 {
-        assert_eq!(cancelled(&b.note("h", attempt, &at, Note::WaitsForMemory)), 1, "move {attempt}");
+        assert_eq!(cancelled(&b.note("h", attempt, &at, Progress::WaitsForMemory)), 1, "move {attempt}");
         at = sent(&b.close("h", attempt, &at, Outcome::Cancelled, 10))[0].clone();
         assert!(used.insert(at.clone()), "to an engine that is new to it");
     }
-    assert_eq!(cancelled(&b.note("h", 2, &at, Note::WaitsForMemory)), 0, "the third line is its own");
+    assert_eq!(cancelled(&b.note("h", 2, &at, Progress::WaitsForMemory)), 0, "the third line is its own");
 }
 
 #[test]
@@ -121,7 +121,7 @@
                 let to = sent(&b.arrive(request(&id, 0, i, 4000)))[0].clone();
                 if lines {
                     // In the end on each engine: where there is none, dear work may go.
-                    b.note(&id, 0, &to, Note::WaitsForMemory);
+                    b.note(&id, 0, &to, Progress::WaitsForMemory);
                 }
                 b.pass(20);
                 b.close(&id, 0, &to, Outcome::Served, 20);
@@ -160,11 +160,11 @@
 fn light_work_passes_the_bound_only_where_priorities_speed_it_up() {
     // bratislava-main, overload: light queries went on to engines that could answer none in time.
     for (priorities, least, most) in [(true, 200, 200), (false, 20, 80)] {
-        let s = Settings { priorities, when_short: WhenShort::LetIn, second_copies: false, ..of(1) };
+        let s = Settings { priorities, when_short: WhenShort::LetIn, hedging: false, ..of(1) };
         let mut b = Bench::new(s, fleet(4));
         warm_up(&mut b, 20);
         b.arrive(request("h", 1, 9, 20_000));
-        b.close("h", 0, &engine("10.0.0.1:70"), Outcome::Moot, 1);
+        b.close("h", 0, &engine("10.0.0.1:70"), Outcome::NotSent, 1);
         let all: usize = (0..200).map(|i| sent(&b.arrive(request(&format!("l{i}"), 0, i, 4000))).len()).sum();
         assert!((least..=most).contains(&all), "priorities {priorities}: {all} sent to 32 cores");
     }
@@ -173,7 +173,7 @@
 #[test]
 fn what_is_not_known_yet_is_not_small() {
     // bratislava-main: with no estimate and no answer every query took the cheap pass, past every bound.
-    let mut s = Settings { grants: false, second_copies: false, ..of(1) };
+    let mut s = Settings { grants: false, hedging: false, ..of(1) };
     s.priorities = true;
     let mut b = Bench::new(s, fleet(1));
     let blind = |id: &str| Request { work_hint: None, memory_hint_mb: None, ..request(id, 1, 1, 20_000) };
@@ -185,7 +185,7 @@
 fn busy_cores_are_the_least_that_runs() {
     // ulaanbaatar-main, big-2: reports of cores all busy were taken for one thread a core; six ran.
     let mut s = Settings { reports: Reports::InAnswers, cancel: false, ..of(80) };
-    (s.notes_every, s.grants) = (None, false);
+    (s.progress_interval, s.grants) = (None, false);
     let mut b = Bench::new(s, fleet(1));
     warm_up(&mut b, 40);
     let at = engine("10.0.0.0:70");
@@ -194,7 +194,7 @@
         b.pass(1000);
     }
     let report = LoadReport { busy: Some(0.8), ..LoadReport::default() };
-    b.tell(Event::Probed { engine: at, outcome: Outcome::Served, latency: ms(1), report: Some(report) });
+    b.tell(Event::ProbeEnded { engine: at, outcome: Outcome::Served, latency: ms(1), report: Some(report) });
     let last = b.arrive(request("last", 1, 1, 20_000));
     assert!(sent(&last).is_empty(), "80% busy, and full: {last:?}");
 }
@@ -203,18 +203,18 @@
 fn gateways_that_come_up_beside_a_cold_engine_do_not_all_take_their_part_at_once() {
     // A restarted gateway has forgotten what it sent; half of them may come up together, the engine half warm.
     let rule =
-        ColdRule { start_share: 0.3, warm_within: ms(15_000), fall_multiple: 2.5, fall_span: ms(2000) };
+        SlowStart { start_share: 0.3, warm_within: ms(15_000), fall_multiple: 2.5, fall_span: ms(2000) };
     let mut sent_ms = 0.0;
     for me in 0..300 {
-        let s = Settings { me, cold: Some(rule), second_copies: false, ..of(300) };
+        let s = Settings { own_number: me, slow_start: Some(rule), hedging: false, ..of(300) };
         let mut gateway = Gateway::new(s, 5).expect("good settings");
         let mut out = Vec::new();
-        let cold = Member { started: Some(ms(1000)), ..member("10.0.0.1:70") };
+        let cold = EngineEntry { started: Some(ms(1000)), ..member("10.0.0.1:70") };
         gateway.handle(ms(8500), list(ListKind::Cached, vec![cold]), &mut out);
         for i in 0..4 {
             gateway.handle(
                 ms(8500 + 500 * i),
-                Event::Arrived(request(&format!("{me}-{i}"), 0, 1, 4000)),
+                Event::RequestArrived(request(&format!("{me}-{i}"), 0, 1, 4000)),
                 &mut out,
             );
         }
@@ -226,13 +226,13 @@
 
 #[test]
 fn the_further_attempt_of_what_is_called_off_is_set_aside() {
-    let budget = Some(AttemptBudget { free: 1.0, per_request: 0.0, span: ms(5000) });
-    let mut b = Bench::new(Settings { budget, second_copies: false, ..of(4) }, fleet(6));
+    let budget = Some(RetryBudget { free: 1.0, per_request: 0.0, span: ms(5000) });
+    let mut b = Bench::new(Settings { retry_budget: budget, hedging: false, ..of(4) }, fleet(6));
     let at: Vec<EngineId> =
         (0..3).map(|i| sent(&b.arrive(request(&format!("h{i}"), 1, i, 20_000)))[0].clone()).collect();
     b.pass(900);
     let off: usize =
-        (0..3).map(|i| cancelled(&b.note(&format!("h{i}"), 0, &at[i], Note::Progress(0.005)))).sum();
+        (0..3).map(|i| cancelled(&b.note(&format!("h{i}"), 0, &at[i], Progress::ShareDone(0.005)))).sum();
     assert_eq!(off, 1, "each was allowed one more, and the budget holds one in all");
     let again: usize =
         (0..3).map(|i| sent(&b.close(&format!("h{i}"), 0, &at[i], Outcome::Cancelled, 900)).len()).sum();
@@ -286,7 +286,7 @@
     // i64d70b: gateways stood still for up to two seconds with requests held; 511 had no answer in their time.
     for left in [2400, 3000, 20_000] {
         let mut s = Settings { when_short: WhenShort::LetIn, cancel: false, priorities: false, ..of(1) };
-        s.classes.iter_mut().for_each(|c| (c.late_worth, c.aim) = (0.5, ms(2000)));
+        s.classes.iter_mut().for_each(|c| (c.late_weight, c.latency_objective) = (0.5, ms(2000)));
         let mut b = Bench::new(s, fleet(1));
         let mut open = BTreeSet::new();
         for i in 0..12 {
--- a/tests/discovery_frames.rs
+++ b/tests/discovery_frames.rs
@@ -2,7 +2,7 @@
 
 use beamgap::node::bulletin::{frame, BadFrame};
 use beamgap::node::clock::to_micros;
-use beamgap::{ListKind, MemberState};
+use beamgap::{EngineState, ListKind};
 
 fn bytes(number: u64, kind: u8, records: &[u8]) -> Vec<u8> {
     let mut out = (9 + records.len() as u32).to_be_bytes().to_vec();
@@ -30,7 +30,7 @@
     assert_eq!(listing.address, "10.1.0.9:10080".parse().unwrap());
     let m = &listing.member;
     assert_eq!((&*m.engine.0, &*m.zone, &*m.kind, m.cell), ("s-00c41f7a", "b", "std", 2));
-    assert_eq!((m.size_hint, m.state, m.started), (4.0, MemberState::Draining, Some(to_micros(77.0))));
+    assert_eq!((m.size_hint, m.state, m.started), (4.0, EngineState::Draining, Some(to_micros(77.0))));
 }
 
 #[test]
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -5,7 +5,7 @@
 use beamgap::*;
 use common::{cancelled, engine, failed, list, member, ms, refused, request, sent, settings, Bench};
 
-fn fleet(n: usize) -> Vec<Member> {
+fn fleet(n: usize) -> Vec<EngineEntry> {
     (0..n).map(|i| member(&format!("10.0.0.{i}:70"))).collect()
 }
 
@@ -74,7 +74,7 @@
     play(&mut b, 40, 20, &engine("none"), None);
     let at = sent(&b.arrive(request("h", 1, 5, 20_000)))[0].clone();
     let mut log = b.pass(950);
-    b.note("h", 0, &at, Note::Progress(0.5));
+    b.note("h", 0, &at, Progress::ShareDone(0.5));
     log.extend(b.pass(950));
     assert!(!log.iter().any(|a| matches!(a, Action::Log(_))), "{log:?}");
 }
@@ -120,7 +120,7 @@
     let sends = sent(&b.pass(9000)).len();
     assert!(sends >= 1, "held requests try the engines again after their rest");
     assert!(sends < 40, "one at a time: {sends}");
-    b.tell(list(ListKind::Changes, vec![Member { started: Some(b.now), ..member("10.0.0.0:70") }]));
+    b.tell(list(ListKind::Changes, vec![EngineEntry { started: Some(b.now), ..member("10.0.0.0:70") }]));
     assert_eq!(
         sent(&b.arrive(request("z", 0, 1, 4000))).len(),
         1,
@@ -132,7 +132,7 @@
 fn an_unannounced_restart_counts_as_a_start() {
     let mut s = settings();
     let (warm_within, fall_span) = (ms(10_000), ms(1500));
-    s.cold = Some(ColdRule { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span });
+    s.slow_start = Some(SlowStart { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span });
     let (mut b, e) = (Bench::new(s, fleet(1)), engine("10.0.0.0:70"));
     b.arrive(request("a", 0, 1, 4000));
     b.close("a", 0, &e, Outcome::ConnectFailed, 1);
@@ -149,12 +149,12 @@
 #[test]
 fn a_bad_plan_is_called_off_and_sent_again_only_after_its_outcome() {
     let mut s = settings();
-    s.second_copies = false;
+    s.hedging = false;
     let mut b = Bench::new(s, fleet(3));
     play(&mut b, 30, 20, &engine("none"), None);
     let at = sent(&b.arrive(request("h", 1, 5, 20_000)))[0].clone();
     b.pass(1000);
-    let called = b.note("h", 0, &at, Note::Progress(0.02));
+    let called = b.note("h", 0, &at, Progress::ShareDone(0.02));
     assert_eq!((cancelled(&called), sent(&called).len()), (1, 0));
     assert_eq!(sent(&b.close("h", 0, &at, Outcome::Cancelled, 1000)).len(), 1);
 }
@@ -194,9 +194,9 @@
 #[test]
 fn late_and_unknown_ids_are_passed_over() {
     let mut b = Bench::new(settings(), fleet(1));
-    assert!(b.tell(Event::Abandoned(request("ghost", 0, 1, 1).id)).is_empty());
+    assert!(b.tell(Event::ClientGone(request("ghost", 0, 1, 1).id)).is_empty());
     assert!(b.close("ghost", 3, &engine("nowhere"), Outcome::Served, 1).is_empty());
-    assert!(b.note("ghost", 0, &engine("nowhere"), Note::Progress(0.5)).is_empty());
+    assert!(b.note("ghost", 0, &engine("nowhere"), Progress::ShareDone(0.5)).is_empty());
 }
 
 #[test]
@@ -217,7 +217,7 @@
 fn one_lost_answer_is_noticed_while_its_engine_works() {
     // Incident i0fb726: some answers vanished on every engine; without copies the query waited for its client's end.
     let mut s = settings();
-    s.second_copies = false;
+    s.hedging = false;
     let mut b = Bench::new(s, fleet(1));
     play(&mut b, 40, 20, &engine("none"), None);
     let at = sent(&b.arrive(request("gone", 0, 5, 4000)))[0].clone();
@@ -273,9 +273,9 @@
     for n in 0..50 {
         let name = format!("new{n}");
         b.tell(list(ListKind::Changes, vec![member(&name)]));
-        b.tell(list(ListKind::Changes, vec![Member { state: MemberState::Gone, ..member(&name) }]));
+        b.tell(list(ListKind::Changes, vec![EngineEntry { state: EngineState::Removed, ..member(&name) }]));
     }
-    b.tell(list(ListKind::Changes, vec![Member { state: MemberState::Gone, ..member(&at.0) }]));
+    b.tell(list(ListKind::Changes, vec![EngineEntry { state: EngineState::Removed, ..member(&at.0) }]));
     b.tell(list(ListKind::Changes, vec![member("next")]));
     assert_eq!(b.gateway.engines_held(), 3, "one place is free, one is remembered");
     b.close("q", 0, &at, Outcome::Served, 20);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -18,17 +18,17 @@
 const STEP: u64 = 25;
 const WORK: [u64; 2] = [100, 1000]; // of a light request and a heavy one, in milliseconds on one core
 
-fn engines(n: usize) -> Vec<Member> {
+fn engines(n: usize) -> Vec<EngineEntry> {
     (0..n)
-        .map(|i| Member { zone: ["a", "b", "c"][i % 3].into(), ..member(&format!("10.0.0.{i}:70")) })
+        .map(|i| EngineEntry { zone: ["a", "b", "c"][i % 3].into(), ..member(&format!("10.0.0.{i}:70")) })
         .collect()
 }
 
 fn one_of(me: u32) -> Settings {
     let cold =
-        ColdRule { start_share: 0.3, warm_within: ms(15_000), fall_multiple: 3.0, fall_span: ms(1500) };
+        SlowStart { start_share: 0.3, warm_within: ms(15_000), fall_multiple: 3.0, fall_span: ms(1500) };
     let zone = Some(["a", "b", "c"][me as usize % 3].to_owned());
-    Settings { me, zone, cold: Some(cold), gateways: FRONTS, second_copies: false, ..settings() }
+    Settings { own_number: me, zone, slow_start: Some(cold), gateways: FRONTS, hedging: false, ..settings() }
 }
 
 /// An attempt that came to an engine.
@@ -96,13 +96,13 @@
     }
 
     /// Kills a front end and starts it from nothing with this list. What it had out is no more.
-    fn restart(&mut self, front: usize, members: Vec<Member>) {
+    fn restart(&mut self, front: usize, members: Vec<EngineEntry>) {
         self.lives[front] += 1;
         let seed = u64::from(self.lives[front]) << 32 | front as u64;
         self.fronts[front] = Bench::born(one_of(front as u32), seed, ms(self.now), members);
     }
 
-    fn tell(&mut self, members: &[Member]) {
+    fn tell(&mut self, members: &[EngineEntry]) {
         for front in 0..self.fronts.len() {
             let done = self.fronts[front].tell(list(ListKind::Changes, members.to_vec()));
             self.take(front, done);
@@ -112,7 +112,7 @@
     fn take(&mut self, front: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { request, engine, .. } => {
+                Action::Forward { request, engine, .. } => {
                     let id = request.0.to_string();
                     let attempt = *self.attempts.entry(id.clone()).and_modify(|n| *n += 1).or_insert(0);
                     let class = self.classes[&id];
@@ -123,7 +123,7 @@
                     let end = (front, self.lives[front], id, attempt, engine, outcome);
                     self.ends.insert((self.now + after, self.number), end);
                 }
-                Action::Refuse { .. } => self.seen.refused += 1,
+                Action::Reject { .. } => self.seen.refused += 1,
                 Action::Fail { .. } => self.seen.failed += 1,
                 _ => {}
             }
@@ -134,13 +134,13 @@
         let class = self.classes[id];
         let served = outcome == Outcome::Served;
         let cost = TrueCost { work: ms(WORK[class]), memory_mb: [40.0, 1000.0][class] };
-        self.fronts[front].tell(Event::Closed(Closed {
+        self.fronts[front].tell(Event::AttemptEnded(AttemptEnd {
             request: request(id, class, 0, 0).id,
             attempt: Attempt(attempt),
             engine: at,
             outcome,
             latency: ms(if served { [100, 250][class] } else { 5 }),
-            request_over: served,
+            request_answered: served,
             cost: Some(cost).filter(|_| served),
             report: None,
         }))
@@ -246,10 +246,10 @@
     for tenth in 0..10 {
         let mut news = Vec::new();
         for i in (0..4).map(|i| tenth * 4 + i) {
-            members[2 * i].state = MemberState::Draining;
+            members[2 * i].state = EngineState::Draining;
             drained.insert(members[2 * i].engine.clone(), w.now);
             let zone = members[2 * i].zone.clone();
-            let new = Member { zone, started: Some(ms(w.now)), ..member(&format!("10.0.1.{i}:70")) };
+            let new = EngineEntry { zone, started: Some(ms(w.now)), ..member(&format!("10.0.1.{i}:70")) };
             started.insert(new.engine.clone(), w.now);
             news.extend([members[2 * i].clone(), new.clone()]);
             members.push(new);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -5,7 +5,7 @@
 use beamgap::*;
 use common::{engine, list, member, ms, refused, request, sent, settings, Bench};
 
-fn fleet(n: usize) -> Vec<Member> {
+fn fleet(n: usize) -> Vec<EngineEntry> {
     (0..n).map(|i| member(&format!("10.0.0.{i}:70"))).collect()
 }
 
@@ -33,8 +33,8 @@
     assert_eq!(sent(&b.arrive(request("h0", 1, 1, 20_000))).len(), 1);
     assert_eq!(sent(&b.arrive(request("h1", 1, 1, 20_000))).len(), 1);
     // Both wait for memory: trouble, a miss each, and their like is on the miss list.
-    b.note("h0", 0, &home, Note::WaitsForMemory);
-    b.note("h1", 0, &home, Note::WaitsForMemory);
+    b.note("h0", 0, &home, Progress::WaitsForMemory);
+    b.note("h1", 0, &home, Progress::WaitsForMemory);
     assert!(sent(&b.arrive(request("h2", 1, 1, 20_000))).is_empty(), "flagged, and no memory is free");
     // A light query passes all the same.
     assert_eq!(sent(&b.arrive(request("l", 0, 1, 4000))).len(), 1);
@@ -57,11 +57,11 @@
         b.arrive(request(&format!("h{i}"), 1, 1, 20_000));
     }
     let mut none = request("none", 1, 1, 20_000);
-    (none.left, none.work_hint) = (ms(500), Some(ms(9000)));
+    (none.time_left, none.work_hint) = (ms(500), Some(ms(9000)));
     let actions = b.arrive(none);
     assert_eq!(refused(&actions), 1);
     let told =
-        actions.iter().any(|a| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t <= ms(1000)));
+        actions.iter().any(|a| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t <= ms(1000)));
     assert!(told, "the client is told when to come back");
 }
 
@@ -70,9 +70,14 @@
     let mut b = Bench::new(settings(), fleet(1));
     let home = engine("10.0.0.0:70");
     b.arrive(request("h0", 1, 1, 20_000));
-    b.note("h0", 0, &home, Note::WaitsForMemory);
+    b.note("h0", 0, &home, Progress::WaitsForMemory);
     let report = LoadReport { memory_share: Some(0.9), ..LoadReport::default() };
-    b.tell(Event::Probed { engine: home, outcome: Outcome::Served, latency: ms(1), report: Some(report) });
+    b.tell(Event::ProbeEnded {
+        engine: home,
+        outcome: Outcome::Served,
+        latency: ms(1),
+        report: Some(report),
+    });
     assert!(sent(&b.arrive(request("h1", 1, 1, 20_000))).is_empty(), "held: 4 GB are not free");
     assert_eq!(sent(&b.pass(3100)).len(), 1, "the report is old: capacity less own grants counts");
 }
@@ -92,7 +97,7 @@
 #[test]
 fn an_empty_list_or_none_holds_requests_and_answers_them_in_time() {
     let mut b = Bench::new(settings(), Vec::new());
-    assert!(b.arrive(request("a", 0, 1, 2000)).iter().all(|a| !matches!(a, Action::Send { .. })));
+    assert!(b.arrive(request("a", 0, 1, 2000)).iter().all(|a| !matches!(a, Action::Forward { .. })));
     assert_eq!(refused(&b.pass(2000)), 1);
     b.arrive(request("b", 0, 1, 2000));
     assert_eq!(sent(&b.tell(list(ListKind::Full, fleet(1)))).len(), 1);
@@ -103,7 +108,7 @@
     let named = |s: Settings| Gateway::new(s, 1).err().map(|e| e.setting);
     assert_eq!(named(Settings::plain(Vec::new())).as_deref(), Some("classes"));
     let mut s = settings();
-    s.classes[1].worth = f64::NAN;
+    s.classes[1].priority_weight = f64::NAN;
     assert_eq!(named(s).as_deref(), Some("classes[1].worth"));
     let mut s = settings();
     s.kinds[0].cores = Some(-1.0);
--- a/tests/renaming.rs
+++ b/tests/renaming.rs
@@ -37,9 +37,9 @@
 fn class(place: usize, name: &str) -> ClassSettings {
     let aims = [500, 3000, 3000, 1000];
     let mut class = ClassSettings::plain(name, ms(aims[place]), ms([2500, 15_000, 25_000, 6000][place]));
-    class.worth = [1.0, 20.0, 30.0, 4.0][place];
+    class.priority_weight = [1.0, 20.0, 30.0, 4.0][place];
     class.threads = [1.0, 3.0, 2.0, 1.0][place];
-    class.late_worth = [0.1, 0.3, 0.6, 0.0][place];
+    class.late_weight = [0.1, 0.3, 0.6, 0.0][place];
     class.repeat = match place {
         2 => Repeat::Unsafe,
         3 => Repeat::Keyed { group: RepeatGroup::Zone, window: ms(1500) },
@@ -55,24 +55,24 @@
         classes[naming.order[place]] = class(place, naming.classes[place]);
     }
     let cold =
-        ColdRule { start_share: 0.3, warm_within: ms(15_000), fall_multiple: 3.0, fall_span: ms(1500) };
+        SlowStart { start_share: 0.3, warm_within: ms(15_000), fall_multiple: 3.0, fall_span: ms(1500) };
     let tenant = |name: &&str| TenantSettings { name: (*name).into(), quota_per_s: Some(40.0) };
     Settings {
         classes,
         tenants: naming.tenants.iter().map(tenant).collect(),
         zone: Some(naming.zones[0].into()),
-        cold: Some(cold),
+        slow_start: Some(cold),
         gateways: 3,
-        second_copies: false,
-        budget: Some(AttemptBudget { free: 5.0, per_request: 0.2, span: ms(10_000) }),
+        hedging: false,
+        retry_budget: Some(RetryBudget { free: 5.0, per_request: 0.2, span: ms(10_000) }),
         ..settings()
     }
 }
 
-fn members(naming: &Naming, late: bool) -> Vec<Member> {
+fn members(naming: &Naming, late: bool) -> Vec<EngineEntry> {
     let of = |i: usize| {
         let started = (late && i >= 4).then(|| ms(4000));
-        Member { zone: naming.zones[i % 3].into(), started, ..member(&format!("10.0.0.{i}:70")) }
+        EngineEntry { zone: naming.zones[i % 3].into(), started, ..member(&format!("10.0.0.{i}:70")) }
     };
     (0..if late { 7 } else { 5 }).map(of).collect()
 }
@@ -82,7 +82,7 @@
 enum Step {
     Ask { class: usize, tenant: usize, tables: u64, work: u64 },
     End(Outcome),
-    Note(Note),
+    Note(Progress),
     Leave(usize),
     Grow,
     Pass(u64),
@@ -93,8 +93,8 @@
     prop_oneof![
         6 => ask.prop_map(|(class, tenant, tables, work)| Step::Ask { class, tenant, tables, work }),
         4 => Just(Step::End(Outcome::Served)),
-        1 => prop::sample::select(vec![Outcome::Full, Outcome::Error, Outcome::Reset]).prop_map(Step::End),
-        1 => Just(Step::Note(Note::WaitsForMemory)),
+        1 => prop::sample::select(vec![Outcome::Overloaded, Outcome::Error, Outcome::Reset]).prop_map(Step::End),
+        1 => Just(Step::Note(Progress::WaitsForMemory)),
         1 => (0..50usize).prop_map(Step::Leave),
         1 => Just(Step::Grow),
         6 => (1..400u64).prop_map(Step::Pass),
@@ -136,7 +136,7 @@
             },
             Step::Leave(back) => {
                 let id = format!("r{}", self.asked.saturating_sub(*back));
-                self.bench.tell(Event::Abandoned(request(&id, 0, 0, 0).id))
+                self.bench.tell(Event::ClientGone(request(&id, 0, 0, 0).id))
             }
             Step::Grow => self.bench.tell(list(ListKind::Full, members(self.naming, true))),
             Step::Pass(millis) => self.bench.pass(*millis),
@@ -153,7 +153,7 @@
     fn keep(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Send { request, engine, .. } => {
+                Action::Forward { request, engine, .. } => {
                     let id = request.0.to_string();
                     let attempt = *self.attempts.entry(id.clone()).and_modify(|n| *n += 1).or_insert(0);
                     self.out.push_back((id, attempt, engine.clone()));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,7 @@
 }
 
 /// Four classes: safe, keyed by zone and bound to a kind, unsafe, keyed in order.
-fn settings(second_copies: bool, budget: bool) -> Settings {
+fn settings(hedging: bool, budget: bool) -> Settings {
     let mut classes = common::settings().classes;
     classes.truncate(1);
     let keyed = |group| Repeat::Keyed { group, window: ms(2000) };
@@ -43,15 +43,15 @@
     let mut s = common::settings();
     s.classes = classes;
     s.gateways = 2;
-    (s.second_copies, s.send_cap, s.key_rest, s.drain_grace) = (second_copies, Some(4), ms(500), ms(300));
-    s.budget = Some(AttemptBudget { free: 2.0, per_request: 0.1, span: ms(3000) }).filter(|_| budget);
+    (s.hedging, s.max_attempts, s.key_rest, s.drain_grace) = (hedging, Some(4), ms(500), ms(300));
+    s.retry_budget = Some(RetryBudget { free: 2.0, per_request: 0.1, span: ms(3000) }).filter(|_| budget);
     let (warm_within, fall_span) = (ms(8000), ms(1500));
-    s.cold = Some(ColdRule { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span });
+    s.slow_start = Some(SlowStart { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span });
     s
 }
 
-fn members() -> Vec<Member> {
-    let of = |i: usize| Member {
+fn members() -> Vec<EngineEntry> {
+    let of = |i: usize| EngineEntry {
         zone: if i.is_multiple_of(2) { "a" } else { "b" }.into(),
         kind: if i < 3 { "std" } else { "big" }.into(),
         cell: i as u64 / 2,
@@ -63,7 +63,7 @@
 struct Watcher {
     bench: Bench,
     settings: Settings,
-    members: BTreeMap<EngineId, Member>,
+    members: BTreeMap<EngineId, EngineEntry>,
     told_off: BTreeMap<EngineId, Micros>,
     taken: BTreeMap<RequestId, Taken>,
     arrivals: Vec<Micros>,
@@ -76,8 +76,8 @@
         let now = self.bench.now;
         for action in actions {
             match action {
-                Action::Send { request, engine, .. } => self.check_send(now, &request, &engine),
-                Action::Refuse { request, .. } => self.answered(now, &request, true),
+                Action::Forward { request, engine, .. } => self.check_send(now, &request, &engine),
+                Action::Reject { request, .. } => self.answered(now, &request, true),
                 Action::Fail { request } => self.answered(now, &request, false),
                 Action::Cancel { request, attempt } => {
                     if let Some(t) =
@@ -115,7 +115,7 @@
         assert!(class.zones.as_ref().is_none_or(|z| z.contains(&member.zone)), "wrong zone");
         assert!((r.tries.len() as u32) < 4, "over the send cap");
         let open = r.tries.iter().filter(|t| t.end.is_none()).count();
-        assert!(open == 0 || (open == 1 && self.settings.second_copies), "too many at once");
+        assert!(open == 0 || (open == 1 && self.settings.hedging), "too many at once");
         if let Some(ran) = r.tries.iter().find(|t| t.end.is_none_or(|(o, _)| !o.never_ran())) {
             let zone = |e: &EngineId| self.members[e].zone.clone();
             match r.class {
@@ -133,14 +133,14 @@
                     assert!(earlier.over.is_some(), "out of turn");
                     for t in &earlier.tries {
                         let (outcome, at) = t.end.expect("an earlier attempt without an outcome");
-                        assert!(!outcome.end_unsure() || now.since(at) >= ms(500), "the key did not rest");
+                        assert!(!outcome.may_still_run() || now.since(at) >= ms(500), "the key did not rest");
                     }
                 }
             }
         }
         if !r.tries.is_empty() {
             self.further.push(now);
-            if let Some(b) = self.settings.budget {
+            if let Some(b) = self.settings.retry_budget {
                 let within = |all: &[Micros]| all.iter().filter(|t| now.since(**t) <= b.span).count() as f64;
                 let allowed = b.free + b.per_request * within(&self.arrivals);
                 assert!(within(&self.further) <= allowed + 1e-9, "over the attempt budget");
@@ -171,7 +171,7 @@
             class,
             key: r.key.clone(),
             place: n,
-            deadline: self.bench.now.plus(r.left),
+            deadline: self.bench.now.plus(r.time_left),
             tries: Vec::new(),
             over: None,
             answers: 0,
@@ -192,10 +192,11 @@
             (r.over, r.answers) = (Some(now), r.answers + 1);
         }
         let cost = Some(TrueCost { work: ms(100), memory_mb: 60.0 }).filter(|_| outcome == Outcome::Served);
-        let (request, request_over) = (id.clone(), r.over.is_some());
+        let (request, request_answered) = (id.clone(), r.over.is_some());
         let attempt = Attempt(attempt as u32);
-        let closed = Closed { request, attempt, engine, outcome, latency, request_over, cost, report: None };
-        let actions = self.bench.tell(Event::Closed(closed));
+        let closed =
+            AttemptEnd { request, attempt, engine, outcome, latency, request_answered, cost, report: None };
+        let actions = self.bench.tell(Event::AttemptEnded(closed));
         self.act(actions);
     }
 
@@ -237,7 +238,7 @@
                 let outcomes = [
                     Outcome::Served,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Overloaded,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
                     Outcome::Served,
@@ -246,11 +247,11 @@
             }
             6 => {
                 let mut m = members()[a as usize % 5].clone();
-                m.state = [MemberState::Serving, MemberState::Draining, MemberState::Gone][b as usize % 3];
+                m.state = [EngineState::Serving, EngineState::Draining, EngineState::Removed][b as usize % 3];
                 m.started =
                     Some(self.bench.now).filter(|_| b.is_multiple_of(6)).or(self.members[&m.engine].started);
                 match m.state {
-                    MemberState::Serving => self.told_off.remove(&m.engine),
+                    EngineState::Serving => self.told_off.remove(&m.engine),
                     _ => self.told_off.insert(m.engine.clone(), self.bench.now),
                 };
                 self.members.insert(m.engine.clone(), m.clone());
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -8,7 +8,7 @@
 
 const COUNTS: [u32; 3] = [1, 80, 300];
 
-fn fleet(n: usize) -> Vec<Member> {
+fn fleet(n: usize) -> Vec<EngineEntry> {
     (0..n).map(|i| member(&format!("10.0.0.{i}:70"))).collect()
 }
 
@@ -17,7 +17,7 @@
 }
 
 fn priorities(actions: &[Action]) -> Vec<u8> {
-    let of = |a: &Action| if let Action::Terms { priority, .. } = a { Some(*priority) } else { None };
+    let of = |a: &Action| if let Action::SetTerms { priority, .. } = a { Some(*priority) } else { None };
     actions.iter().filter_map(of).collect()
 }
 
@@ -94,7 +94,7 @@
     s.kinds.push(KindSettings { name: "big".into(), cores: Some(16.0), memory_mb: Some(32_768.0) });
     s.classes[1].kinds = Some(vec!["std".into()]);
     let mut members = fleet(6);
-    members.extend((0..4).map(|i| Member { kind: "big".into(), ..member(&format!("10.1.0.{i}:70")) }));
+    members.extend((0..4).map(|i| EngineEntry { kind: "big".into(), ..member(&format!("10.1.0.{i}:70")) }));
     let mut b = Bench::new(s, members);
     let mut light_on_std = 0;
     for i in 0..60 {
@@ -134,13 +134,13 @@
                 b.arrive(request(&id, class, 1, 20_000));
                 b.pass(work / 4);
                 let cost = Some(TrueCost { work: ms(work), memory_mb: work as f64 });
-                b.tell(Event::Closed(Closed {
+                b.tell(Event::AttemptEnded(AttemptEnd {
                     request: request(&id, 0, 0, 0).id,
                     attempt: Attempt(0),
                     engine: at.clone(),
                     outcome: Outcome::Served,
                     latency: ms(work / 4),
-                    request_over: true,
+                    request_answered: true,
                     cost,
                     report: None,
                 }));
@@ -148,7 +148,7 @@
         }
         if full {
             b.arrive(request("f", 0, 1, 4000));
-            b.close("f", 0, &at, Outcome::Full, 1); // Turned away: under pressure for a while.
+            b.close("f", 0, &at, Outcome::Overloaded, 1); // Turned away: under pressure for a while.
         }
         let mut giant = request("g", 1, 1, 20_000);
         giant.work_hint = Some(ms(60_000)); // Taken for less: a fitted line trusts an outlier in part.
@@ -163,8 +163,8 @@
     let home = engine("10.0.0.0:70");
     let kinds = |b: &mut Bench, id: &str| sent(&b.arrive(request(id, 1, 1, 20_000))).len();
     assert_eq!(kinds(&mut b, "h0") + kinds(&mut b, "h1"), 2);
-    b.note("h0", 0, &home, Note::WaitsForMemory);
-    b.note("h1", 0, &home, Note::WaitsForMemory);
+    b.note("h0", 0, &home, Progress::WaitsForMemory);
+    b.note("h1", 0, &home, Progress::WaitsForMemory);
     // Flags cost 0.1 to 1 each: with the quota of one window alone not all of these would wait for memory.
     let held: usize = (2..6).map(|i| 1 - kinds(&mut b, &format!("h{i}"))).sum();
     assert_eq!(held, 4, "accepted as flags, so held for memory");
@@ -176,7 +176,7 @@
     let home = sent(&b.arrive(request("a", 0, 7, 4000)))[0].clone();
     b.tell(Event::ListFailed);
     assert_eq!(sent(&b.arrive(request("b", 0, 7, 4000)))[0], home, "goes on with the last list");
-    let draining = Member { state: MemberState::Draining, ..member(&home.0) };
+    let draining = EngineEntry { state: EngineState::Draining, ..member(&home.0) };
     b.tell(list(ListKind::Changes, vec![draining]));
     for i in 0..20 {
         let to = sent(&b.arrive(request(&format!("c{i}"), 0, 7, 4000)));
@@ -202,7 +202,7 @@
     for i in 0..40 {
         let id = format!("a{i}");
         let at = sent(&b.arrive(request(&id, 0, i, 300)));
-        let gone = b.tell(Event::Abandoned(request(&id, 0, 0, 0).id));
+        let gone = b.tell(Event::ClientGone(request(&id, 0, 0, 0).id));
         assert_eq!(common::cancelled(&gone), at.len());
         at.iter().for_each(|e| drop(b.close(&id, 0, e, Outcome::Cancelled, 10)));
     }
@@ -212,8 +212,7 @@
 #[test]
 fn an_engine_that_answers_nobody_is_not_taken_for_one_with_little_to_do() {
     // 100 gateways: each heard only from engines that answered quickly, and took the silent rest for as idle.
-    let mut b =
-        Bench::new(Settings { reports: Reports::InAnswers, second_copies: false, ..of(100) }, fleet(12));
+    let mut b = Bench::new(Settings { reports: Reports::InAnswers, hedging: false, ..of(100) }, fleet(12));
     let slow: Vec<EngineId> =
         (0..2).flat_map(|i| sent(&b.arrive(request(&format!("h{i}"), 1, i, 20_000)))).collect();
     let others = fleet(12).into_iter().map(|m| m.engine).filter(|e| !slow.contains(e));
@@ -222,11 +221,11 @@
         let report = LoadReport { in_flight: Some(f64::from(beat % 2)), ..LoadReport::default() };
         b.pass(100);
         for (i, at) in slow.iter().enumerate() {
-            b.note(&format!("h{i}"), 0, at, Note::Progress(0.5));
+            b.note(&format!("h{i}"), 0, at, Progress::ShareDone(0.5));
         }
         for quick in &quick {
             let (engine, report) = (quick.clone(), Some(report.clone()));
-            b.tell(Event::Probed { engine, outcome: Outcome::Served, latency: ms(1), report });
+            b.tell(Event::ProbeEnded { engine, outcome: Outcome::Served, latency: ms(1), report });
         }
     }
     let mut all = 0;
@@ -234,7 +233,7 @@
         for to in sent(&b.arrive(request(&format!("n{i}"), 1, 100 + i, 20_000))) {
             all += 1;
             assert!(quick.contains(&to), "two own queries are two in a hundred of what the silent hold");
-            b.tell(Event::Abandoned(request(&format!("n{i}"), 1, 0, 0).id));
+            b.tell(Event::ClientGone(request(&format!("n{i}"), 1, 0, 0).id));
             b.close(&format!("n{i}"), 0, &to, Outcome::Cancelled, 1);
         }
     }
@@ -244,13 +243,13 @@
 #[test]
 fn what_was_shed_in_a_crowd_is_taken_again_within_seconds_of_its_end() {
     // A share that grew by a part of itself took a quarter of a minute from its least to the whole.
-    let mut b = Bench::new(Settings { cancel: false, second_copies: false, ..of(100) }, fleet(20));
+    let mut b = Bench::new(Settings { cancel: false, hedging: false, ..of(100) }, fleet(20));
     let serve = |b: &mut Bench, from: u64, lines: bool| {
         for i in from..from + 150 {
             let id = format!("l{i}");
             let to = sent(&b.arrive(request(&id, 0, i, 4000)))[0].clone();
             if lines {
-                b.note(&id, 0, &to, Note::WaitsForMemory);
+                b.note(&id, 0, &to, Progress::WaitsForMemory);
             }
             b.pass(40);
             b.close(&id, 0, &to, Outcome::Served, 40);
@@ -269,7 +268,7 @@
 fn grants_by_threads_leave_light_queries_room_beside_them() {
     // Every gateway's heavy queries filled the memory to its last hundredth; a quarter of light ones met a line.
     let mut b = Bench::new(of(100), fleet(1));
-    let grant = |a: &Action| if let Action::Terms { memory_mb, .. } = a { Some(*memory_mb) } else { None };
+    let grant = |a: &Action| if let Action::SetTerms { memory_mb, .. } = a { Some(*memory_mb) } else { None };
     let heavy = Request { memory_hint_mb: Some(200.0), ..request("h", 1, 1, 20_000) };
     let grant = b.arrive(heavy).iter().find_map(grant).expect("terms before a send") as f64;
     let (memory, threads) = (16_384.0, 1.8 * 8.0);
@@ -280,12 +279,12 @@
 fn who_stands_in_a_line_past_its_time_is_refused_at_once_unless_it_is_unsafe() {
     for (repeat, answers) in [(Repeat::Safe, 1), (Repeat::Unsafe, 0)] {
         let mut s = of(100);
-        (s.classes[1].repeat, s.second_copies) = (repeat, false);
+        (s.classes[1].repeat, s.hedging) = (repeat, false);
         let mut b = Bench::new(s, fleet(1));
         let at = sent(&b.arrive(request("h", 1, 1, 20_000)))[0].clone();
         let mut all = Vec::new();
         for _ in 0..12 {
-            all.extend(b.note("h", 0, &at, Note::WaitsForMemory)); // In time while it could start: 3 s and its run.
+            all.extend(b.note("h", 0, &at, Progress::WaitsForMemory)); // In time while it could start: 3 s and its run.
             all.extend(b.pass(500));
         }
         assert_eq!((refused(&all), common::failed(&all)), (answers, 0), "{repeat:?}");
@@ -295,12 +294,13 @@
 #[test]
 fn of_the_engines_planned_for_a_group_those_of_the_own_zone_come_first() {
     let zone = |i: usize| if i.is_multiple_of(2) { "a" } else { "b" };
-    let members =
-        || fleet(12).into_iter().enumerate().map(|(i, m)| Member { zone: zone(i).into(), ..m }).collect();
+    let members = || {
+        fleet(12).into_iter().enumerate().map(|(i, m)| EngineEntry { zone: zone(i).into(), ..m }).collect()
+    };
     let near: BTreeSet<EngineId> = (0..12).step_by(2).map(|i| engine(&format!("10.0.0.{i}:70"))).collect();
     let mut own = 0;
     for me in 0..100 {
-        let mut b = Bench::new(Settings { me, zone: Some("a".into()), ..of(100) }, members());
+        let mut b = Bench::new(Settings { own_number: me, zone: Some("a".into()), ..of(100) }, members());
         own += sent(&b.arrive(request(&format!("l{me}"), 0, u64::from(me), 4000)))
             .iter()
             .filter(|e| near.contains(e))
--- a/tests/scale_cold.rs
+++ b/tests/scale_cold.rs
@@ -8,7 +8,7 @@
 
 const COUNTS: [u32; 3] = [1, 80, 300];
 
-fn fleet(n: usize) -> Vec<Member> {
+fn fleet(n: usize) -> Vec<EngineEntry> {
     (0..n).map(|i| member(&format!("10.0.0.{i}:70"))).collect()
 }
 
@@ -19,17 +19,17 @@
 #[test]
 fn a_cold_engine_is_used_and_not_pushed_over_by_all_gateways_together() {
     let (warm_within, fall_span) = (ms(12_000), ms(1500));
-    let cold = ColdRule { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span };
+    let cold = SlowStart { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span };
     for gateways in COUNTS {
         let mut sends: Vec<u64> = Vec::new();
         for me in 0..gateways {
-            let s = Settings { me, cold: Some(cold), ..of(gateways) };
+            let s = Settings { own_number: me, slow_start: Some(cold), ..of(gateways) };
             let start = ms(1000);
-            let mut b = Bench::new(s, vec![Member { started: Some(start), ..member("10.0.0.1:70") }]);
+            let mut b = Bench::new(s, vec![EngineEntry { started: Some(start), ..member("10.0.0.1:70") }]);
             // Each holds more than its part; the whole fleet asks for twenty times what the engine can do.
             for i in 0..(6000 / u64::from(gateways)).max(4) {
                 b.arrive(request(&format!("c{i}"), 0, i, 4000)).iter().for_each(|a| {
-                    sends.extend(matches!(a, Action::Send { .. }).then_some(b.now.0));
+                    sends.extend(matches!(a, Action::Forward { .. }).then_some(b.now.0));
                 });
             }
             for _ in 0..30 {
@@ -56,14 +56,14 @@
     // Six engines in ten replaced: a gateway's part of a cold one was one heavy query in three minutes, and the light
     // work sent there used it up, so that the cold did next to nothing while what was left of the warm was overrun.
     let (warm_within, fall_span) = (ms(15_000), ms(1500));
-    let cold = ColdRule { start_share: 0.3, warm_within, fall_multiple: 3.0, fall_span };
+    let cold = SlowStart { start_share: 0.3, warm_within, fall_multiple: 3.0, fall_span };
     for (gateways, least) in [(2, 0.2), (100, 0.2), (200, 0.2)] {
         let mut sends: Vec<u64> = Vec::new();
         for me in 0..gateways {
             let started = Some(ms(1000));
             let mut b = Bench::new(
-                Settings { me, cold: Some(cold), ..of(gateways) },
-                vec![Member { started, ..member("10.0.0.1:70") }],
+                Settings { own_number: me, slow_start: Some(cold), ..of(gateways) },
+                vec![EngineEntry { started, ..member("10.0.0.1:70") }],
             );
             for i in 0..10 {
                 let light = b.arrive(request(&format!("l{me}-{i}"), 0, i, 4000));
@@ -74,7 +74,9 @@
                 (0..10).for_each(|_| {
                     let n = done
                         .iter()
-                        .filter(|a| matches!(a, Action::Send { request, .. } if !request.0.starts_with('l')))
+                        .filter(
+                            |a| matches!(a, Action::Forward { request, .. } if !request.0.starts_with('l')),
+                        )
                         .count();
                     sends.extend(std::iter::repeat_n(b.now.0, n));
                     done = b.pass(100);
@@ -101,13 +103,15 @@
 fn two_engines_lost_with_no_word_from_their_zone_speak_for_all_of_it() {
     // A zone of 15 engines went; each of 100 gateways learnt of each engine by failed dials, a quarter second each.
     let zones = || {
-        let zone =
-            |i: usize, m: Member| Member { zone: if i.is_multiple_of(2) { "a" } else { "b" }.into(), ..m };
+        let zone = |i: usize, m: EngineEntry| EngineEntry {
+            zone: if i.is_multiple_of(2) { "a" } else { "b" }.into(),
+            ..m
+        };
         fleet(30).into_iter().enumerate().map(|(i, m)| zone(i, m)).collect::<Vec<_>>()
     };
     let of_a: BTreeSet<EngineId> = zones().into_iter().filter(|m| m.zone == "a").map(|m| m.engine).collect();
     let play = |lost: &BTreeSet<EngineId>| {
-        let mut b = Bench::new(Settings { second_copies: false, ..of(100) }, zones());
+        let mut b = Bench::new(Settings { hedging: false, ..of(100) }, zones());
         let (mut failed, mut to_a) = (0, 0);
         for i in 0..200 {
             let id = format!("q{i}");
@@ -134,9 +138,9 @@
 #[test]
 fn a_time_out_from_a_lost_zone_is_no_word_from_it() {
     // What ends by its own time says nothing of its engine; taken for life, it kept the zone's doubt from forming.
-    let zone = |i: usize, m: Member| Member { zone: if i < 6 { "a" } else { "b" }.into(), ..m };
+    let zone = |i: usize, m: EngineEntry| EngineEntry { zone: if i < 6 { "a" } else { "b" }.into(), ..m };
     let members = fleet(12).into_iter().enumerate().map(|(i, m)| zone(i, m)).collect();
-    let mut b = Bench::new(Settings { second_copies: false, ..of(100) }, members);
+    let mut b = Bench::new(Settings { hedging: false, ..of(100) }, members);
     let in_a = |e: &EngineId| (0..6).any(|i| *e == engine(&format!("10.0.0.{i}:70")));
     let (mut lost, mut silent) = (BTreeSet::new(), 0);
     for i in 0..400 {
@@ -147,7 +151,7 @@
         } else if lost.len() < 2 {
             lost.insert(at.clone());
             b.close(&id, 0, &at, Outcome::ConnectFailed, 20);
-            b.tell(Event::Abandoned(request(&id, 0, 0, 0).id));
+            b.tell(Event::ClientGone(request(&id, 0, 0, 0).id));
             // Sent before its zone went, it ends now.
             if lost.len() == 1 {
                 let late = (0..200).map(|n| format!("t{n}")).find(|id| {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -69,7 +69,7 @@
                 }
             };
             served += 1;
-            let members: Vec<Member> =
+            let members: Vec<EngineEntry> =
                 config.known[0].listings.iter().map(|listing| listing.member.clone()).collect();
             let mut b = Bench::born(config.settings, 1, ms(1000), members);
             let mut open = BTreeSet::new();
@@ -80,11 +80,13 @@
                 for attempt in 0..8 {
                     done.extend(b.pass(20));
                     let to = done.iter().find_map(|a| match a {
-                        Action::Send { request, engine, .. } => Some((request.0.to_string(), engine.clone())),
+                        Action::Forward { request, engine, .. } => {
+                            Some((request.0.to_string(), engine.clone()))
+                        }
                         _ => None,
                     });
                     let over = |a: &Action| match a {
-                        Action::Refuse { request, .. } | Action::Fail { request } => {
+                        Action::Reject { request, .. } | Action::Fail { request } => {
                             Some(request.0.to_string())
                         }
                         _ => None,
@@ -92,19 +94,19 @@
                     done.iter().filter_map(over).for_each(|id| open.retain(|o| *o != id));
                     let Some((id, at)) = to else { break };
                     let outcome =
-                        [Outcome::Error, Outcome::Full, Outcome::Served][(i as usize + attempt) % 3];
+                        [Outcome::Error, Outcome::Overloaded, Outcome::Served][(i as usize + attempt) % 3];
                     done = b.close(&id, attempt as u32, &at, outcome, 5);
                     (outcome == Outcome::Served).then(|| open.remove(&id));
                 }
             }
             let late = b.pass(3000);
             let over = |a: &Action| match a {
-                Action::Refuse { request, .. } | Action::Fail { request } => Some(request.0.to_string()),
+                Action::Reject { request, .. } | Action::Fail { request } => Some(request.0.to_string()),
                 _ => None,
             };
             late.iter().filter_map(over).for_each(|id| open.retain(|o| *o != id));
             // What is out still has its client's time; what waits in the module has had its answer by then.
-            let out = late.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+            let out = late.iter().filter(|a| matches!(a, Action::Forward { .. })).count();
             assert!(open.len() <= out, "{told}: {open:?} never had an answer");
         }
     }
