--- a/crates/decisions/src/action.rs
+++ b/crates/decisions/src/action.rs
@@ -1,67 +1,67 @@
-//! What the module answers: actions for the program around it.
+//! What the module answers: actions for the program around it, in order.
 
 use crate::{Attempt, EngineId, Micros, RequestId, TimerId};
 
 /// What a gateway decides. Actions take effect in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Hand the request to an engine.
+    /// Send the request to an engine, as its next attempt.
     Forward {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// To which engine.
+        /// The engine.
         engine: EngineId,
-        /// Give the attempt up after this long; `None`: as long as the client waits.
+        /// Time out the attempt after this long; `None`: as long as the client waits.
         give_up_after: Option<Micros>,
     },
-    /// End the request unserved; trying again is harmless.
+    /// End the request unserved; it is harmless for the client to try again.
     Reject {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// When to come back, where such advice is given.
+        /// When the client should try again, where such advice is given.
         retry_after: Option<Micros>,
     },
-    /// End the request with an error that promises nothing.
+    /// End the request with an error; it may have run.
     Fail {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// Call an attempt off; its outcome still comes.
+    /// Cancel an attempt; its end is still to be reported.
     Cancel {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// Set the terms of the request's next attempts, and at once the priority of those out.
+    /// Set the terms of the request's next attempts, and at once the priority of those in flight.
     SetTerms {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Memory for each further attempt in megabytes; 0: the engine chooses.
+        /// Memory granted to each further attempt, in megabytes; 0: the engine chooses.
         memory_mb: u64,
-        /// Priority from 0 to 3.
+        /// Priority from 0 to 3, the highest.
         priority: u8,
     },
-    /// Give idle connections back.
+    /// Close idle connections to an engine.
     CloseIdle(EngineId),
     /// Send a message to another gateway, or to all.
     SendToPeer {
-        /// Whom; `None` for all.
+        /// The number of that gateway; `None` for all.
         to: Option<u32>,
-        /// What, 256 bytes at most.
+        /// The message, 256 bytes at most.
         data: Vec<u8>,
     },
-    /// Come back with [`Event::Timer`](crate::Event::Timer) after this long.
+    /// Deliver [`Event::Timer`](crate::Event::Timer) after this long.
     SetTimer {
         /// How long from now.
         after: Micros,
-        /// Its name.
+        /// Id of the timer.
         timer: TimerId,
     },
-    /// Open (or close) a standing subscription to the engine list.
+    /// Subscribe to the engine list, or end the subscription.
     Subscribe(bool),
-    /// Ask once for the whole engine list.
+    /// Fetch the whole engine list once.
     FetchList,
-    /// A line for the operators.
+    /// A line for the operators' log.
     Log(String),
 }
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,46 +1,46 @@
-//! What a gateway hears: of engines, requests and outcomes; and how an engine stands by it.
+//! What the module is told: the list of engines, requests, and how attempts go and end.
 
 use crate::{Attempt, ClassId, EngineId, Micros, RequestId, TimerId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Whether an engine takes new work, as the list says.
+/// Whether an engine accepts new work, by the engine list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineState {
-    /// Takes work.
+    /// Accepts work.
     #[default]
     Serving,
-    /// Finishes what it has.
+    /// Finishes what it has and accepts nothing new.
     Draining,
-    /// Is no more.
+    /// No longer in the pool.
     Removed,
 }
 
-/// An engine, as listed.
+/// An engine as the engine list has it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineEntry {
-    /// Its address.
+    /// Address of the engine.
     pub engine: EngineId,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: String,
-    /// Its machine kind.
+    /// Kind of machine that it runs on.
     pub kind: String,
-    /// Its size against the others; no unit.
+    /// Size against the other engines; no unit.
     pub size_hint: f64,
-    /// Its cell.
+    /// Cell that it belongs to.
     pub cell: u64,
     /// When it last started; `None` for long ago.
     pub started: Option<Micros>,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: EngineState,
 }
 
-/// How a list is to be read.
+/// What a list of engines holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list as last had before a restart, maybe old.
+    /// The whole list as it was before a restart of the gateway; it may be old.
     Cached,
-    /// The whole list; who is not in it is gone.
+    /// The whole list; engines that are not in it are removed.
     Full,
     /// Changed entries only.
     Changes,
@@ -55,28 +55,28 @@
     pub class: ClassId,
     /// How long the client still waits.
     pub time_left: Micros,
-    /// Its group of tables.
+    /// The group of tables that it reads or loads.
     pub table_group: u64,
-    /// Estimated work, on one thread; `None` if there is no estimate.
+    /// Estimated work on one thread; `None` without an estimate.
     pub work_hint: Option<Micros>,
-    /// Estimated memory in megabytes; `None` if there is no estimate.
+    /// Estimated memory in megabytes; `None` without an estimate.
     pub memory_hint_mb: Option<f64>,
-    /// Key of its order, if it has one.
+    /// Ordering key: requests of an ordered class with one key run in the order of arrival.
     pub key: Option<Arc<str>>,
-    /// Whose request it is.
+    /// The tenant that it belongs to.
     pub tenant: Option<Arc<str>>,
-    /// Whether the client says that it is a repeat.
+    /// Whether the client says that it repeats an earlier request.
     pub repeat: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The engine served it.
     Served,
     /// The engine answered with an error; it may have run.
     Error,
-    /// Turned away unseen; it has not run.
+    /// The engine rejected it unseen; it has not run.
     Overloaded,
     /// No answer in time; it may still run.
     TimedOut,
@@ -84,7 +84,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Not sent; it has not run.
     NotSent,
@@ -95,24 +95,25 @@
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
-    /// Whether the work may go on after this outcome.
+
+    /// Whether the engine may still be at work on it.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
     }
 }
 
-/// What an engine says of its load; some time old and not exact.
+/// Load that an engine reports of itself; some time old and not exact.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries in hand.
+    /// Queries that it has, running or queued.
     pub in_flight: Option<f64>,
-    /// Queries waiting for memory.
+    /// Queries queued for memory.
     pub queued: Option<f64>,
-    /// Share of processor time used.
+    /// Share of processor time in use, from 0 to 1.
     pub busy: Option<f64>,
-    /// Share of memory granted.
+    /// Share of memory granted, from 0 to 1.
     pub memory_share: Option<f64>,
-    /// Share of disks busy.
+    /// Share of disk time in use, from 0 to 1.
     pub disk_share: Option<f64>,
     /// Other figures by name.
     pub other: BTreeMap<String, f64>,
@@ -121,119 +122,102 @@
 /// What a served query took.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrueCost {
-    /// Its work, on one thread.
+    /// Work on one thread.
     pub work: Micros,
-    /// The memory that it needed, in megabytes.
+    /// Memory that it needed, in megabytes.
     pub memory_mb: f64,
 }
 
-/// News of a running attempt.
+/// Progress of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// Share of the work done; rough.
+    /// Share of the work done, from 0 to 1; rough.
     ShareDone(f64),
-    /// It spills; so many megabytes are missing.
+    /// It spills to disk for lack of so many megabytes.
     Spilling(f64),
-    /// It stands in the engine's line for memory.
+    /// It is queued for memory at the engine.
     WaitsForMemory,
-    /// It stands still behind a holder of its tables.
+    /// It waits for another query that holds its tables.
     WaitsForHolder,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// Which request.
+    /// The request.
     pub request: RequestId,
-    /// Which attempt.
+    /// Which of its attempts.
     pub attempt: Attempt,
-    /// On which engine.
+    /// The engine that it was sent to.
     pub engine: EngineId,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Time from its send to its end.
     pub latency: Micros,
-    /// Whether nothing more is owed to the client.
+    /// Whether the client has its answer, or is gone.
     pub request_answered: bool,
-    /// What it took, where told.
+    /// What it took, where the engine reports it.
     pub cost: Option<TrueCost>,
-    /// The engine's load, where told.
+    /// The engine's load, where it came with the end.
     pub report: Option<LoadReport>,
 }
 
-/// What a gateway hears.
+/// What a gateway is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The engine list, or changes to it.
     EngineList {
-        /// How to read it.
+        /// What the list holds.
         kind: ListKind,
         /// Its version; it only grows.
         version: u64,
-        /// The entries.
+        /// The engines.
         entries: Vec<EngineEntry>,
     },
-    /// A list call failed or the subscription broke.
+    /// The list could not be fetched, or the subscription broke.
     ListFailed,
-    /// A request was taken.
+    /// A request has arrived.
     RequestArrived(Request),
-    /// A stream began to flow: the request is bound to this attempt.
+    /// An answer has begun to stream to the client: the request is bound to this attempt.
     Streaming {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// Nobody waits for the request any more.
+    /// The client no longer waits for the request.
     ClientGone(RequestId),
-    /// A timer is up.
+    /// A timer has fired.
     Timer(TimerId),
-    /// A probe's result.
+    /// A health check has ended.
     ProbeEnded {
-        /// Which engine.
+        /// The engine.
         engine: EngineId,
         /// How it ended; [`Outcome::Served`] if it passed.
         outcome: Outcome,
         /// How long it took.
         latency: Micros,
-        /// The engine's load, where told.
+        /// The engine's load, where it came with the result.
         report: Option<LoadReport>,
     },
     /// A message from another gateway.
     Peer {
-        /// Its number.
+        /// The number of that gateway.
         from: u32,
-        /// What it says.
+        /// Its message.
         data: Vec<u8>,
     },
-    /// News of a running attempt.
+    /// An attempt in flight has reported progress.
     AttemptProgress {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// On which engine.
+        /// The engine.
         engine: EngineId,
-        /// What.
+        /// What was reported.
         progress: Progress,
     },
 }
-
-/// How an engine stands in the module's eyes.
-#[derive(Clone, Debug, PartialEq)]
-pub struct EngineStatus {
-    /// The engine.
-    pub engine: EngineId,
-    /// Its zone.
-    pub zone: String,
-    /// What the list says of it.
-    pub state: EngineState,
-    /// Whether it is trusted with new work: listed, and not put aside for bad signs.
-    pub in_use: bool,
-    /// What it can do against the others: cores, less while it is cold or slow.
-    pub weight: f64,
-    /// The share of its capacity that it surely has, from 0 to 1: below 1 while it warms.
-    pub warmth: f64,
-}
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -58,13 +58,13 @@
 mod ids;
 mod settings;
 mod state;
+mod status;
 mod time;
 
 pub use action::Action;
 pub use decide::Gateway;
 pub use event::{
-    AttemptEnd, EngineEntry, EngineState, EngineStatus, Event, ListKind, LoadReport, Outcome, Progress,
-    Request, TrueCost,
+    AttemptEnd, EngineEntry, EngineState, Event, ListKind, LoadReport, Outcome, Progress, Request, TrueCost,
 };
 pub use ids::{Attempt, ClassId, EngineId, RequestId, TimerId};
 pub use settings::{
@@ -73,4 +73,5 @@
 };
 pub use state::hash::mix;
 pub use state::key_queues::KeyQueues;
+pub use status::EngineStatus;
 pub use time::Micros;
--- a/crates/decisions/src/time.rs
+++ b/crates/decisions/src/time.rs
@@ -5,7 +5,7 @@
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// So many milliseconds.
+    /// A length in milliseconds.
     pub const fn from_millis(ms: u64) -> Micros {
         Micros(ms.saturating_mul(1000))
     }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -105,7 +105,7 @@
 
 #[test]
 fn bad_settings_are_named() {
-    let named = |s: Settings| Gateway::new(s, 1).err().map(|e| e.setting);
+    let named = |s: Settings| Gateway::new(s, 1).err().map(|e| e.setting().to_owned());
     assert_eq!(named(Settings::plain(Vec::new())).as_deref(), Some("classes"));
     let mut s = settings();
     s.classes[1].priority_weight = f64::NAN;
