--- a/src/node/exchange/recent_names.rs
+++ b/src/node/exchange/recent_names.rs
@@ -24,7 +24,7 @@
 impl RecentNames {
     /// No names yet. They are kept as long as the retry budget looks back, within fixed bounds.
     pub fn new(settings: &Settings) -> RecentNames {
-        let budget_span_ms = settings.budget.map_or(0.0, |budget| budget.span.as_millis());
+        let budget_span_ms = settings.retry_budget.map_or(0.0, |budget| budget.span.as_millis());
         RecentNames {
             retention_ms: budget_span_ms.clamp(MIN_RETENTION_MS, MAX_RETENTION_MS),
             names: HashSet::new(),
