--- a/crates/consensus/src/connection/client.rs
+++ b/crates/consensus/src/connection/client.rs
@@ -1,6 +1,9 @@
-//! The asking side of a link.
+//! The requesting side of a connection.
 
-use super::{read, write, Answer, Hello, LinkError, Question, FRAME_MOST, HELLO_MOST};
+use super::{
+    read, write, ConnectionError, Handshake, PeerRequest, PeerResponse, TrafficTotals,
+    MAX_FRAME_BYTES, MAX_HANDSHAKE_BYTES,
+};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
@@ -8,61 +11,93 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes read and written over links.
+/// Counts the bytes over all connections of a member.
 #[derive(Debug, Default)]
-pub struct Traffic {
-    /// Read.
-    pub read: AtomicU64,
-    /// Written.
-    pub written: AtomicU64,
+pub struct TrafficCounters {
+    read: AtomicU64,
+    written: AtomicU64,
 }
 
-/// One connection, made when it is needed. A question without its answer in time costs the connection: its late answer
-/// can't be taken for another's.
+impl TrafficCounters {
+    pub(super) fn add_read(&self, bytes: usize) {
+        self.read.fetch_add(bytes as u64, Relaxed);
+    }
+
+    pub(super) fn add_written(&self, bytes: usize) {
+        self.written.fetch_add(bytes as u64, Relaxed);
+    }
+
+    /// The bytes so far.
+    pub fn totals(&self) -> TrafficTotals {
+        TrafficTotals {
+            read: self.read.load(Relaxed),
+            written: self.written.load(Relaxed),
+        }
+    }
+}
+
+/// A connection that is opened when it is needed. A request without a response in time closes it, so that a late
+/// response is not taken for that of another request.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     address: SocketAddr,
-    hello: Hello,
+    handshake: Handshake,
     stream: Option<TcpStream>,
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficCounters>,
 }
 
-impl Link {
-    /// A link that is not connected yet.
-    pub fn new(address: SocketAddr, hello: Hello, traffic: Arc<Traffic>) -> Link {
-        Link { address, hello, stream: None, traffic }
+impl Connection {
+    /// A connection that is not open yet.
+    pub fn new(
+        address: SocketAddr,
+        handshake: Handshake,
+        traffic: Arc<TrafficCounters>,
+    ) -> Connection {
+        Connection {
+            address,
+            handshake,
+            stream: None,
+            traffic,
+        }
     }
 
-    /// Asks, and waits for the answer so long.
-    pub async fn ask(&mut self, question: &Question, most: Duration) -> Result<Answer, LinkError> {
-        let done = timeout(most, self.exchange(question)).await;
-        let done = done.unwrap_or(Err(LinkError::Late));
-        if done.is_err() {
+    /// Sends a request and waits for the response, `deadline` at most.
+    ///
+    /// # Errors
+    /// If the peer can't be reached, rejects the handshake, or does not respond in time.
+    pub async fn request(
+        &mut self,
+        request: &PeerRequest,
+        deadline: Duration,
+    ) -> Result<PeerResponse, ConnectionError> {
+        let response = timeout(deadline, self.exchange(request)).await;
+        let response = response.unwrap_or(Err(ConnectionError::Timeout));
+        if response.is_err() {
             self.stream = None;
         }
-        done
+        response
     }
 
-    async fn exchange(&mut self, question: &Question) -> Result<Answer, LinkError> {
-        // Taken out, so that a question that is dropped half way takes its connection along.
+    async fn exchange(&mut self, request: &PeerRequest) -> Result<PeerResponse, ConnectionError> {
+        // Taken out: a request that is cancelled half way closes its connection.
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => self.connect().await?,
         };
-        let written = write(&mut stream, question).await?;
-        self.traffic.written.fetch_add(written as u64, Relaxed);
-        let (answer, read) = read(&mut stream, FRAME_MOST).await?;
-        self.traffic.read.fetch_add(read as u64, Relaxed);
+        let written = write(&mut stream, request).await?;
+        self.traffic.add_written(written);
+        let (response, read) = read(&mut stream, MAX_FRAME_BYTES).await?;
+        self.traffic.add_read(read);
         self.stream = Some(stream);
-        Ok(answer)
+        Ok(response)
     }
 
-    async fn connect(&self) -> Result<TcpStream, LinkError> {
+    async fn connect(&self) -> Result<TcpStream, ConnectionError> {
         let mut stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
-        write(&mut stream, &self.hello).await?;
-        let (welcome, _): (Result<(), String>, _) = read(&mut stream, HELLO_MOST).await?;
-        welcome.map_err(LinkError::Away)?;
+        write(&mut stream, &self.handshake).await?;
+        let (accepted, _): (Result<(), String>, _) = read(&mut stream, MAX_HANDSHAKE_BYTES).await?;
+        accepted.map_err(ConnectionError::HandshakeRejected)?;
         Ok(stream)
     }
 }
--- a/crates/consensus/src/connection/server.rs
+++ b/crates/consensus/src/connection/server.rs
@@ -1,70 +1,96 @@
-//! The answering side of links.
+//! The responding side of connections.
 
-use super::client::Traffic;
-use super::{read, write, Answer, Hello, LinkError, Question, FRAME_MOST, FRAME_TIME, HELLO_MOST};
+use super::client::TrafficCounters;
+use super::{
+    read, write, ConnectionError, Handshake, HandshakeMismatch, PeerRequest, PeerResponse,
+    FRAME_TIMEOUT, MAX_FRAME_BYTES, MAX_HANDSHAKE_BYTES,
+};
 use std::future::Future;
-use std::sync::atomic::Ordering::Relaxed;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// Connections at most: each member has one or two, each decider some more.
-pub const CONNECTIONS_MOST: usize = 2000;
-const IDLE: Duration = Duration::from_secs(60); // without a question, a connection is let go
+/// Open connections at most: each member has one or two, each voter some more.
+pub const MAX_CONNECTIONS: usize = 2000;
+/// A connection without a request for this time is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause after a failed accept, as when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections and answers on them, for ever.
-pub async fn serve<S, F, A>(listener: TcpListener, stranger: S, traffic: Arc<Traffic>, answer: F)
-where
-    S: Fn(&Hello) -> Option<String> + Clone + Send + 'static,
-    F: Fn(Question) -> A + Clone + Send + 'static,
-    A: Future<Output = Answer> + Send,
+/// Accepts connections and responds to their requests, for ever. `mismatch` checks handshakes, `respond` handles
+/// requests.
+pub async fn serve<M, R, F>(
+    listener: TcpListener,
+    mismatch: M,
+    traffic: Arc<TrafficCounters>,
+    respond: R,
+) where
+    M: Fn(&Handshake) -> Option<HandshakeMismatch> + Clone + Send + 'static,
+    R: Fn(PeerRequest) -> F + Clone + Send + 'static,
+    F: Future<Output = PeerResponse> + Send,
 {
-    let room = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            // Out of descriptors: those that wait stay in the system's line.
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            continue;
+        };
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
-        let Ok(place) = room.clone().try_acquire_owned() else { continue };
-        let (stranger, traffic, answer) = (stranger.clone(), traffic.clone(), answer.clone());
+        let mismatch = mismatch.clone();
+        let traffic = traffic.clone();
+        let respond = respond.clone();
         tokio::spawn(async move {
-            if let Err(e) = converse(stream, stranger, &traffic, answer).await {
-                if !matches!(e, LinkError::Io(_)) {
-                    tracing::warn!(target: "fleet", "link: from={from} {e}");
+            match serve_connection(stream, mismatch, &traffic, respond).await {
+                // Peers come and go.
+                Ok(()) | Err(ConnectionError::Io(_)) => {}
+                Err(error) => {
+                    tracing::warn!(target: "fleet", %from, %error, "connection rejected");
                 }
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn converse<F, A>(
+async fn serve_connection<R, F>(
     mut stream: TcpStream,
-    stranger: impl Fn(&Hello) -> Option<String>,
-    traffic: &Traffic,
-    answer: F,
-) -> Result<(), LinkError>
+    mismatch: impl Fn(&Handshake) -> Option<HandshakeMismatch>,
+    traffic: &TrafficCounters,
+    respond: R,
+) -> Result<(), ConnectionError>
 where
-    F: Fn(Question) -> A,
-    A: Future<Output = Answer>,
+    R: Fn(PeerRequest) -> F,
+    F: Future<Output = PeerResponse> + Send,
 {
     stream.set_nodelay(true)?;
-    let hello = timeout(FRAME_TIME, read::<Hello>(&mut stream, HELLO_MOST)).await;
-    let (hello, _) = hello.map_err(|_| LinkError::Late)??;
-    let away = stranger(&hello);
-    write(&mut stream, &away.clone().map_or(Ok(()), Err)).await?;
-    if let Some(why) = away {
-        return Err(LinkError::Away(format!("{} {why}", hello.member)));
-    }
+    accept_handshake(&mut stream, mismatch).await?;
     loop {
-        let question = timeout(IDLE, read::<Question>(&mut stream, FRAME_MOST)).await;
-        let Ok(question) = question else { return Ok(()) };
-        let (question, bytes) = question?;
-        traffic.read.fetch_add(bytes as u64, Relaxed);
-        let bytes = write(&mut stream, &answer(question).await).await?;
-        traffic.written.fetch_add(bytes as u64, Relaxed);
+        let request = read::<PeerRequest>(&mut stream, MAX_FRAME_BYTES);
+        let Ok(request) = timeout(IDLE_TIMEOUT, request).await else {
+            return Ok(());
+        };
+        let (request, bytes) = request?;
+        traffic.add_read(bytes);
+        let bytes = write(&mut stream, &respond(request).await).await?;
+        traffic.add_written(bytes);
     }
 }
+
+async fn accept_handshake(
+    stream: &mut TcpStream,
+    mismatch: impl Fn(&Handshake) -> Option<HandshakeMismatch>,
+) -> Result<(), ConnectionError> {
+    let handshake = timeout(FRAME_TIMEOUT, read(stream, MAX_HANDSHAKE_BYTES)).await;
+    let (handshake, _): (Handshake, _) = handshake.map_err(|_| ConnectionError::Timeout)??;
+    let Some(mismatch) = mismatch(&handshake) else {
+        write(stream, &Ok::<(), String>(())).await?;
+        return Ok(());
+    };
+    write(stream, &Err::<(), String>(mismatch.to_string())).await?;
+    let reason = format!("{} {mismatch}", handshake.member);
+    Err(ConnectionError::HandshakeRejected(reason))
+}
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,82 +1,79 @@
-//! What a fleet agrees on: three or five *deciders* keep one log of commands, all other front ends ask them.
+//! The replicated log of a fleet.
 //!
-//! It promises that a command which was committed is applied by all in the same order, and outlives any crash of a
-//! minority, a full disk, and a failed fsync; and that an answer to a question ([`Machine::answer`]) is given by a decider
-//! that a majority confirmed as leader after the question came, on a state with all that was committed before.
-//! It does not promise to be there without a majority. It knows no policy and no lease: those are commands and state of a
-//! [`Machine`].
+//! Three or five *voters* keep one log of commands; all other members send their requests to the leader among them.
 //!
-//! Consensus is openraft's, the disk redb's. What is own: the links ([`connection`]), the pre-vote ([`pre_vote`]), the marker that
-//! keeps a decider without its disk from voting ([`store`]), and standing aside while the disk fails ([`node`]).
-//! Start at [`node::Council`].
+//! # What it promises
+//!
+//! - A committed command is applied by all voters in the same order. It survives a crash of any minority, a full disk
+//!   and a failed fsync.
+//! - A response to a request ([`StateMachine::handle_request`]) is linearizable: it comes from a voter that a majority
+//!   confirmed as leader after the request arrived, on a state that holds all that was committed before.
+//!
+//! # What it does not promise
+//!
+//! It is not available without a majority of voters. It knows no policy and no lease: those are commands and state of
+//! a [`StateMachine`].
+//!
+//! # Where to start
+//!
+//! Consensus is openraft's, the database redb's. This crate adds:
+//!
+//! - [`node`]: a member's part, and what a voter does while its disk fails. Start at [`ConsensusNode`].
+//! - [`pre_vote`]: when a voter stands for election.
+//! - [`store`]: vote, log, snapshot and identity of a voter on its [`disk`].
+//! - [`connection`]: requests and responses between members.
+//!
+//! ```
+//! use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
+//!
+//! /// Counts the commands that were committed.
+//! #[derive(Default)]
+//! struct Counter(u8);
+//!
+//! impl StateMachine for Counter {
+//!     fn reset(&mut self) {
+//!         self.0 = 0;
+//!     }
+//!     fn apply(&mut self, _command: &[u8]) {
+//!         self.0 += 1;
+//!     }
+//!     fn snapshot(&self) -> Vec<u8> {
+//!         vec![self.0]
+//!     }
+//!     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
+//!         self.0 = *snapshot.first().ok_or(RestoreError::new("empty snapshot"))?;
+//!         Ok(())
+//!     }
+//!     fn set_leadership(&mut self, _now: f64, _is_leader: bool) {}
+//!     fn handle_request(&mut self, _now: f64, request: &[u8]) -> HandledRequest {
+//!         HandledRequest { response: vec![self.0], commands: vec![request.to_vec()] }
+//!     }
+//!     fn tick(&mut self, _now: f64) -> Vec<Vec<u8>> {
+//!         Vec::new()
+//!     }
+//! }
+//!
+//! let mut leader = Counter::default();
+//! let handled = leader.handle_request(0.0, b"increment");
+//! handled.commands.iter().for_each(|command| leader.apply(command));
+//! let mut follower = Counter::default();
+//! follower.restore(&leader.snapshot()).unwrap();
+//! assert_eq!(follower.snapshot(), [1]);
+//! ```
+
+#![deny(missing_docs)]
 
 pub mod connection;
 pub mod disk;
 mod log_entry;
+mod mutex;
 pub mod node;
 pub mod pre_vote;
 mod raft;
+mod settings;
+mod state_machine;
 pub mod store;
 
-pub use node::{Caller, Council};
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::sync::Arc;
-
-/// The number of a decider in the file, from 1.
-pub type Seat = u64;
-
-/// A seat's part of the ids that consensus knows: who comes without its disk gets a new id in its old seat.
-pub const SEATS: u64 = 1000;
-
-/// What is agreed on, and what the leader makes of it. Commands and questions are bytes to the council.
-pub trait Machine: Send + 'static {
-    /// Begins anew, with nothing: what follows is a snapshot or the first command.
-    fn blank(&mut self);
-    /// Takes a committed command in. The same at all deciders.
-    fn apply(&mut self, command: &[u8]);
-    /// The whole state.
-    fn snapshot(&self) -> Vec<u8>;
-    /// The state becomes what a snapshot holds.
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), String>;
-    /// This decider leads from now on, or no more.
-    fn role(&mut self, now: f64, leads: bool);
-    /// Answers a question; gives the answer and commands to be committed.
-    fn answer(&mut self, now: f64, question: &[u8]) -> (Vec<u8>, Vec<Vec<u8>>);
-    /// Time passes while this decider leads; gives commands to be committed.
-    fn tick(&mut self, now: f64) -> Vec<Vec<u8>>;
-}
-
-/// A clock: milliseconds since some moment, which counts the time that the machine was suspended.
-pub type Clock = Arc<dyn Fn() -> f64 + Send + Sync>;
-
-/// Faults planted for tests; none otherwise.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Plants {
-    /// Answers are given without a majority's word.
-    pub unconfirmed: bool,
-    /// The disk is not waited for.
-    pub unsynced: bool,
-}
-
-/// How a member takes part.
-#[derive(Clone)]
-pub struct Settings {
-    /// The fleet's name: members of another one are turned away.
-    pub fleet: String,
-    /// This member's name.
-    pub member: String,
-    /// The deciders by their seats, the same at all members.
-    pub deciders: BTreeMap<Seat, SocketAddr>,
-    /// This member's seat, if it is a decider.
-    pub seat: Option<Seat>,
-    /// A decider's folder.
-    pub folder: Option<PathBuf>,
-    /// Feeds the draws of elections.
-    pub seed: u64,
-    /// The clock.
-    pub clock: Clock,
-    /// For tests.
-    pub plants: Plants,
-}
+pub use node::{ConsensusNode, LeaderClient};
+pub use settings::{Clock, InjectedBugs, Settings, VoterSlot, SLOT_STRIDE};
+pub use state_machine::{HandledRequest, RestoreError, StateMachine};
--- a/crates/consensus/src/log_entry.rs
+++ b/crates/consensus/src/log_entry.rs
@@ -1,21 +1,21 @@
-//! What the log holds, in the library's words: known to the links that carry it and to the log that keeps it.
+//! The log's entries, in openraft's terms.
 
 use openraft::{BasicNode, Entry};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
-/// A command, as the log holds it.
+/// A command of the state machine, as the log holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command(pub Vec<u8>);
 
 openraft::declare_raft_types!(
-    /// The library's types, filled in.
-    pub Types:
+    /// The type parameters of openraft.
+    pub TypeConfig:
         D = Command,
         R = (),
         NodeId = u64,
         Node = BasicNode,
-        Entry = Entry<Types>,
+        Entry = Entry<TypeConfig>,
         SnapshotData = Cursor<Vec<u8>>,
         AsyncRuntime = openraft::TokioRuntime,
 );
--- a/crates/consensus/src/node/leader_client.rs
+++ b/crates/consensus/src/node/leader_client.rs
@@ -1,62 +1,110 @@
-//! A question to whoever leads: by a member, and by an operator's command.
+//! Requests to whichever voter leads: by a member, and by an operator's command.
 
-use super::*;
+use super::{RequestError, VoterRequestError};
+use crate::connection::client::{Connection, TrafficCounters};
+use crate::connection::{Handshake, PeerRequest, PeerResponse};
+use crate::{Settings, VoterSlot};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
 
-/// Finds the leader, and asks it.
-pub struct Caller {
-    links: BTreeMap<Seat, Link>,
-    leader: Option<Seat>,
-    next: usize,
+/// Time for one voter to respond.
+const VOTER_TIMEOUT: Duration = Duration::from_millis(250);
+/// Pause before the next voter is tried.
+const RETRY_DELAY: Duration = Duration::from_millis(15);
+
+/// Finds the leader and sends requests to it.
+pub struct LeaderClient {
+    connections: BTreeMap<VoterSlot, Connection>,
+    leader: Option<VoterSlot>,
+    /// Index of the voter that was tried last.
+    last_tried: usize,
 }
 
-impl Caller {
-    /// One that knows where the deciders are.
-    pub fn new(settings: &Settings, book: &BTreeMap<Seat, SocketAddr>, traffic: Arc<Traffic>) -> Caller {
-        let link = |address: &SocketAddr| {
-            Link::new(*address, Hello::new(&settings.fleet, &settings.member), traffic.clone())
-        };
-        let links = book.iter().map(|(seat, address)| (*seat, link(address))).collect();
-        // Not all members begin with the same decider.
-        Caller { links, leader: None, next: settings.seed as usize }
+impl LeaderClient {
+    /// A client of the voters at these addresses.
+    pub fn new(
+        settings: &Settings,
+        addresses: &BTreeMap<VoterSlot, SocketAddr>,
+        traffic: Arc<TrafficCounters>,
+    ) -> LeaderClient {
+        let handshake = Handshake::new(&settings.fleet, &settings.member);
+        let connections = addresses.iter().map(|(slot, address)| {
+            let connection = Connection::new(*address, handshake.clone(), traffic.clone());
+            (*slot, connection)
+        });
+        LeaderClient {
+            connections: connections.collect(),
+            leader: None,
+            // Members begin with different voters.
+            last_tried: settings.seed as usize,
+        }
     }
 
-    /// Asks the leader's machine, whoever that is.
-    pub async fn call(&mut self, question: Vec<u8>, most: Duration) -> Result<Vec<u8>, String> {
-        let until = Instant::now() + most;
-        let mut why = "no decider answered".to_owned();
+    /// Sends a request to the leader's state machine. Tries the voters in turn until one responds as leader.
+    ///
+    /// # Errors
+    /// If no leader responds within `deadline`: what the last voter said.
+    pub async fn request(
+        &mut self,
+        request: Vec<u8>,
+        deadline: Duration,
+    ) -> Result<Vec<u8>, RequestError> {
+        let request = PeerRequest::StateMachine(request);
+        let until = Instant::now() + deadline;
+        let mut last_error = RequestError::NoResponse;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() || self.links.is_empty() {
-                return Err(why);
+            if left.is_zero() || self.connections.is_empty() {
+                return Err(last_error);
             }
-            let seat = self.leader.take().unwrap_or_else(|| {
-                self.next = self.next.wrapping_add(1);
-                let at = self.next % self.links.len();
-                self.links.keys().nth(at).copied().unwrap_or_default()
-            });
-            let Some(link) = self.links.get_mut(&seat) else { continue };
-            match link.ask(&Question::Machine(question.clone()), left.min(STEP)).await {
-                Ok(Answer::Machine(answer)) => {
-                    self.leader = Some(seat);
-                    return Ok(answer);
+            let slot = match self.leader.take() {
+                Some(slot) => slot,
+                None => self.next_voter(),
+            };
+            let Some(connection) = self.connections.get_mut(&slot) else {
+                continue;
+            };
+            last_error = match connection.request(&request, left.min(VOTER_TIMEOUT)).await {
+                Ok(PeerResponse::StateMachine(response)) => {
+                    self.leader = Some(slot);
+                    return Ok(response);
                 }
-                Ok(Answer::Elsewhere(other)) => {
-                    self.leader = other.filter(|other| *other != seat);
-                    why = "no decider leads with a majority".to_owned();
+                Ok(PeerResponse::NotLeader(other)) => {
+                    self.leader = other.filter(|other| *other != slot);
+                    RequestError::NoLeader
                 }
-                Ok(Answer::No(no)) => why = format!("decider {seat}: {no}"),
-                Ok(_) => why = format!("decider {seat} answered another question"),
-                Err(e) => why = format!("decider {seat}: {e}"),
-            }
+                Ok(PeerResponse::Rejected(reason)) => RequestError::Rejected { slot, reason },
+                Ok(_) => RequestError::UnexpectedResponse(slot),
+                Err(source) => RequestError::Connection { slot, source },
+            };
             if self.leader.is_none() {
-                sleep(Duration::from_millis(15).min(left)).await;
+                sleep(RETRY_DELAY.min(left)).await;
             }
         }
     }
 
-    /// Asks one decider directly.
-    pub async fn ask(&mut self, seat: Seat, question: &Question, most: Duration) -> Result<Answer, String> {
-        let link = self.links.get_mut(&seat).ok_or_else(|| format!("decider {seat} is not in the file"))?;
-        link.ask(question, most).await.map_err(|e| e.to_string())
+    fn next_voter(&mut self) -> VoterSlot {
+        self.last_tried = self.last_tried.wrapping_add(1);
+        let index = self.last_tried % self.connections.len();
+        let slot = self.connections.keys().nth(index);
+        slot.copied().unwrap_or_default()
+    }
+
+    /// Sends a request to the voter at a slot.
+    ///
+    /// # Errors
+    /// If the settings have no such voter, or it does not respond within `deadline`.
+    pub async fn request_voter(
+        &mut self,
+        slot: VoterSlot,
+        request: &PeerRequest,
+        deadline: Duration,
+    ) -> Result<PeerResponse, VoterRequestError> {
+        let connection = self.connections.get_mut(&slot);
+        let connection = connection.ok_or(VoterRequestError::UnknownSlot(slot))?;
+        Ok(connection.request(request, deadline).await?)
     }
 }
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -1,185 +1,277 @@
-//! A member's part in the council, on a thread of its own: as a decider, and as one that asks the leader.
+//! A member's part in the consensus, on a thread of its own: as a voter, and as a client of the leader.
+//!
+//! - `voter`: opens the disk, takes part, and stands aside while the disk fails.
+//! - `peer_requests`: responses to other members.
+//! - `confirmed_requests`: requests to the state machine that wait for a majority's confirmation.
+//! - `membership`: bootstrapping, readmitting and removing voters.
+//! - [`LeaderClient`]: requests to the leader.
 
+#![allow(clippy::result_large_err)] // openraft's error types; none of these calls is frequent
+
+mod confirmed_requests;
+mod error;
 mod leader_client;
 mod membership;
 mod peer_requests;
 mod voter;
 
-use crate::connection::client::{Link, Traffic};
-use crate::connection::{server, Answer, Hello, Question, Status};
+pub use error::{RequestError, VoterRequestError};
+pub use leader_client::LeaderClient;
+
+use crate::connection::client::{Connection, TrafficCounters};
+use crate::connection::{server, Handshake, PeerResponse, VoterStatus};
 use crate::disk::SharedDisk;
-use crate::log_entry::Command;
-use crate::pre_vote::{self as elect, Elector};
-use crate::raft::{lock, Applied, Links, Log, Raft};
-use crate::store::{Marker, SharedStore, Store};
-use crate::{Machine, Seat, Settings, SEATS};
-pub use leader_client::Caller;
+use crate::mutex::lock;
+use crate::pre_vote::PreVote;
+use crate::raft::{LogStorage, Raft};
+use crate::store::SharedStore;
+use crate::{Settings, StateMachine, VoterSlot};
 use openraft::storage::RaftLogStorage;
-use openraft::{BasicNode, ServerState, SnapshotPolicy};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::io;
-use std::net::SocketAddr;
-use std::sync::atomic::Ordering::Relaxed;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc as std_mpsc;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, Notify};
-use tokio::time::{sleep, timeout, Instant};
-
-const TICK: Duration = Duration::from_millis(25);
-const AGAIN: Duration = Duration::from_millis(500); // between tries to open a disk that fails
-const CONFIRM: Duration = Duration::from_millis(400); // for a majority to confirm the leader
-const CALL: Duration = Duration::from_millis(350); // for a question of this member, over all deciders
-const STEP: Duration = Duration::from_millis(250); // for one decider to answer it
-const CHANGE: Duration = Duration::from_secs(10); // for a change of deciders to be agreed on
-const QUESTIONS: usize = 4096; // that wait for the leader's confirmation
-const MINE: usize = 64; // of this member that are out
-const LOG_KEPT: u64 = 200; // entries behind a snapshot, for those that lag a little
-const LOG_MOST: u64 = 500; // entries between snapshots
-
-type Machines = Arc<Mutex<dyn Machine>>;
-
-/// A member's part in the council.
-pub struct Council {
+
+/// Time for a member's own request, over all voters.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(350);
+/// Requests that wait for the leader to be confirmed, at most.
+const MAX_WAITING_REQUESTS: usize = 4096;
+/// Requests of this member that have no response yet, at most.
+const MAX_OWN_REQUESTS: usize = 64;
+/// The thread's name.
+const THREAD_NAME: &str = "consensus";
+
+type SharedStateMachine = Arc<Mutex<dyn StateMachine>>;
+
+/// A request to the leader's state machine.
+struct TaggedRequest {
+    tag: u64,
+    body: Vec<u8>,
+}
+
+/// The outcome of a request that this member submitted.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TaggedResponse {
+    /// The tag that the request was submitted under.
+    pub tag: u64,
+    /// The leader's response; none if no leader responded in time.
+    pub body: Option<Vec<u8>>,
+}
+
+/// A request of any member that waits until this voter is confirmed as leader.
+struct WaitingRequest {
+    body: Vec<u8>,
+    respond: oneshot::Sender<PeerResponse>,
+}
+
+/// A member's handle on the consensus. The thread behind it runs as long as the process.
+pub struct ConsensusNode {
     address: Option<SocketAddr>,
-    questions: mpsc::Sender<(u64, Vec<u8>)>,
-    answers: std_mpsc::Receiver<(u64, Option<Vec<u8>>)>,
-    inner: Arc<Inner>,
+    requests: mpsc::Sender<TaggedRequest>,
+    responses: std_mpsc::Receiver<TaggedResponse>,
+    shared: Arc<Shared>,
 }
 
-struct Inner {
+/// What the tasks of a member share.
+struct Shared {
     settings: Settings,
-    book: BTreeMap<Seat, SocketAddr>,
-    machine: Machines,
-    now: Mutex<State>,
-    asks: mpsc::Sender<(Vec<u8>, oneshot::Sender<Answer>)>,
-    marked: Notify,
-    traffic: Arc<Traffic>,
+    /// The voters' addresses by slot; this voter's is the one that it listens on.
+    addresses: BTreeMap<VoterSlot, SocketAddr>,
+    state_machine: SharedStateMachine,
+    voter: Mutex<VoterState>,
+    waiting: mpsc::Sender<WaitingRequest>,
+    /// Notified when the folder gets its identity.
+    identity_written: Notify,
+    traffic: Arc<TrafficCounters>,
 }
 
+/// What a voter has open. All empty at a member that is no voter.
 #[derive(Default)]
-struct State {
+struct VoterState {
     store: Option<SharedStore>,
     raft: Option<Raft>,
-    elector: Option<Elector>,
-    founding: Option<u64>,
+    pre_vote: Option<PreVote>,
+    cluster_id: Option<u64>,
+    /// The state of the disk, in words for the operator.
     disk: String,
 }
 
-impl Council {
-    /// Takes part. A decider listens on `listener`; `wake` is called when an answer is there.
+/// The ends of a node's channels that its thread holds.
+struct ThreadChannels {
+    requests: mpsc::Receiver<TaggedRequest>,
+    responses: std_mpsc::SyncSender<TaggedResponse>,
+    waiting: mpsc::Receiver<WaitingRequest>,
+}
+
+impl ConsensusNode {
+    /// Takes part in the consensus. A voter listens on `listener`. `wake` is called after each response that
+    /// [`responses`](ConsensusNode::responses) will return.
+    ///
+    /// # Errors
+    /// If the listener, the runtime or the thread can't be set up.
     pub fn start(
         settings: Settings,
-        listener: Option<std::net::TcpListener>,
+        listener: Option<TcpListener>,
         disk: SharedDisk,
-        machine: Machines,
+        state_machine: Arc<Mutex<dyn StateMachine>>,
         wake: impl Fn() + Send + 'static,
-    ) -> io::Result<Council> {
-        let address = listener.as_ref().map(|l| l.local_addr()).transpose()?;
-        let (questions, mine) = mpsc::channel(MINE);
-        let (told, answers) = std_mpsc::sync_channel(MINE * 2);
-        let (asks, waiting) = mpsc::channel(QUESTIONS);
-        let mut book = settings.deciders.clone();
-        if let (Some(seat), Some(address)) = (settings.seat, address) {
-            book.insert(seat, address);
+    ) -> io::Result<ConsensusNode> {
+        let address = listener.as_ref().map(TcpListener::local_addr).transpose()?;
+        if let Some(listener) = &listener {
+            listener.set_nonblocking(true)?;
         }
-        let inner = Arc::new(Inner {
-            settings,
-            book,
-            machine,
-            now: Mutex::default(),
-            asks,
-            marked: Notify::new(),
-            traffic: Arc::default(),
-        });
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let listener = listener.map(|l| l.set_nonblocking(true).map(|()| l)).transpose()?;
-        let of = inner.clone();
-        let work = move || {
-            runtime.block_on(async move {
-                if let Some(listener) = listener {
-                    let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-                    let (traffic, here, greeted) = (of.traffic.clone(), of.clone(), of.clone());
-                    let stranger = move |hello: &Hello| {
-                        let founding = lock(&greeted.now).founding;
-                        hello.stranger(&greeted.settings.fleet, founding)
-                    };
-                    let answer = move |question| {
-                        let here = here.clone();
-                        async move { here.answer(question).await }
-                    };
-                    tokio::spawn(server::serve(listener, stranger, traffic, answer));
-                    tokio::spawn(of.clone().batches(waiting));
-                    tokio::spawn(of.clone().decide(disk));
-                }
-                call(of, mine, told, wake).await;
-            });
+        let (requests, requests_of_member) = mpsc::channel(MAX_OWN_REQUESTS);
+        let (responses_to_member, responses) = std_mpsc::sync_channel(MAX_OWN_REQUESTS * 2);
+        let (waiting, waiting_requests) = mpsc::channel(MAX_WAITING_REQUESTS);
+        let channels = ThreadChannels {
+            requests: requests_of_member,
+            responses: responses_to_member,
+            waiting: waiting_requests,
         };
-        std::thread::Builder::new().name("council".into()).spawn(work)?;
-        Ok(Council { address, questions, answers, inner })
+        let shared = Arc::new(Shared::new(settings, address, state_machine, waiting));
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let thread_shared = shared.clone();
+        let run = move || runtime.block_on(run(thread_shared, listener, disk, channels, wake));
+        std::thread::Builder::new()
+            .name(THREAD_NAME.into())
+            .spawn(run)?;
+        Ok(ConsensusNode {
+            address,
+            requests,
+            responses,
+            shared,
+        })
     }
 
-    /// Where it listens, if it is a decider.
+    /// The address that it listens on, if it is a voter.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Asks the leader's machine; false if too many are out. The answer comes under the same tag.
-    pub fn ask(&self, tag: u64, question: Vec<u8>) -> bool {
-        self.questions.try_send((tag, question)).is_ok()
+    /// Submits a request to the leader's state machine. Returns false if too many have no response yet.
+    pub fn submit(&self, tag: u64, request: Vec<u8>) -> bool {
+        let request = TaggedRequest { tag, body: request };
+        self.requests.try_send(request).is_ok()
+    }
+
+    /// The responses that have come since the last call.
+    pub fn responses(&self) -> impl Iterator<Item = TaggedResponse> + '_ {
+        self.responses.try_iter()
     }
 
-    /// Answers that are there: `None` for a question that nobody answered in time.
-    pub fn answers(&self) -> impl Iterator<Item = (u64, Option<Vec<u8>>)> + '_ {
-        self.answers.try_iter()
+    /// The status of this voter; mostly empty at a member that is no voter.
+    pub fn status(&self) -> VoterStatus {
+        self.shared.status()
     }
+}
 
-    /// How this decider is; as good as nothing for a member that decides nothing.
-    pub fn status(&self) -> Status {
-        self.inner.status()
+/// The work of a member's thread.
+async fn run(
+    shared: Arc<Shared>,
+    listener: Option<TcpListener>,
+    disk: SharedDisk,
+    channels: ThreadChannels,
+    wake: impl Fn(),
+) {
+    if let Some(listener) = listener {
+        let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
+            return;
+        };
+        spawn_server(shared.clone(), listener);
+        tokio::spawn(shared.clone().handle_confirmed(channels.waiting));
+        tokio::spawn(shared.clone().run_voter(disk));
     }
+    forward_requests(&shared, channels.requests, channels.responses, wake).await;
+}
+
+fn spawn_server(shared: Arc<Shared>, listener: tokio::net::TcpListener) {
+    let traffic = shared.traffic.clone();
+    let receiver = shared.clone();
+    let mismatch = move |handshake: &Handshake| {
+        let cluster_id = lock(&receiver.voter).cluster_id;
+        handshake.mismatch(&receiver.settings.fleet, cluster_id)
+    };
+    let respond = move |request| {
+        let shared = shared.clone();
+        async move { shared.respond(request).await }
+    };
+    tokio::spawn(server::serve(listener, mismatch, traffic, respond));
 }
 
-/// Carries this member's questions to whoever leads.
-async fn call(
-    inner: Arc<Inner>,
-    mut mine: mpsc::Receiver<(u64, Vec<u8>)>,
-    told: std_mpsc::SyncSender<(u64, Option<Vec<u8>>)>,
+/// Forwards this member's requests to the leader, one at a time.
+async fn forward_requests(
+    shared: &Shared,
+    mut requests: mpsc::Receiver<TaggedRequest>,
+    responses: std_mpsc::SyncSender<TaggedResponse>,
     wake: impl Fn(),
 ) {
-    let mut caller = Caller::new(&inner.settings, &inner.book, inner.traffic.clone());
-    while let Some((tag, question)) = mine.recv().await {
-        let answer = caller.call(question, CALL).await.ok();
-        if told.try_send((tag, answer)).is_err() {
-            // The loop stands still: it will ask again, and this answer would be too old by then.
-            continue;
+    let traffic = shared.traffic.clone();
+    let mut client = LeaderClient::new(&shared.settings, &shared.addresses, traffic);
+    while let Some(TaggedRequest { tag, body }) = requests.recv().await {
+        let body = client.request(body, REQUEST_TIMEOUT).await.ok();
+        // A full channel means that nobody reads: the request is repeated later, this response would be too old by then.
+        if responses.try_send(TaggedResponse { tag, body }).is_ok() {
+            wake();
         }
-        wake();
     }
 }
 
-impl Inner {
-    fn clock(&self) -> f64 {
+impl Shared {
+    fn new(
+        settings: Settings,
+        own_address: Option<SocketAddr>,
+        state_machine: SharedStateMachine,
+        waiting: mpsc::Sender<WaitingRequest>,
+    ) -> Shared {
+        let mut addresses = settings.voters.clone();
+        if let (Some(slot), Some(address)) = (settings.slot, own_address) {
+            addresses.insert(slot, address);
+        }
+        Shared {
+            settings,
+            addresses,
+            state_machine,
+            voter: Mutex::default(),
+            waiting,
+            identity_written: Notify::new(),
+            traffic: Arc::default(),
+        }
+    }
+
+    fn now(&self) -> f64 {
         (self.settings.clock)()
     }
 
     fn raft(&self) -> Option<Raft> {
-        lock(&self.now).raft.clone()
+        lock(&self.voter).raft.clone()
     }
 
-    /// This decider's part, if it goes by this id.
-    fn raft_as(&self, id: u64) -> Option<Raft> {
-        self.raft().filter(|raft| raft.metrics().borrow().id == id)
+    /// A new connection to the voter at a slot; none if the settings have no address for it.
+    fn connection(&self, slot: VoterSlot) -> Option<Connection> {
+        let address = *self.addresses.get(&slot)?;
+        let handshake = Handshake::new(&self.settings.fleet, &self.settings.member);
+        Some(Connection::new(address, handshake, self.traffic.clone()))
     }
+}
 
-    fn link(&self, seat: Seat) -> Option<Link> {
-        let hello = Hello::new(&self.settings.fleet, &self.settings.member);
-        Some(Link::new(*self.book.get(&seat)?, hello, self.traffic.clone()))
-    }
+/// Where a log ends. Of two logs, the one with the greater end is more up to date.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct LogEnd {
+    term: u64,
+    index: u64,
 }
 
-/// Where a log ends: term and index.
-async fn last(store: &SharedStore) -> Option<(u64, u64)> {
-    let state = Log(store.clone()).get_log_state().await.ok()?;
-    Some(state.last_log_id.map_or((0, 0), |id| (id.leader_id.term, id.index)))
+/// The end of a store's log; none if the store is broken.
+async fn log_end(store: &SharedStore) -> Option<LogEnd> {
+    let state = LogStorage(store.clone()).get_log_state().await.ok()?;
+    let (term, index) = match state.last_log_id {
+        Some(id) => (id.leader_id.term, id.index),
+        None => (0, 0),
+    };
+    Some(LogEnd { term, index })
 }
--- a/crates/consensus/src/node/peer_requests.rs
+++ b/crates/consensus/src/node/peer_requests.rs
@@ -1,101 +1,178 @@
-//! What others ask a decider: the library's messages, words for an election, markers, how it is.
+//! Responses of a voter to other members: openraft's messages, pre-votes, identities, status.
 
-use super::*;
+use super::error::MembershipError;
+use super::{log_end, LogEnd, Shared, WaitingRequest};
+use crate::connection::{LogIndices, PeerRequest, PeerResponse, VoterStatus};
+use crate::log_entry::TypeConfig;
+use crate::mutex::lock;
+use crate::raft::Raft;
+use crate::settings::slot_of;
+use crate::store::VoterIdentity;
+use openraft::raft::{AppendEntriesRequest, AppendEntriesResponse};
+use std::fmt::Display;
+use tokio::sync::oneshot;
 
-impl Inner {
-    pub(super) async fn answer(&self, question: Question) -> Answer {
-        let no = |e: &dyn std::fmt::Display| Answer::No(e.to_string());
-        let blank = || Answer::No("its folder is blank or broken, or it lost what this id knew".to_owned());
-        match question {
-            Question::Append(to, rpc) => {
-                let Some(raft) = self.raft_as(to) else { return blank() };
-                match raft.append_entries(rpc).await {
-                    Ok(answer) => {
-                        if !matches!(answer, openraft::raft::AppendEntriesResponse::HigherVote(_)) {
-                            let now = self.clock();
-                            lock(&self.now).elector.iter_mut().for_each(|e| e.heard(now));
-                        }
-                        Answer::Append(answer)
-                    }
-                    Err(e) => no(&e),
-                }
-            }
-            Question::Vote(to, rpc) => match self.raft_as(to) {
-                None => blank(),
-                Some(raft) => raft.vote(rpc).await.map_or_else(|e| no(&e), Answer::Vote),
+const NOT_THIS_NODE: &str = "its folder is blank or broken, or it lost what this id knew";
+const TOO_MANY_REQUESTS: &str = "too many questions wait";
+
+/// The response to an operation: done, or rejected with the reason.
+fn done_or_rejected<E: Display>(result: Result<(), E>) -> PeerResponse {
+    match result {
+        Ok(()) => PeerResponse::Done,
+        Err(error) => PeerResponse::Rejected(error.to_string()),
+    }
+}
+
+/// The response of openraft, or a rejection with its error.
+fn or_rejected<T, E: Display>(
+    result: Result<T, E>,
+    response: impl FnOnce(T) -> PeerResponse,
+) -> PeerResponse {
+    match result {
+        Ok(value) => response(value),
+        Err(error) => PeerResponse::Rejected(error.to_string()),
+    }
+}
+
+impl Shared {
+    pub(super) async fn respond(&self, request: PeerRequest) -> PeerResponse {
+        match request {
+            PeerRequest::AppendEntries(to, rpc) => match self.raft_with_id(to) {
+                Some(raft) => self.append_entries(&raft, rpc).await,
+                None => PeerResponse::Rejected(NOT_THIS_NODE.to_owned()),
             },
-            Question::Snapshot(to, rpc) => match self.raft_as(to) {
-                None => blank(),
-                Some(raft) => raft.install_snapshot(rpc).await.map_or_else(|e| no(&e), Answer::Snapshot),
+            PeerRequest::Vote(to, rpc) => match self.raft_with_id(to) {
+                Some(raft) => or_rejected(raft.vote(rpc).await, PeerResponse::Vote),
+                None => PeerResponse::Rejected(NOT_THIS_NODE.to_owned()),
             },
-            Question::Word { term, index } => Answer::Word(self.word(term, index).await),
-            Question::Machine(question) => {
-                let (to, answer) = oneshot::channel();
-                if self.asks.try_send((question, to)).is_err() {
-                    return Answer::No("too many questions wait".to_owned());
-                }
-                answer.await.unwrap_or(Answer::Elsewhere(None))
-            }
-            Question::Status => Answer::Status(Box::new(self.status())),
-            Question::Mark(marker) => match self.mark(&marker) {
-                Ok(()) => Answer::Done,
-                Err(e) => Answer::No(e),
+            PeerRequest::InstallSnapshot(to, rpc) => match self.raft_with_id(to) {
+                Some(raft) => or_rejected(
+                    raft.install_snapshot(rpc).await,
+                    PeerResponse::InstallSnapshot,
+                ),
+                None => PeerResponse::Rejected(NOT_THIS_NODE.to_owned()),
             },
-            Question::Found => self.found().await.map_or_else(Answer::No, |()| Answer::Done),
-            Question::Readmit(seat) => self.readmit(seat).await.map_or_else(Answer::No, |()| Answer::Done),
-            Question::Remove(seat) => self.remove(seat).await.map_or_else(Answer::No, |()| Answer::Done),
+            PeerRequest::PreVote { term, index } => {
+                PeerResponse::PreVote(self.grants_pre_vote(LogEnd { term, index }).await)
+            }
+            PeerRequest::StateMachine(body) => self.enqueue(body).await,
+            PeerRequest::Status => PeerResponse::Status(Box::new(self.status())),
+            PeerRequest::WriteIdentity(identity) => {
+                done_or_rejected(self.write_identity(&identity))
+            }
+            PeerRequest::Bootstrap => done_or_rejected(self.bootstrap().await),
+            PeerRequest::Readmit(slot) => done_or_rejected(self.readmit(slot).await),
+            PeerRequest::Remove(slot) => done_or_rejected(self.remove(slot).await),
         }
     }
 
-    /// Whether this one gives its word for another leader: it hears none, and has no more in its log.
-    async fn word(&self, term: u64, index: u64) -> bool {
-        let (raft, store) = {
-            let now = lock(&self.now);
-            (now.raft.is_some(), now.store.clone())
+    /// This voter's openraft, if it has this node id.
+    fn raft_with_id(&self, node_id: u64) -> Option<Raft> {
+        let raft = self.raft()?;
+        let is_this_node = raft.metrics().borrow().id == node_id;
+        is_this_node.then_some(raft)
+    }
+
+    async fn append_entries(
+        &self,
+        raft: &Raft,
+        rpc: AppendEntriesRequest<TypeConfig>,
+    ) -> PeerResponse {
+        let result = raft.append_entries(rpc).await;
+        if let Ok(response) = &result {
+            // One that is behind in its term is no leader any more.
+            if !matches!(response, AppendEntriesResponse::HigherVote(_)) {
+                self.heartbeat_received(self.now());
+            }
+        }
+        or_rejected(result, PeerResponse::AppendEntries)
+    }
+
+    /// Whether this voter would vote for one whose log ends there: it has no leader, and no more in its own log.
+    async fn grants_pre_vote(&self, candidate: LogEnd) -> bool {
+        let store = {
+            let voter = lock(&self.voter);
+            if voter.raft.is_none() {
+                return false;
+            }
+            voter.store.clone()
+        };
+        let Some(store) = store else { return false };
+        let now = self.now();
+        let has_leader = match &lock(&self.voter).pre_vote {
+            Some(pre_vote) => pre_vote.has_leader(now),
+            None => true,
         };
-        let Some(store) = store.filter(|_| raft) else { return false };
-        let now = self.clock();
-        let hears = lock(&self.now).elector.as_ref().is_none_or(|e| e.hears(now));
-        !hears && last(&store).await.is_some_and(|own| (term, index) >= own)
+        if has_leader {
+            return false;
+        }
+        let own = log_end(&store).await;
+        own.is_some_and(|own| candidate >= own)
+    }
+
+    /// Has a request wait for the leader's confirmation, and waits for the response.
+    async fn enqueue(&self, body: Vec<u8>) -> PeerResponse {
+        let (respond, response) = oneshot::channel();
+        if self
+            .waiting
+            .try_send(WaitingRequest { body, respond })
+            .is_err()
+        {
+            return PeerResponse::Rejected(TOO_MANY_REQUESTS.to_owned());
+        }
+        response.await.unwrap_or(PeerResponse::NotLeader(None))
     }
 
-    pub(super) fn mark(&self, marker: &Marker) -> Result<(), String> {
-        if marker.fleet != self.settings.fleet || Some(marker.id % SEATS) != self.settings.seat {
-            return Err("the marker is for another seat or fleet".to_owned());
+    /// Gives this voter's folder an identity.
+    pub(super) fn write_identity(&self, identity: &VoterIdentity) -> Result<(), MembershipError> {
+        let is_own_slot = Some(slot_of(identity.node_id)) == self.settings.slot;
+        if identity.fleet != self.settings.fleet || !is_own_slot {
+            return Err(MembershipError::OtherIdentity);
         }
-        let store = lock(&self.now).store.clone().ok_or("its disk is not open")?;
-        lock(&store).mark(marker).map_err(|e| e.to_string())?;
-        self.marked.notify_one();
+        let store = lock(&self.voter).store.clone();
+        let store = store.ok_or(MembershipError::StoreNotOpen)?;
+        lock(&store).write_identity(identity)?;
+        self.identity_written.notify_one();
         Ok(())
     }
 
-    pub(super) fn status(&self) -> Status {
+    pub(super) fn status(&self) -> VoterStatus {
         let (raft, store, disk) = {
-            let now = lock(&self.now);
-            (now.raft.clone(), now.store.clone(), now.disk.clone())
+            let voter = lock(&self.voter);
+            (voter.raft.clone(), voter.store.clone(), voter.disk.clone())
         };
-        let bytes = (self.traffic.read.load(Relaxed), self.traffic.written.load(Relaxed));
-        let mut status = Status {
+        let role = if store.is_some() { "blank" } else { "broken" };
+        let mut status = VoterStatus {
             member: self.settings.member.clone(),
-            seat: self.settings.seat.unwrap_or_default(),
-            role: if store.is_some() { "blank" } else { "broken" }.to_owned(),
+            slot: self.settings.slot.unwrap_or_default(),
+            role: role.to_owned(),
             disk,
-            bytes,
-            ..Status::default()
+            traffic: self.traffic.totals(),
+            ..VoterStatus::default()
         };
         if let Some(store) = store {
             let store = lock(&store);
-            (status.disk_ok, status.writes) = (store.is_whole(), store.writes());
-            status.id = store.marker().ok().flatten().map(|marker| marker.id);
+            status.disk_ok = store.is_healthy();
+            status.writes = store.writes();
+            let identity = store.identity().ok().flatten();
+            status.node_id = identity.map(|identity| identity.node_id);
         }
         if let Some(raft) = raft {
-            let m = raft.metrics().borrow().clone();
-            status.role = format!("{:?}", m.state).to_lowercase();
-            (status.term, status.leader) = (m.current_term, m.current_leader);
-            status.log = (m.last_log_index.unwrap_or(0), m.last_applied.map_or(0, |l| l.index));
-            status.voters = m.membership_config.membership().voter_ids().collect();
-            status.quorum_ms = m.millis_since_quorum_ack;
+            fill_in_raft(&mut status, &raft);
         }
         status
     }
 }
+
+fn fill_in_raft(status: &mut VoterStatus, raft: &Raft) {
+    let metrics = raft.metrics().borrow().clone();
+    status.role = format!("{:?}", metrics.state).to_lowercase();
+    status.term = metrics.current_term;
+    status.leader = metrics.current_leader;
+    status.log = LogIndices {
+        last: metrics.last_log_index.unwrap_or(0),
+        applied: metrics.last_applied.map_or(0, |id| id.index),
+    };
+    status.voters = metrics.membership_config.membership().voter_ids().collect();
+    status.quorum_ms = metrics.millis_since_quorum_ack;
+}
--- a/crates/consensus/src/pre_vote.rs
+++ b/crates/consensus/src/pre_vote.rs
@@ -1,109 +1,108 @@
-//! When to stand for election: only after a majority has said that it hears no leader either. So one that was cut off
-//! and comes back unseats nobody. Pure: events in, what to do out.
+//! The pre-vote: when a voter stands for election.
+//!
+//! A voter that hears no leader first asks the others whether they hear one, and stands only if a majority does not.
+//! So a voter that was partitioned and comes back does not depose a leader. This is the PreVote extension of Ongaro,
+//! "Consensus: Bridging Theory and Practice" (2014), section 9.6. Pure: events in, actions out. Times are in
+//! milliseconds.
 
-const LEAST_MS: f64 = 700.0; // without a word from a leader, before one stands; several heartbeats
-const SPREAD_MS: f64 = 600.0; // more, by lot, so that two rarely stand at once
-const ROUND_MS: f64 = 250.0; // for the others to answer
+/// Shortest time without a heartbeat after which a voter asks for pre-votes.
+const MIN_ELECTION_TIMEOUT_MS: f64 = 700.0;
+/// Random addition to the election timeout, so that two voters rarely stand at once.
+const ELECTION_TIMEOUT_SPREAD_MS: f64 = 600.0;
+/// Time for the other voters to respond.
+const PRE_VOTE_ROUND_MS: f64 = 250.0;
 
-/// Heartbeats of a leader, in milliseconds.
-pub const HEARTBEAT_MS: u64 = 120;
-/// Who heard a leader within this gives no word for another: as long as any waits before it asks.
-pub const QUIET_MS: f64 = LEAST_MS;
+/// Interval of a leader's heartbeats.
+pub const HEARTBEAT_INTERVAL_MS: u64 = 120;
+/// A voter that received a heartbeat within this time has a leader, and grants no pre-vote.
+pub const LEADER_TIMEOUT_MS: f64 = MIN_ELECTION_TIMEOUT_MS;
 
-/// What to do.
+/// What a voter is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// Ask all other deciders for their word, in this round.
-    Ask(u64),
-    /// Stand for election.
-    Stand,
+pub enum PreVoteAction {
+    /// Request pre-votes of all other voters in this round.
+    RequestPreVotes(u64),
+    /// Start an election.
+    StartElection,
 }
 
-/// One decider's part.
+/// One voter's pre-vote.
 #[derive(Clone, Debug)]
-pub struct Elector {
-    others: usize,
-    random: u64,
-    heard: f64,
-    due: f64,
+pub struct PreVote {
+    other_voters: usize,
+    random_state: u64,
+    last_heartbeat: f64,
+    next_round_at: f64,
     round: u64,
-    yes: usize,
+    granted: usize,
 }
 
-impl Elector {
-    /// One among so many others; `seed` feeds its draws.
-    pub fn new(now: f64, others: usize, seed: u64) -> Elector {
-        let mut elector = Elector { others, random: seed, heard: now - QUIET_MS, due: 0.0, round: 0, yes: 0 };
-        elector.wait(now);
-        elector
+impl PreVote {
+    /// A voter among `other_voters` others; `seed` feeds its timeouts.
+    pub fn new(now: f64, other_voters: usize, seed: u64) -> PreVote {
+        let mut pre_vote = PreVote {
+            other_voters,
+            random_state: seed,
+            last_heartbeat: now - LEADER_TIMEOUT_MS,
+            next_round_at: 0.0,
+            round: 0,
+            granted: 0,
+        };
+        pre_vote.restart_timeout(now);
+        pre_vote
     }
 
-    fn wait(&mut self, now: f64) {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let lot = (self.random >> 33) as f64 / (1u64 << 31) as f64;
-        self.due = now + LEAST_MS + SPREAD_MS * lot;
+    /// Draws the next election timeout.
+    fn restart_timeout(&mut self, now: f64) {
+        self.random_state = self
+            .random_state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        let fraction = (self.random_state >> 33) as f64 / (1u64 << 31) as f64;
+        self.next_round_at = now + MIN_ELECTION_TIMEOUT_MS + ELECTION_TIMEOUT_SPREAD_MS * fraction;
     }
 
-    /// A leader was heard, or this one leads and a majority follows it.
-    pub fn heard(&mut self, now: f64) {
-        self.heard = now;
-        self.yes = 0;
-        self.wait(now);
+    /// A heartbeat came from a leader, or this voter leads and a majority follows it.
+    pub fn heartbeat_received(&mut self, now: f64) {
+        self.last_heartbeat = now;
+        self.granted = 0;
+        self.restart_timeout(now);
     }
 
-    /// Whether a leader was heard lately.
-    pub fn hears(&self, now: f64) -> bool {
-        now - self.heard < QUIET_MS
+    /// Whether a heartbeat came within [`LEADER_TIMEOUT_MS`].
+    pub fn has_leader(&self, now: f64) -> bool {
+        now - self.last_heartbeat < LEADER_TIMEOUT_MS
     }
 
-    /// Time passes.
-    pub fn tick(&mut self, now: f64) -> Option<Act> {
-        if now < self.due {
+    /// Called periodically.
+    pub fn tick(&mut self, now: f64) -> Option<PreVoteAction> {
+        if now < self.next_round_at {
             return None;
         }
-        (self.round, self.yes) = (self.round + 1, 0);
-        self.wait(now);
-        self.due = self.due.max(now + ROUND_MS);
-        Some(if self.others == 0 { Act::Stand } else { Act::Ask(self.round) })
+        self.round += 1;
+        self.granted = 0;
+        self.restart_timeout(now);
+        self.next_round_at = self.next_round_at.max(now + PRE_VOTE_ROUND_MS);
+        if self.other_voters == 0 {
+            Some(PreVoteAction::StartElection)
+        } else {
+            Some(PreVoteAction::RequestPreVotes(self.round))
+        }
     }
 
-    /// Another one's word in a round.
-    pub fn word(&mut self, now: f64, round: u64, yes: bool) -> Option<Act> {
-        if round != self.round || !yes || self.hears(now) {
+    /// Another voter responded in a round. Starts the election once, when a majority has granted it.
+    pub fn pre_vote_received(
+        &mut self,
+        now: f64,
+        round: u64,
+        granted: bool,
+    ) -> Option<PreVoteAction> {
+        if round != self.round || !granted || self.has_leader(now) {
             return None;
         }
-        self.yes += 1;
-        // With its own, a majority of all; once.
-        (self.yes == self.others.div_ceil(2)).then_some(Act::Stand)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_that_comes_back_unseats_nobody_and_a_majority_without_a_leader_finds_one() {
-        let mut cut_off = Elector::new(0.0, 2, 1);
-        let Some(Act::Ask(round)) = cut_off.tick(5000.0) else { panic!("it asks after its time") };
-        assert_eq!(cut_off.word(5010.0, round, false), None);
-        assert_eq!(cut_off.word(5010.0, round, false), None, "both hear a leader");
-        let Some(Act::Ask(next)) = cut_off.tick(9000.0) else { panic!("and asks again") };
-        assert_eq!(cut_off.word(9001.0, round, true), None, "a word of an earlier round");
-        assert_eq!(cut_off.word(9001.0, next, true), Some(Act::Stand), "two of three");
-        assert_eq!(cut_off.word(9001.0, next, true), None, "once");
-        cut_off.heard(9100.0);
-        assert!(cut_off.hears(9700.0) && !cut_off.hears(9801.0));
-        assert_eq!(cut_off.tick(9600.0), None);
-    }
-
-    #[test]
-    fn of_five_two_words_are_needed_and_one_alone_stands_at_once() {
-        let mut one = Elector::new(0.0, 4, 1);
-        let Some(Act::Ask(round)) = one.tick(2000.0) else { panic!() };
-        assert_eq!(one.word(2001.0, round, true), None);
-        assert_eq!(one.word(2001.0, round, true), Some(Act::Stand));
-        assert_eq!(Elector::new(0.0, 0, 1).tick(2000.0), Some(Act::Stand));
+        self.granted += 1;
+        // Together with its own vote these are a majority of all voters.
+        let needed = self.other_voters.div_ceil(2);
+        (self.granted == needed).then_some(PreVoteAction::StartElection)
     }
 }
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -1,14 +1,14 @@
-//! A decider's disk under failure: no room in the middle, failed and lying fsyncs, power cuts, two processes, other forms.
+//! A voter's disk under failure: no space midway, failed and ignored fsyncs, power cuts, two processes, other formats.
 
-use beamgap_consensus::disk::{Disk, Files, SharedDisk};
-use beamgap_consensus::store::{Batch, Marker, Store, StoreError};
+use beamgap_consensus::disk::{Disk, FileDisk, SharedDisk};
+use beamgap_consensus::store::{Batch, Store, StoreError, VoterIdentity};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// A disk in memory: what was written is on it for good only after a sync. Fails from its n-th operation on, or cuts.
+/// A disk in memory. Writes are durable only after a sync. Can be made to fail from its n-th operation on.
 #[derive(Debug, Default)]
 struct Inner {
     files: BTreeMap<PathBuf, Arc<Mutex<Bytes>>>,
@@ -46,7 +46,10 @@
     fn operation(&self) -> Option<Failure> {
         let mut inner = self.0.lock().unwrap();
         inner.operations += 1;
-        inner.fails_from.filter(|(from, _)| inner.operations >= *from).map(|(_, failure)| failure)
+        inner
+            .fails_from
+            .filter(|(from, _)| inner.operations >= *from)
+            .map(|(_, failure)| failure)
     }
 
     fn fail_from(&self, from: Option<(u64, Failure)>) {
@@ -70,7 +73,12 @@
             inner.files.insert(path.to_owned(), Arc::default());
         }
         let bytes = inner.files.get(path).cloned();
-        Ok(bytes.map(|bytes| Box::new(File { disk: self.clone(), bytes }) as Box<dyn StorageBackend>))
+        Ok(bytes.map(|bytes| {
+            Box::new(File {
+                disk: self.clone(),
+                bytes,
+            }) as Box<dyn StorageBackend>
+        }))
     }
 
     fn replace(&self, from: &Path, to: &Path) -> io::Result<()> {
@@ -91,16 +99,15 @@
     fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
         let bytes = self.bytes.lock().unwrap();
         let part = bytes.now.get(offset as usize..offset as usize + len);
-        part.map(<[u8]>::to_vec).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        part.map(<[u8]>::to_vec)
+            .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
-        match self.disk.operation() {
-            Some(Failure::Full | Failure::Short) => Err(io::Error::from_raw_os_error(28)),
-            _ => {
-                self.bytes.lock().unwrap().now.resize(len as usize, 0);
-                Ok(())
-            }
+        if let Some(Failure::Full | Failure::Short) = self.disk.operation() {
+            return Err(io::Error::from_raw_os_error(28));
         }
+        self.bytes.lock().unwrap().now.resize(len as usize, 0);
+        Ok(())
     }
     fn sync_data(&self, _: bool) -> io::Result<()> {
         let failure = self.disk.operation();
@@ -114,7 +121,11 @@
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let failure = self.disk.operation();
         let mut bytes = self.bytes.lock().unwrap();
-        let whole = if failure == Some(Failure::Short) { data.len() / 2 } else { data.len() };
+        let whole = if failure == Some(Failure::Short) {
+            data.len() / 2
+        } else {
+            data.len()
+        };
         if failure == Some(Failure::Full) {
             return Err(io::Error::from_raw_os_error(28));
         }
@@ -144,16 +155,21 @@
     }
 }
 
-/// What a store holds: the indices of its log, and its vote.
-fn held(store: &Store) -> (Vec<u64>, u64) {
+/// The indices of a store's log, and its vote.
+fn contents(store: &Store) -> (Vec<u64>, u64) {
     let entries = store.entries(..).unwrap();
-    assert!(entries.iter().all(|e| e.len() == 300 && e.iter().all(|b| *b == e[0])), "no entry is half");
+    assert!(
+        entries
+            .iter()
+            .all(|e| e.len() == 300 && e.iter().all(|b| *b == e[0])),
+        "no entry is partial"
+    );
     let vote = store.get("vote").unwrap().map_or(0, |v| u64::from(v[0]));
     (entries.iter().map(|e| u64::from(e[0])).collect(), vote)
 }
 
 #[test]
-fn promise_5_whatever_fails_wherever_nothing_acknowledged_is_lost_and_nothing_is_half() {
+fn promise_5_after_any_disk_failure_no_acknowledged_write_is_lost_and_none_is_partial() {
     let folder = folder("fails");
     for failure in [Failure::Full, Failure::Short, Failure::Sync] {
         for at in (1..60).step_by(3) {
@@ -167,10 +183,13 @@
                 match store.write(&batch(i)) {
                     Ok(()) => acknowledged = i,
                     Err(e) => {
-                        assert!(
-                            matches!(e, StoreError::Disk { full, .. } if full == (failure == Failure::Full)),
-                            "{e}"
-                        );
+                        let expected = match failure {
+                            Failure::Full => matches!(e, StoreError::DiskFull { .. }),
+                            Failure::Short | Failure::Sync => {
+                                matches!(e, StoreError::DiskFailed { .. })
+                            }
+                        };
+                        assert!(expected, "{e}");
                         break;
                     }
                 }
@@ -180,7 +199,7 @@
                     store.write(&batch(99)).is_err() && store.entries(..).is_err(),
                     "a broken store does nothing"
                 );
-                assert!(!store.is_whole());
+                assert!(!store.is_healthy());
             }
             drop(store);
             // The power goes too, while the disk still fails; opening fails or works, and loses nothing.
@@ -188,11 +207,15 @@
             drop(Store::open(&folder, &disk, true));
             memory.cut();
             memory.fail_from(None);
-            let store =
-                Store::open(&folder, &disk, true).unwrap_or_else(|e| panic!("{failure:?} at {at}: {e}"));
-            let (log, vote) = held(&store);
+            let store = Store::open(&folder, &disk, true)
+                .unwrap_or_else(|e| panic!("{failure:?} at {at}: {e}"));
+            let (log, vote) = contents(&store);
             let last = log.last().copied().unwrap_or(0);
-            assert_eq!(log, (1..=last).collect::<Vec<_>>(), "{failure:?} at {at}: no hole");
+            assert_eq!(
+                log,
+                (1..=last).collect::<Vec<_>>(),
+                "{failure:?} at {at}: no hole"
+            );
             assert!(
                 last >= acknowledged && last <= acknowledged + 1 && vote == last,
                 "{failure:?} at {at}: {last}, {acknowledged} acknowledged"
@@ -203,8 +226,8 @@
 }
 
 #[test]
-fn a_store_that_does_not_sync_loses_what_it_acknowledged() {
-    // The planted fault of the rig, which syncs the first writes and each eighth: this test's disk must see it, or it sees nothing.
+fn a_store_that_does_not_sync_loses_acknowledged_writes() {
+    // The injected bug of the fault harness, which syncs the first writes and each eighth: this test must detect it.
     let (folder, memory) = (folder("unsynced"), Memory::default());
     let disk: SharedDisk = Arc::new(memory.clone());
     let mut store = Store::open(&folder, &disk, false).unwrap();
@@ -213,7 +236,7 @@
     std::mem::forget(store); // A process that is killed ends nothing.
     let other = folder.with_extension("other");
     let store = Store::open(&other, &{ memory_at(&memory, &folder, &other) }, true).unwrap();
-    assert!(held(&store).0.len() < 14, "{:?}", held(&store));
+    assert!(contents(&store).0.len() < 14, "{:?}", contents(&store));
     std::fs::remove_dir_all(folder).unwrap();
     std::fs::remove_dir_all(other).unwrap();
 }
@@ -224,36 +247,75 @@
     let moved = Memory::default();
     for (path, bytes) in &inner.files {
         let name = path.strip_prefix(from).unwrap();
-        moved.0.lock().unwrap().files.insert(to.join(name), bytes.clone());
+        moved
+            .0
+            .lock()
+            .unwrap()
+            .files
+            .insert(to.join(name), bytes.clone());
     }
     Arc::new(moved)
 }
 
 #[test]
-fn a_second_process_another_form_and_another_seat_are_refused_with_what_to_do() {
+fn a_second_process_another_format_and_another_identity_are_rejected_with_advice() {
     let folder = folder("refused");
-    let disk: SharedDisk = Arc::new(Files);
+    let disk: SharedDisk = Arc::new(FileDisk);
     let mut store = Store::open(&folder, &disk, true).unwrap();
     let locked = Store::open(&folder, &disk, true).unwrap_err();
     assert!(
         matches!(locked, StoreError::Locked(_)) && locked.to_string().contains("another process"),
         "{locked}"
     );
-    let marker = Marker { fleet: "f".to_owned(), founding: 7, id: 2 };
-    store.mark(&marker).unwrap();
-    store.mark(&marker).unwrap();
-    let other = store.mark(&Marker { id: 3, ..marker.clone() }).unwrap_err();
-    assert!(other.to_string().contains("belongs to fleet f, id 2"), "{other}");
-    store.write(&Batch { cut_from: Some(1), ..batch(1) }).unwrap();
+    let identity = VoterIdentity {
+        fleet: "f".to_owned(),
+        cluster_id: 7,
+        node_id: 2,
+    };
+    store.write_identity(&identity).unwrap();
+    store.write_identity(&identity).unwrap();
+    let other = store
+        .write_identity(&VoterIdentity {
+            node_id: 3,
+            ..identity.clone()
+        })
+        .unwrap_err();
+    assert!(
+        other.to_string().contains("belongs to fleet f, id 2"),
+        "{other}"
+    );
+    store
+        .write(&Batch {
+            truncate_from: Some(1),
+            ..batch(1)
+        })
+        .unwrap();
     drop(store);
     let mut store = Store::open(&folder, &disk, true).unwrap();
-    assert_eq!((store.marker().unwrap(), held(&store)), (Some(marker), (vec![1], 1)));
+    assert_eq!(
+        (store.identity().unwrap(), contents(&store)),
+        (Some(identity), (vec![1], 1))
+    );
     (2..=9).for_each(|i| store.write(&batch(i)).unwrap());
-    store.write(&Batch { cut_to: Some(3), cut_from: Some(8), ..Batch::default() }).unwrap();
-    assert_eq!(held(&store).0, (4..=7).collect::<Vec<_>>());
-    store.write(&Batch { meta: vec![("form", vec![9])], ..Batch::default() }).unwrap();
+    store
+        .write(&Batch {
+            purge_to: Some(3),
+            truncate_from: Some(8),
+            ..Batch::default()
+        })
+        .unwrap();
+    assert_eq!(contents(&store).0, (4..=7).collect::<Vec<_>>());
+    store
+        .write(&Batch {
+            meta: vec![("form", vec![9])],
+            ..Batch::default()
+        })
+        .unwrap();
     drop(store);
-    let form = Store::open(&folder, &disk, true).unwrap_err();
-    assert!(matches!(form, StoreError::Form { found: 9, .. }), "{form}");
+    let unsupported = Store::open(&folder, &disk, true).unwrap_err();
+    assert!(
+        matches!(unsupported, StoreError::UnsupportedFormat { found: 9, .. }),
+        "{unsupported}"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -4,7 +4,8 @@
 use crate::cli::{Ask, Fleet, Seat};
 use beamgap::fleet::machine::{Answer, Question, Status};
 use beamgap_budgets::lead::Standing;
-use beamgap_consensus::connection::{Answer as Told, Question as Asked, Status as Decider};
+use beamgap_consensus::connection::{PeerRequest, PeerResponse, VoterStatus};
+use beamgap_consensus::node::VoterRequestError;
 use beamgap_policy::switch::Mark;
 use serde_json::json;
 use std::time::Duration;
@@ -16,21 +17,21 @@
     match fleet {
         Fleet::Status(ask) => status(&ask),
         Fleet::Found(ask) => found(&ask),
-        Fleet::Readmit(seat) => reseat(&seat, &Asked::Readmit(seat.seat), "is back in its seat"),
-        Fleet::Remove(seat) => reseat(&seat, &Asked::Remove(seat.seat), "decides no more"),
+        Fleet::Readmit(seat) => reseat(&seat, &PeerRequest::Readmit(seat.seat), "is back in its seat"),
+        Fleet::Remove(seat) => reseat(&seat, &PeerRequest::Remove(seat.seat), "decides no more"),
     }
 }
 
 fn found(ask: &Ask) -> Result<(), End> {
     let mut asker = Asker::new(&ask.operator)?;
     let first = *asker.fleet.deciders.keys().next().ok_or((NO, "no decider".to_owned()))?;
-    let asked = asker.caller.ask(first, &Asked::Found, Duration::from_secs(20));
+    let asked = asker.caller.request_voter(first, &PeerRequest::Bootstrap, Duration::from_secs(20));
     match asker.runtime.block_on(asked) {
-        Ok(Told::Done) => {
+        Ok(PeerResponse::Done) => {
             println!("fleet {} is founded", asker.fleet.name);
             Ok(())
         }
-        Ok(Told::No(why)) => Err((NO, why)),
+        Ok(PeerResponse::Rejected(why)) => Err((NO, why)),
         Ok(_) => Err((UNKNOWN, "another answer".to_owned())),
         Err(why) => {
             Err((UNKNOWN, format!("decider {first}: {why}; it may be founded, `beamgap fleet status` tells")))
@@ -39,18 +40,18 @@
 }
 
 /// Has the leader give a decider its place, or take it.
-fn reseat(seat: &Seat, question: &Asked, done: &str) -> Result<(), End> {
+fn reseat(seat: &Seat, question: &PeerRequest, done: &str) -> Result<(), End> {
     let mut asker = Asker::new(&seat.ask.operator)?;
     let seats: Vec<u64> = asker.fleet.deciders.keys().copied().filter(|s| *s != seat.seat).collect();
     let mut why = Vec::new();
     for other in seats {
-        let asked = asker.caller.ask(other, question, Duration::from_secs(30));
+        let asked = asker.caller.request_voter(other, question, Duration::from_secs(30));
         match asker.runtime.block_on(asked) {
-            Ok(Told::Done) => {
+            Ok(PeerResponse::Done) => {
                 println!("decider {} {done}", seat.seat);
                 return Ok(());
             }
-            Ok(Told::No(no)) => why.push(format!("decider {other}: {no}")),
+            Ok(PeerResponse::Rejected(no)) => why.push(format!("decider {other}: {no}")),
             Ok(_) => why.push(format!("decider {other} answered another question")),
             Err(e) => why.push(format!("decider {other}: {e}")),
         }
@@ -58,13 +59,14 @@
     Err((NO, why.join("; ")))
 }
 
-fn deciders(asker: &mut Asker) -> Vec<(u64, Result<Box<Decider>, String>)> {
+fn deciders(asker: &mut Asker) -> Vec<(u64, Result<Box<VoterStatus>, String>)> {
     let seats: Vec<u64> = asker.fleet.deciders.keys().copied().collect();
     let mut all = Vec::new();
     for seat in seats {
-        let told = asker.runtime.block_on(asker.caller.ask(seat, &Asked::Status, ONE));
+        let told = asker.runtime.block_on(asker.caller.request_voter(seat, &PeerRequest::Status, ONE));
+        let told = told.map_err(|e: VoterRequestError| e.to_string());
         let told = told.and_then(|told| match told {
-            Told::Status(status) => Ok(status),
+            PeerResponse::Status(status) => Ok(status),
             _ => Err("another answer".to_owned()),
         });
         all.push((seat, told));
@@ -127,13 +129,13 @@
 
 fn as_json(
     name: &str,
-    deciders: &[(u64, Result<Box<Decider>, String>)],
+    deciders: &[(u64, Result<Box<VoterStatus>, String>)],
     fleet: &Result<Box<Status>, String>,
 ) -> serde_json::Value {
-    let decider = |(seat, told): &(u64, Result<Box<Decider>, String>)| match told {
+    let decider = |(seat, told): &(u64, Result<Box<VoterStatus>, String>)| match told {
         Ok(d) => json!({"seat": seat, "member": d.member, "role": d.role, "term": d.term, "leader": d.leader,
-            "disk": d.disk, "disk_ok": d.disk_ok, "log": d.log.0, "applied": d.log.1, "fsyncs": d.writes,
-            "voters": d.voters, "bytes_read": d.bytes.0, "bytes_written": d.bytes.1}),
+            "disk": d.disk, "disk_ok": d.disk_ok, "log": d.log.last, "applied": d.log.applied, "fsyncs": d.writes,
+            "voters": d.voters, "bytes_read": d.traffic.read, "bytes_written": d.traffic.written}),
         Err(why) => json!({"seat": seat, "unreachable": why}),
     };
     let mut all = json!({"fleet": name, "deciders": deciders.iter().map(decider).collect::<Vec<_>>()});
@@ -155,7 +157,7 @@
 
 fn as_text(
     name: &str,
-    deciders: &[(u64, Result<Box<Decider>, String>)],
+    deciders: &[(u64, Result<Box<VoterStatus>, String>)],
     fleet: &Result<Box<Status>, String>,
 ) -> String {
     let mut text = format!("fleet {name}\n");
@@ -163,7 +165,7 @@
         text += &match told {
             Ok(d) => format!(
                 "decider {seat}  {:<12} {:<9} term {} log {} applied {} disk {}\n",
-                d.member, d.role, d.term, d.log.0, d.log.1, d.disk
+                d.member, d.role, d.term, d.log.last, d.log.applied, d.disk
             ),
             Err(why) => format!("decider {seat}  unreachable: {why}\n"),
         };
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -8,7 +8,7 @@
 use beamgap::fleet::settings::{self, Fleet};
 use beamgap::fleet::trial::{machine_clock, Trial};
 use beamgap::node::operator;
-use beamgap_consensus::{Caller, Plants, Settings};
+use beamgap_consensus::{InjectedBugs, LeaderClient, Settings};
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
 
 /// Asks the fleet.
 struct Asker {
-    caller: Caller,
+    caller: LeaderClient,
     fleet: Fleet,
     runtime: tokio::runtime::Runtime,
 }
@@ -67,21 +67,22 @@
         let settings = Settings {
             fleet: fleet.name.clone(),
             member: "operator".to_owned(),
-            deciders: fleet.deciders.clone(),
-            seat: None,
-            folder: None,
+            voters: fleet.deciders.clone(),
+            slot: None,
+            data_dir: None,
             seed: machine_clock().to_bits(),
             clock: Trial::default().clock(),
-            plants: Plants::default(),
+            injected_bugs: InjectedBugs::default(),
         };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(unusable)?;
-        let caller = Caller::new(&settings, &fleet.deciders, Arc::default());
+        let caller = LeaderClient::new(&settings, &fleet.deciders, Arc::default());
         Ok(Asker { caller, fleet, runtime })
     }
 
     /// Asks the leader; `Err` tells why nobody answered.
     fn ask(&mut self, question: &Question, most: Duration) -> Result<Answer, String> {
-        let bytes = self.runtime.block_on(self.caller.call(encode(question), most))?;
+        let bytes =
+            self.runtime.block_on(self.caller.request(encode(question), most)).map_err(|e| e.to_string())?;
         match decode(&bytes) {
             Some(Answer::Unreadable) | None => {
                 Err("the leader runs another program: use its own `beamgap`".into())
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -9,7 +9,8 @@
 use super::trial::{machine_clock, Trial};
 use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
 use beamgap_config::Problem;
-use beamgap_consensus::{Council, Settings};
+use beamgap_consensus::node::TaggedResponse;
+use beamgap_consensus::{ConsensusNode, Settings};
 use beamgap_policy::check::Known;
 use beamgap_policy::document::{Policy, FORM};
 use beamgap_policy::rules::{Meter, No, Ruling, Terms};
@@ -47,7 +48,7 @@
 
 /// The gate.
 pub struct Gate {
-    council: Council,
+    consensus: ConsensusNode,
     hold: Hold,
     here: Here,
     classes: Vec<String>,
@@ -90,12 +91,12 @@
         let settings = Settings {
             fleet: fleet.name.clone(),
             member: fleet.member.clone(),
-            deciders: fleet.deciders.clone(),
-            seat: fleet.seat,
-            folder: fleet.folder.clone(),
+            voters: fleet.deciders.clone(),
+            slot: fleet.seat,
+            data_dir: fleet.folder.clone(),
             seed: life,
             clock: fleet.trial.clock(),
-            plants: fleet.trial.plants(),
+            injected_bugs: fleet.trial.plants(),
         };
         let wake: Arc<dyn Fn() + Send + Sync> = Arc::new(wake);
         let woken = wake.clone();
@@ -104,14 +105,15 @@
         let machine =
             FleetMachine::new(fleet.times, life, fleet.trial.plant, fleet.trial.leases, fleet.trial.budgets);
         let machine = Arc::new(Mutex::new(machine));
-        let council = Council::start(settings, listener, fleet.trial.disk(), machine, move || woken())?;
+        let consensus =
+            ConsensusNode::start(settings, listener, fleet.trial.disk(), machine, move || woken())?;
         let classes: Vec<String> = module.classes.iter().map(|c| c.name.clone()).collect();
         let accounts = module.tenants.iter().map(|t| t.name.clone()).collect();
         let deadlines = module.classes.iter().map(|c| c.deadline.as_millis()).collect();
         let names = Known { classes: classes.clone(), accounts, zones: zones.to_vec() };
         let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.trial);
         Ok(Gate {
-            council,
+            consensus,
             hold: Hold::new(&fleet.member, life, FORM, fleet.trial.plant),
             here: Here { names, deadlines },
             ruling: Rc::new(Ruling::new(Policy::default(), &classes)),
@@ -138,7 +140,7 @@
 
     /// Where this decider listens for other members.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.council.address()
+        self.consensus.address()
     }
 
     /// The member's clock now.
@@ -224,8 +226,8 @@
     pub fn turn(&mut self, open: usize) -> (Vec<Member>, Vec<String>) {
         let (mut changed, mut lines) = (Vec::new(), Vec::new());
         self.turn = self.now();
-        let answers: Vec<_> = self.council.answers().collect();
-        for (round, answer) in answers {
+        let answers: Vec<_> = self.consensus.responses().collect();
+        for TaggedResponse { tag: round, body: answer } in answers {
             let now = self.now();
             match answer.as_deref().and_then(decode::<Answer>) {
                 Some(Answer::Renewed(reply)) => {
@@ -280,7 +282,7 @@
                     Question::All(ask, self.tasks.ask(), self.tasks.wants(now, open), shares)
                 }
             };
-            if !self.council.ask(round, encode(&question)) {
+            if !self.consensus.submit(round, encode(&question)) {
                 self.hold.no_answer(now, round);
             }
         }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -4,7 +4,7 @@
 use beamgap_budgets::lead::{Ask as BudgetAsk, Lead as BudgetLead, Reply as BudgetReply, Standing};
 use beamgap_budgets::spec::Spec as Budget;
 use beamgap_budgets::{Plant as BudgetPlant, Times as BudgetTimes};
-use beamgap_consensus::Machine;
+use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
 use beamgap_leases::lead::{self, Lead as LeaseLead};
 use beamgap_leases::state::{Command as TaskCommand, State as Tasks, Task};
 use beamgap_leases::{Clocks, Plant as LeasePlant, Token};
@@ -233,8 +233,8 @@
     }
 }
 
-impl Machine for FleetMachine {
-    fn blank(&mut self) {
+impl StateMachine for FleetMachine {
+    fn reset(&mut self) {
         (self.state, self.tasks, self.budgets.0) = (State::default(), Tasks::default(), None);
     }
 
@@ -271,21 +271,23 @@
         [encode(&self.state), encode(&self.tasks)].concat()
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), String> {
-        let form = "a snapshot of another form: update this program";
-        let (state, rest) = postcard::take_from_bytes(snapshot).map_err(|_| form)?;
-        let tasks = if rest.is_empty() { Tasks::default() } else { decode(rest).ok_or(form)? };
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
+        let (state, rest) = postcard::take_from_bytes(snapshot).map_err(RestoreError::new)?;
+        let tasks = match rest {
+            [] => Tasks::default(),
+            rest => postcard::from_bytes(rest).map_err(RestoreError::new)?,
+        };
         (self.state, self.tasks, self.budgets.0) = (state, tasks, None);
         Ok(())
     }
 
-    fn role(&mut self, now: f64, leads: bool) {
+    fn set_leadership(&mut self, now: f64, leads: bool) {
         self.lead.role(now, leads);
         self.leases.role(now, leads);
         self.division.role(now, leads);
     }
 
-    fn answer(&mut self, now: f64, question: &[u8]) -> (Vec<u8>, Vec<Vec<u8>>) {
+    fn handle_request(&mut self, now: f64, question: &[u8]) -> HandledRequest {
         let mut commands = Vec::new();
         let mut more: Vec<TaskCommand> = Vec::new();
         let answer = match decode::<Question>(question) {
@@ -348,7 +350,8 @@
             }
             None => Answer::Unreadable,
         };
-        (encode(&answer), commands.iter().map(encode).chain(more.iter().map(of_task)).collect())
+        let commands = commands.iter().map(encode).chain(more.iter().map(of_task)).collect();
+        HandledRequest { response: encode(&answer), commands }
     }
 
     fn tick(&mut self, now: f64) -> Vec<Vec<u8>> {
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -5,7 +5,7 @@
 use crate::node::config::ConfigError;
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use beamgap_config::schema::{Block, Key, Shape};
-use beamgap_consensus::{Seat, SEATS};
+use beamgap_consensus::{VoterSlot, SLOT_STRIDE};
 use beamgap_leases::spec::Spec;
 use beamgap_policy::switch::state::good_name;
 use beamgap_policy::switch::Times;
@@ -21,9 +21,9 @@
     /// This member's name.
     pub member: String,
     /// The deciders by their seats.
-    pub deciders: BTreeMap<Seat, SocketAddr>,
+    pub deciders: BTreeMap<VoterSlot, SocketAddr>,
     /// This member's seat, if it decides.
-    pub seat: Option<Seat>,
+    pub seat: Option<VoterSlot>,
     /// Where it listens for the others, if it decides.
     pub listen: Option<SocketAddr>,
     /// Where it keeps what was agreed on, if it decides.
@@ -108,7 +108,7 @@
     for (i, decider) in list.iter().enumerate() {
         let at = |key: &str| format!("deciders[{i}].{key}");
         let of = |key: &str| decider.get(key).and_then(|v| v.as_str()).unwrap_or_default();
-        let seat = of("seat").parse::<Seat>().ok().filter(|seat| (1..SEATS).contains(seat));
+        let seat = of("seat").parse::<VoterSlot>().ok().filter(|seat| (1..SLOT_STRIDE).contains(seat));
         let Some(seat) = seat.filter(|seat| *seat < 100 && !deciders.contains_key(seat)) else {
             return wrong(
                 &at("seat"),
@@ -124,7 +124,7 @@
             format!("are {n}; write three or five decider blocks (one for trying out)"),
         );
     }
-    let seat = number("seat", 0.0, 1.0, 99.0)? as Seat;
+    let seat = number("seat", 0.0, 1.0, 99.0)? as VoterSlot;
     let seat = (seat > 0).then_some(seat);
     let folder = text("folder").map(PathBuf::from);
     let listen = match (seat, text("listen")) {
--- a/src/fleet/trial.rs
+++ b/src/fleet/trial.rs
@@ -4,8 +4,8 @@
 
 use super::trial_disk::PowerCut;
 use beamgap_budgets::Plant as BudgetPlant;
-use beamgap_consensus::disk::{Files, SharedDisk};
-use beamgap_consensus::{Clock, Plants};
+use beamgap_consensus::disk::{FileDisk, SharedDisk};
+use beamgap_consensus::{Clock, InjectedBugs};
 use beamgap_leases::Plant as LeasePlant;
 use beamgap_policy::switch::Plant;
 use rustix::time::{clock_gettime, ClockId};
@@ -126,7 +126,7 @@
         if self.power {
             Arc::new(PowerCut)
         } else {
-            Arc::new(Files)
+            Arc::new(FileDisk)
         }
     }
 
@@ -151,10 +151,10 @@
     }
 
     /// The council's part of what is planted.
-    pub fn plants(&self) -> Plants {
-        Plants {
-            unconfirmed: self.plant == Plant::UnconfirmedLeader,
-            unsynced: self.plant == Plant::VoteBeforeSync,
+    pub fn plants(&self) -> InjectedBugs {
+        InjectedBugs {
+            unconfirmed_leader: self.plant == Plant::UnconfirmedLeader,
+            unsynced_writes: self.plant == Plant::VoteBeforeSync,
         }
     }
 }
--- a/src/fleet/trial_disk.rs
+++ b/src/fleet/trial_disk.rs
@@ -1,6 +1,6 @@
 //! A disk for tests whose power can be cut: what was not synced is lost with the process, and fsync can be made to fail.
 
-use beamgap_consensus::disk::{Backend, Disk, Files};
+use beamgap_consensus::disk::{Disk, FileDisk, StorageBackend};
 use std::io;
 use std::ops::Range;
 use std::path::{Path, PathBuf};
@@ -14,15 +14,15 @@
 pub struct PowerCut;
 
 impl Disk for PowerCut {
-    fn open(&self, path: &Path, new: bool) -> io::Result<Option<Box<dyn Backend>>> {
-        let Some(inner) = Files.open(path, new)? else { return Ok(None) };
+    fn open(&self, path: &Path, new: bool) -> io::Result<Option<Box<dyn StorageBackend>>> {
+        let Some(inner) = FileDisk.open(path, new)? else { return Ok(None) };
         let bytes = inner.read(0, inner.len()? as usize)?;
         let flag = path.with_file_name(FSYNC_FAILS);
         Ok(Some(Box::new(Cached { inner, flag, state: Mutex::new(State { bytes, dirty: Vec::new() }) })))
     }
 
     fn replace(&self, from: &Path, to: &Path) -> io::Result<()> {
-        Files.replace(from, to)
+        FileDisk.replace(from, to)
     }
 }
 
@@ -35,7 +35,7 @@
 
 #[derive(Debug)]
 struct Cached {
-    inner: Box<dyn Backend>,
+    inner: Box<dyn StorageBackend>,
     flag: PathBuf,
     state: Mutex<State>,
 }
@@ -50,7 +50,7 @@
     io::Error::from(io::ErrorKind::UnexpectedEof)
 }
 
-impl Backend for Cached {
+impl StorageBackend for Cached {
     fn len(&self) -> io::Result<u64> {
         Ok(self.state().bytes.len() as u64)
     }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -6,9 +6,9 @@
 use beamgap::fleet::document;
 use beamgap::fleet::machine::{decode, encode, Answer, FleetMachine, Question, Status};
 use beamgap::fleet::trial::Trial;
-use beamgap_consensus::disk::{Files, SharedDisk};
-use beamgap_consensus::store::{Marker, Store};
-use beamgap_consensus::{Council, Machine, Plants, Settings};
+use beamgap_consensus::disk::{FileDisk, SharedDisk};
+use beamgap_consensus::store::{Store, VoterIdentity};
+use beamgap_consensus::{ConsensusNode, HandledRequest, InjectedBugs, RestoreError, Settings, StateMachine};
 use beamgap_leases::state::{Lease, Outcome as StepOutcome, Run, Step, Task};
 use beamgap_policy::switch::state::{Outcome, Record};
 use beamgap_policy::switch::{Fault, Times};
@@ -50,9 +50,9 @@
     applied: usize,
 }
 
-impl Machine for Observed {
-    fn blank(&mut self) {
-        self.machine.blank();
+impl StateMachine for Observed {
+    fn reset(&mut self) {
+        self.machine.reset();
     }
     fn apply(&mut self, command: &[u8]) {
         self.applied += 1;
@@ -61,15 +61,15 @@
     fn snapshot(&self) -> Vec<u8> {
         self.machine.snapshot()
     }
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), String> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
         self.restored += 1;
         self.machine.restore(snapshot)
     }
-    fn role(&mut self, now: f64, leads: bool) {
-        self.machine.role(now, leads);
+    fn set_leadership(&mut self, now: f64, leads: bool) {
+        self.machine.set_leadership(now, leads);
     }
-    fn answer(&mut self, now: f64, question: &[u8]) -> (Vec<u8>, Vec<Vec<u8>>) {
-        (self.machine.answer(now, question).0, Vec::new())
+    fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest {
+        HandledRequest { commands: Vec::new(), ..self.machine.handle_request(now, request) }
     }
     fn tick(&mut self, _: f64) -> Vec<Vec<u8>> {
         Vec::new()
@@ -88,7 +88,7 @@
 
 /// A voter that was started on the folder.
 struct Started {
-    council: Council,
+    consensus: ConsensusNode,
     machine: Arc<Mutex<Observed>>,
 }
 
@@ -101,27 +101,27 @@
         let settings = Settings {
             fleet: "cedar".to_owned(),
             member: "front-1".to_owned(),
-            deciders: [(1, listener.local_addr().unwrap())].into(),
-            seat: Some(1),
-            folder: Some(folder.to_owned()),
+            voters: [(1, listener.local_addr().unwrap())].into(),
+            slot: Some(1),
+            data_dir: Some(folder.to_owned()),
             seed: 7,
             clock: trial.clock(),
-            plants: Plants::default(),
+            injected_bugs: InjectedBugs::default(),
         };
-        let disk: SharedDisk = Arc::new(Files);
-        let council = Council::start(settings, Some(listener), disk, machine.clone(), || {}).unwrap();
-        Started { council, machine }
+        let disk: SharedDisk = Arc::new(FileDisk);
+        let consensus = ConsensusNode::start(settings, Some(listener), disk, machine.clone(), || {}).unwrap();
+        Started { consensus, machine }
     }
 
     /// Asks until a leader answers.
     fn ask(&self, question: &Question) -> Answer {
         let deadline = Instant::now() + Duration::from_secs(30);
         for tag in 0.. {
-            assert!(Instant::now() < deadline, "no leader answered: {:?}", self.council.status());
-            assert!(self.council.ask(tag, encode(question)));
+            assert!(Instant::now() < deadline, "no leader answered: {:?}", self.consensus.status());
+            assert!(self.consensus.submit(tag, encode(question)));
             std::thread::sleep(Duration::from_millis(50));
-            let answers: Vec<_> = self.council.answers().collect();
-            if let Some(answer) = answers.into_iter().find_map(|(_, answer)| answer) {
+            let answers: Vec<_> = self.consensus.responses().collect();
+            if let Some(answer) = answers.into_iter().find_map(|response| response.body) {
                 return decode(&answer).expect("an answer that can be read");
             }
         }
@@ -158,10 +158,10 @@
 #[test]
 fn a_stored_folder_opens_with_its_cluster_id_snapshot_and_log() {
     let folder = stored_folder();
-    let disk: SharedDisk = Arc::new(Files);
+    let disk: SharedDisk = Arc::new(FileDisk);
     let store = Store::open(folder.path(), &disk, true).unwrap();
-    let marker = Marker { fleet: "cedar".to_owned(), founding: CLUSTER_ID, id: 1 };
-    assert_eq!(store.marker().unwrap(), Some(marker));
+    let identity = VoterIdentity { fleet: "cedar".to_owned(), cluster_id: CLUSTER_ID, node_id: 1 };
+    assert_eq!(store.identity().unwrap(), Some(identity));
     assert_eq!(store.entries(..).unwrap().len(), ENTRIES_IN_LOG);
     for name in ["form", "vote", "purged", "snapshot"] {
         assert!(store.get(name).unwrap().is_some(), "{name}");
@@ -238,6 +238,6 @@
     let observed = started.machine.lock().unwrap();
     assert_eq!(observed.restored, 1);
     assert!((1..ENTRIES_IN_LOG).contains(&observed.applied), "{} entries applied", observed.applied);
-    assert!(started.council.status().log.1 >= LAST_ENTRY, "all entries are applied");
+    assert!(started.consensus.status().log.applied >= LAST_ENTRY, "all entries are applied");
     assert_eq!(observed.snapshot(), STORED_STATE, "the same bytes");
 }
