--- a/examples/fleet_budgets.rs
+++ b/examples/fleet_budgets.rs
@@ -5,7 +5,7 @@
 //! with 64. `look`: what an admission costs with budgets and without.
 
 use beamgap::fleet::budgets::Shares;
-use beamgap::fleet::trial::{machine_clock, Trial};
+use beamgap::fleet::test_hooks::{machine_clock, Trial};
 use beamgap_budgets::lead::Lead;
 use beamgap_budgets::spec::{Amount, Of, Spec};
 use beamgap_budgets::{Plant, Times};
--- a/examples/fleet_policy.rs
+++ b/examples/fleet_policy.rs
@@ -5,7 +5,7 @@
 //! leader's death. `look`: what the gate costs by itself. `cost`: processor time per request with the policy on and off, in turn. `front OLD NEW`: processor time
 //! per request and memory of one front end before 6, 60 and 80 engines, two programs in turn.
 
-use beamgap::fleet::trial::machine_clock;
+use beamgap::fleet::test_hooks::machine_clock;
 use beamgap_policy::document::read;
 use beamgap_policy::rules::{Meter, Ruling};
 use beamgap_rig::history::What;
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::{Asker, End, NO, UNKNOWN};
 use crate::cli::{Ask, Fleet, Seat};
-use beamgap::fleet::machine::{Answer, Question, Status};
+use beamgap::fleet::state_machine::{Answer, Question, Status};
 use beamgap_budgets::lead::Standing;
 use beamgap_consensus::connection::{PeerRequest, PeerResponse, VoterStatus};
 use beamgap_consensus::node::VoterRequestError;
@@ -140,7 +140,7 @@
     };
     let mut all = json!({"fleet": name, "deciders": deciders.iter().map(decider).collect::<Vec<_>>()});
     if let Ok(status) = fleet {
-        let member = |m: &beamgap::fleet::machine::Member| {
+        let member = |m: &beamgap::fleet::state_machine::Member| {
             json!({"member": m.name, "life": format!("{:x}", m.life), "version": m.version,
                 "right": m.holds.as_ref().map(|mark| matches!(mark, Mark::Long)).map(|long| if long {"long"} else {"short"}),
                 "heard_ms": m.heard_ms, "why_not": m.why_not, "note": m.note})
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -4,9 +4,9 @@
 pub mod policy;
 pub mod task;
 
-use beamgap::fleet::machine::{decode, encode, Answer, Question};
 use beamgap::fleet::settings::{self, Fleet};
-use beamgap::fleet::trial::{machine_clock, Trial};
+use beamgap::fleet::state_machine::{decode, encode, Answer, Question};
+use beamgap::fleet::test_hooks::{machine_clock, Trial};
 use beamgap::node::operator;
 use beamgap_consensus::{InjectedBugs, LeaderClient, Settings};
 use std::path::Path;
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -3,8 +3,8 @@
 use super::{text_of, unusable, Asker, End, NO, UNKNOWN, UNUSABLE};
 use crate::cli::{Ask, Follow, Outcome as OutcomeOf, Policy, PolicyCheck, PolicyDiff, Propose, Show};
 use beamgap::fleet::document::{self, usable, Here};
-use beamgap::fleet::machine::{Answer, Question};
-use beamgap::fleet::trial::machine_clock;
+use beamgap::fleet::state_machine::{Answer, Question};
+use beamgap::fleet::test_hooks::machine_clock;
 use beamgap::node::config::Config;
 use beamgap_policy::check::Known;
 use beamgap_policy::switch::state::{Change, Outcome};
--- a/src/commands/task.rs
+++ b/src/commands/task.rs
@@ -2,7 +2,7 @@
 
 use super::{Asker, End, NO, UNKNOWN};
 use crate::cli::{Ask, Named, Task as Asked};
-use beamgap::fleet::machine::{Answer, Question};
+use beamgap::fleet::state_machine::{Answer, Question};
 use beamgap_leases::spec::When;
 use beamgap_leases::state::{Command, Outcome, Task};
 use serde_json::json;
--- a/src/fleet/budgets/mod.rs
+++ b/src/fleet/budgets/mod.rs
@@ -1,7 +1,7 @@
 //! The fleet's budgets in this front end: joins what it holds of them (`crates/budgets`) to the gate, to attempts and to
 //! connections. An admission looks at memory only.
 
-use super::trial::{machine_clock, Trial};
+use super::test_hooks::{machine_clock, Trial};
 use beamgap_budgets::hold::Holder;
 use beamgap_budgets::lead::{Ask, Reply};
 use beamgap_budgets::spec::{Of, Spec};
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -3,10 +3,10 @@
 
 use super::budgets::{Further, Held, Shares};
 use super::document::{usable, Here};
-use super::machine::{decode, encode, Answer, FleetMachine, Question};
 use super::settings::Fleet;
+use super::state_machine::{decode, encode, Answer, FleetMachine, Question};
 use super::tasks::Keeper;
-use super::trial::{machine_clock, Trial};
+use super::test_hooks::{machine_clock, Trial};
 use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
 use beamgap_config::Problem;
 use beamgap_consensus::node::TaggedResponse;
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,7 +1,7 @@
 //! The `fleet` block: which fleet, who decides, where, and the fleet's figures of time.
 
 use super::tasks::read as tasks;
-use super::trial::Trial;
+use super::test_hooks::Trial;
 use crate::node::config::ConfigError;
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use beamgap_config::schema::{Block, Key, Shape};
--- a/src/fleet/tasks/call.rs
+++ b/src/fleet/tasks/call.rs
@@ -3,7 +3,7 @@
 //! The target is told `{"task", "run", "step", "token"}` and the header `Lease-Token`. It answers 2xx for done; 409 if it has seen a
 //! newer token, and any other 4xx if it did nothing; all else leaves open whether the step ran.
 
-use crate::fleet::trial::{machine_clock, Trial};
+use crate::fleet::test_hooks::{machine_clock, Trial};
 use beamgap_consensus::Clock;
 use beamgap_leases::hold::Pass;
 use beamgap_leases::state::{Command, Outcome};
--- a/src/fleet/tasks/mod.rs
+++ b/src/fleet/tasks/mod.rs
@@ -6,7 +6,7 @@
 pub mod call;
 pub mod read;
 
-use super::trial::Trial;
+use super::test_hooks::Trial;
 use beamgap_consensus::Clock;
 use beamgap_leases::hold::{Holder, No};
 use beamgap_leases::lead::{Ask, Reply};
--- a/src/fleet/trial.rs
+++ b/src/fleet/test_hooks.rs
@@ -2,7 +2,7 @@
 //! what was admitted, a disk whose power can be cut, planted faults. Words with commas between: `history`, `rate=1.05`,
 //! `offset=5000`, `jump=2000:5000`, `power`, `leash`, `look=300`, `plant=NAME`.
 
-use super::trial_disk::PowerCut;
+use super::test_disk::PowerCut;
 use beamgap_budgets::Plant as BudgetPlant;
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::{Clock, InjectedBugs};
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -4,8 +4,8 @@
 //! start does. The leader's own commands are left out, so that the state stays as it was stored.
 
 use beamgap::fleet::document;
-use beamgap::fleet::machine::{decode, encode, Answer, FleetMachine, Question, Status};
-use beamgap::fleet::trial::Trial;
+use beamgap::fleet::state_machine::{decode, encode, Answer, FleetMachine, Question, Status};
+use beamgap::fleet::test_hooks::Trial;
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::store::{Store, VoterIdentity};
 use beamgap_consensus::{ConsensusNode, HandledRequest, InjectedBugs, RestoreError, Settings, StateMachine};
