--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -69,6 +69,8 @@
         self.machine.set_leadership(now, leads);
     }
     fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest {
+        // A request may come before the first tick, which reports the leadership.
+        self.machine.set_leadership(now, true);
         HandledRequest { commands: Vec::new(), ..self.machine.handle_request(now, request) }
     }
     fn tick(&mut self, _: f64) -> Vec<Vec<u8>> {
@@ -241,3 +243,23 @@
     assert!(started.consensus.status().log.applied >= LAST_ENTRY, "all entries are applied");
     assert_eq!(observed.snapshot(), STORED_STATE, "the same bytes");
 }
+
+/// A request and its response in the form in which members exchange them.
+#[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
+struct Exchange {
+    request: Vec<u8>,
+    response: Vec<u8>,
+}
+
+#[test]
+fn a_start_on_a_stored_folder_responds_to_stored_requests_with_the_same_bytes() {
+    let folder = stored_folder();
+    let started = Started::on(folder.path());
+    started.status();
+    let stored: Vec<Exchange> = decode(include_bytes!("stored_data/responses.bin")).unwrap();
+    assert_eq!(stored.len(), 8);
+    for exchange in stored {
+        let handled = started.machine.lock().unwrap().handle_request(0.0, &exchange.request);
+        assert_eq!(Exchange { request: exchange.request.clone(), response: handled.response }, exchange);
+    }
+}
