--- a/examples/fleet_budgets.rs
+++ b/examples/fleet_budgets.rs
@@ -5,7 +5,7 @@
 //! with 64. `look`: what an admission costs with budgets and without.
 
 use beamgap::fleet::budgets::Shares;
-use beamgap::fleet::test_hooks::{machine_clock, Trial};
+use beamgap::fleet::test_hooks::{machine_clock, TestHooks};
 use beamgap_budgets::lead::Lead;
 use beamgap_budgets::spec::{Amount, Of, Spec};
 use beamgap_budgets::{Plant, Times};
@@ -156,7 +156,7 @@
     for (name, specs) in
         [("none", Vec::new()), ("one rate", all[..1].to_vec()), ("two rates and a stock", all)]
     {
-        let mut shares = Shares::new("n0", 1, "", &classes, Trial::default());
+        let mut shares = Shares::new("n0", 1, "", &classes, TestHooks::default());
         let mut lead = Lead::new(1, Times::of_right(600_000.0, 0.0), Plant::None);
         lead.role(machine_clock(), true);
         shares.uses(machine_clock(), 1, specs.clone());
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -152,6 +152,7 @@
     /// Members, versions, rights, deciders and their disks.
     Status(Ask),
     /// Found a fleet, once: all deciders must be there with empty folders.
+    #[command(alias = "bootstrap")]
     Found(Ask),
     /// Let a decider that lost its disk back in, or one that is new to the file.
     Readmit(Seat),
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -4,9 +4,9 @@
 pub mod policy;
 pub mod task;
 
-use beamgap::fleet::settings::{self, Fleet};
-use beamgap::fleet::state_machine::{decode, encode, Answer, Question};
-use beamgap::fleet::test_hooks::{machine_clock, Trial};
+use beamgap::fleet::message::{decode, encode, FleetRequest, FleetResponse};
+use beamgap::fleet::settings::{self, FleetSettings};
+use beamgap::fleet::test_hooks::{machine_clock, TestHooks};
 use beamgap::node::operator;
 use beamgap_consensus::{InjectedBugs, LeaderClient, Settings};
 use std::path::Path;
@@ -44,7 +44,7 @@
 }
 
 /// The `fleet` block of an operator's file.
-fn fleet_of(path: &Path) -> Result<Fleet, End> {
+fn fleet_of(path: &Path) -> Result<FleetSettings, End> {
     let name = path.display().to_string();
     let document = operator::read(&name, &text_of(path)?).map_err(unusable)?;
     let root = beamgap::node::json::read(document.root.json().into_bytes()).map_err(unusable)?;
@@ -56,8 +56,8 @@
 
 /// Asks the fleet.
 struct Asker {
-    caller: LeaderClient,
-    fleet: Fleet,
+    client: LeaderClient,
+    fleet: FleetSettings,
     runtime: tokio::runtime::Runtime,
 }
 
@@ -67,27 +67,29 @@
         let settings = Settings {
             fleet: fleet.name.clone(),
             member: "operator".to_owned(),
-            voters: fleet.deciders.clone(),
+            voters: fleet.voters.clone(),
             slot: None,
             data_dir: None,
             seed: machine_clock().to_bits(),
-            clock: Trial::default().clock(),
+            clock: TestHooks::default().clock(),
             injected_bugs: InjectedBugs::default(),
         };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(unusable)?;
-        let caller = LeaderClient::new(&settings, &fleet.deciders, Arc::default());
-        Ok(Asker { caller, fleet, runtime })
+        let client = LeaderClient::new(&settings, &fleet.voters, Arc::default());
+        Ok(Asker { client, fleet, runtime })
     }
 
     /// Asks the leader; `Err` tells why nobody answered.
-    fn ask(&mut self, question: &Question, most: Duration) -> Result<Answer, String> {
-        let bytes =
-            self.runtime.block_on(self.caller.request(encode(question), most)).map_err(|e| e.to_string())?;
+    fn ask(&mut self, request: &FleetRequest, deadline: Duration) -> Result<FleetResponse, String> {
+        let bytes = self
+            .runtime
+            .block_on(self.client.request(encode(request), deadline))
+            .map_err(|e| e.to_string())?;
         match decode(&bytes) {
-            Some(Answer::Unreadable) | None => {
+            Some(FleetResponse::Unreadable) | None => {
                 Err("the leader runs another program: use its own `beamgap`".into())
             }
-            Some(answer) => Ok(answer),
+            Some(response) => Ok(response),
         }
     }
 
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -3,7 +3,7 @@
 use super::{text_of, unusable, Asker, End, NO, UNKNOWN, UNUSABLE};
 use crate::cli::{Ask, Follow, Outcome as OutcomeOf, Policy, PolicyCheck, PolicyDiff, Propose, Show};
 use beamgap::fleet::document::{self, usable, Here};
-use beamgap::fleet::state_machine::{Answer, Question};
+use beamgap::fleet::message::{FleetRequest, FleetResponse, OutcomeReport, PolicyText};
 use beamgap::fleet::test_hooks::machine_clock;
 use beamgap::node::config::Config;
 use beamgap_policy::check::Known;
@@ -111,8 +111,8 @@
     };
     // Made from what is in force now: if that changes before, it is turned down.
     let base = loop {
-        match asker.ask(&Question::Text(None), STEP) {
-            Ok(Answer::Text(Some((version, _)))) => break version,
+        match asker.ask(&FleetRequest::PolicyText(None), STEP) {
+            Ok(FleetResponse::PolicyText(Some(PolicyText { version, .. }))) => break version,
             Ok(_) => return Err(unknown("another answer")),
             Err(why) if Instant::now() >= until => return Err(unknown(&why)),
             Err(_) => {}
@@ -124,7 +124,7 @@
     while Instant::now() < until {
         if in_force.is_none() && sent.is_none_or(|at| at.elapsed() > Duration::from_secs(1)) {
             sent = Some(Instant::now());
-            if let Err(e) = asker.ask(&Question::Propose(change.clone()), STEP) {
+            if let Err(e) = asker.ask(&FleetRequest::Propose(change.clone()), STEP) {
                 why = e;
                 continue;
             }
@@ -135,27 +135,34 @@
                 say(word, serde_json::Value::Null);
             }
         };
-        match asker.ask(&Question::Outcome(id.clone()), STEP) {
-            Ok(Answer::Outcome(Some(Outcome::InForce(version)), behind)) => {
+        match asker.ask(&FleetRequest::Outcome(id.clone()), STEP) {
+            Ok(FleetResponse::Outcome(OutcomeReport {
+                outcome: Some(Outcome::InForce(version)),
+                members_behind: behind,
+            })) => {
                 let since = *in_force.get_or_insert_with(Instant::now);
-                let bound = Duration::from_secs_f64(asker.fleet.times.switch_bound / 1000.0);
+                let bound = Duration::from_secs_f64(asker.fleet.timings.switch_bound / 1000.0);
                 // Who is behind has stopped admitting by then, wherever it is.
                 if behind == 0 || since.elapsed() >= bound {
                     say("done", json!(format!("version {version} is in force everywhere")));
                     return Ok(());
                 }
             }
-            Ok(Answer::Outcome(Some(Outcome::TurnedDown(faults)), _)) => {
+            Ok(FleetResponse::Outcome(OutcomeReport {
+                outcome: Some(Outcome::TurnedDown(faults)), ..
+            })) => {
                 let lines: Vec<_> = faults.iter().map(|f| format!("{}: {}", f.member, f.text)).collect();
                 say("turned down", json!(lines));
                 return Err((NO, format!("{id} was turned down; it was never in force")));
             }
-            Ok(Answer::Outcome(Some(Outcome::TakenBack), _)) => {
+            Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(Outcome::TakenBack), .. })) => {
                 say("taken back", serde_json::Value::Null);
                 return Err((NO, format!("{id} was taken back; it was never in force")));
             }
-            Ok(Answer::Outcome(Some(Outcome::Checking), _)) => tell("is checked by the members"),
-            Ok(Answer::Outcome(Some(Outcome::Decided(_)), _)) => {
+            Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(Outcome::Checking), .. })) => {
+                tell("is checked by the members")
+            }
+            Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(Outcome::Decided(_)), .. })) => {
                 tell("is decided; rights under the old version end")
             }
             Ok(_) => tell("is on its way"),
@@ -171,13 +178,15 @@
     let deadline = Instant::now() + Duration::from_secs(10);
     while Instant::now() < deadline {
         // Where this is lost, the outcome tells so and it is sent again.
-        let _ = asker.ask(&Question::TakeBack(of.id.clone()), STEP);
-        match asker.ask(&Question::Outcome(of.id.clone()), STEP) {
-            Ok(Answer::Outcome(Some(Outcome::TakenBack), _)) => {
+        let _ = asker.ask(&FleetRequest::Withdraw(of.id.clone()), STEP);
+        match asker.ask(&FleetRequest::Outcome(of.id.clone()), STEP) {
+            Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(Outcome::TakenBack), .. })) => {
                 println!("{} taken back", of.id);
                 return Ok(());
             }
-            Ok(Answer::Outcome(Some(outcome), _)) if outcome != Outcome::Checking => {
+            Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(outcome), .. }))
+                if outcome != Outcome::Checking =>
+            {
                 return Err((NO, format!("too late: {} is {}", of.id, word(&outcome))));
             }
             _ => asker.sleep(50),
@@ -201,8 +210,8 @@
 
 fn outcome(of: &OutcomeOf) -> Result<(), End> {
     let mut asker = Asker::new(&of.ask.operator)?;
-    match asker.ask(&Question::Outcome(of.id.clone()), Duration::from_secs(5)) {
-        Ok(Answer::Outcome(Some(outcome), _)) => {
+    match asker.ask(&FleetRequest::Outcome(of.id.clone()), Duration::from_secs(5)) {
+        Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(outcome), .. })) => {
             if of.ask.json {
                 println!(
                     "{}",
@@ -226,8 +235,8 @@
 
 fn show(show: &Show) -> Result<(), End> {
     let mut asker = Asker::new(&show.ask.operator)?;
-    match asker.ask(&Question::Text(show.version), Duration::from_secs(5)) {
-        Ok(Answer::Text(Some((version, text)))) => {
+    match asker.ask(&FleetRequest::PolicyText(show.version), Duration::from_secs(5)) {
+        Ok(FleetResponse::PolicyText(Some(PolicyText { version, text }))) => {
             if show.ask.json {
                 println!("{}", json!({"version": version, "text": text}));
             } else {
@@ -242,8 +251,8 @@
 
 fn history(ask: &Ask) -> Result<(), End> {
     let mut asker = Asker::new(&ask.operator)?;
-    match asker.ask(&Question::History, Duration::from_secs(5)) {
-        Ok(Answer::History(records)) => {
+    match asker.ask(&FleetRequest::History, Duration::from_secs(5)) {
+        Ok(FleetResponse::History(records)) => {
             for r in records {
                 if ask.json {
                     println!("{}", json!({"change": r.id, "by": r.by, "outcome": word(&r.outcome)}));
--- a/src/commands/task.rs
+++ b/src/commands/task.rs
@@ -2,7 +2,7 @@
 
 use super::{Asker, End, NO, UNKNOWN};
 use crate::cli::{Ask, Named, Task as Asked};
-use beamgap::fleet::state_machine::{Answer, Question};
+use beamgap::fleet::message::{FleetRequest, FleetResponse, TaskStatus};
 use beamgap_leases::spec::When;
 use beamgap_leases::state::{Command, Outcome, Task};
 use serde_json::json;
@@ -11,8 +11,6 @@
 const STEP: Duration = Duration::from_millis(800); // for one question to the leader
 const WAIT: Duration = Duration::from_secs(10); // for what was asked to be agreed on
 
-type Told = (Task, Option<f64>);
-
 /// Does what is asked.
 pub fn run(task: Asked) -> Result<(), End> {
     match task {
@@ -39,15 +37,15 @@
     }
 }
 
-fn tasks(asker: &mut Asker, one: Option<&str>) -> Result<Vec<Told>, End> {
-    match asker.ask(&Question::Tasks(one.map(str::to_owned)), STEP) {
-        Ok(Answer::Tasks(all)) => Ok(all),
+fn tasks(asker: &mut Asker, one: Option<&str>) -> Result<Vec<TaskStatus>, End> {
+    match asker.ask(&FleetRequest::Tasks(one.map(str::to_owned)), STEP) {
+        Ok(FleetResponse::Tasks(all)) => Ok(all),
         Ok(_) => Err((UNKNOWN, "another answer".to_owned())),
         Err(why) => Err((UNKNOWN, format!("no leader with a majority: {why}"))),
     }
 }
 
-fn named(asker: &mut Asker, name: &str) -> Result<Told, End> {
+fn named(asker: &mut Asker, name: &str) -> Result<TaskStatus, End> {
     let all = tasks(asker, Some(name))?;
     all.into_iter()
         .next()
@@ -62,21 +60,21 @@
     is: &dyn Fn(&Task, &Task) -> bool,
 ) -> Result<(), End> {
     let mut asker = Asker::new(&of.ask.operator)?;
-    let (before, _) = named(&mut asker, &of.name)?;
+    let TaskStatus { task: before, .. } = named(&mut asker, &of.name)?;
     if command.is_none() && before.lease.is_none() {
         return Err((NO, format!("task {}: nobody holds it", of.name)));
     }
     let patience = command.map_or(Duration::from_secs_f64(before.spec.lease * 1.5 / 1000.0) + WAIT, |_| WAIT);
     let until = Instant::now() + patience;
     let question = match command {
-        Some(command) => Question::Task(command(&before)),
-        None => Question::Release(of.name.clone()),
+        Some(command) => FleetRequest::SubmitTaskCommand(command(&before)),
+        None => FleetRequest::ReleaseLease(of.name.clone()),
     };
     loop {
         // Sent again it is the same command: its run's number, or what it sets.
         let _ = asker.ask(&question, STEP);
         asker.sleep(60);
-        if let Ok((now, _)) = named(&mut asker, &of.name) {
+        if let Ok(TaskStatus { task: now, .. }) = named(&mut asker, &of.name) {
             if is(&before, &now) {
                 println!("task {}: {done}", of.name);
                 return Ok(());
@@ -98,13 +96,15 @@
     let specs = asker.fleet.tasks.clone();
     let until = Instant::now() + WAIT;
     loop {
-        let _ = asker.ask(&Question::Task(Command::Define(specs.clone())), STEP);
+        let _ = asker.ask(&FleetRequest::SubmitTaskCommand(Command::Define(specs.clone())), STEP);
         asker.sleep(60);
         let known = tasks(&mut asker, None).unwrap_or_default();
         let same = |spec: &beamgap_leases::spec::Spec| {
-            known.iter().any(|(task, _)| task.spec == *spec && !task.gone)
+            known.iter().any(|TaskStatus { task, .. }| task.spec == *spec && !task.gone)
         };
-        if known.iter().filter(|(task, _)| !task.gone).count() == specs.len() && specs.iter().all(same) {
+        if known.iter().filter(|TaskStatus { task, .. }| !task.gone).count() == specs.len()
+            && specs.iter().all(same)
+        {
             println!("{} tasks are known to the fleet", specs.len());
             return Ok(());
         }
@@ -114,7 +114,7 @@
     }
 }
 
-fn as_json((task, ago): &Told) -> serde_json::Value {
+fn as_json(TaskStatus { task, renewed_ms_ago: ago }: &TaskStatus) -> serde_json::Value {
     let run = task.run.as_ref().map(|run| {
         json!({"no": run.no, "next": run.next, "of": task.spec.steps, "open": run.open.is_some(), "halted": run.halted})
     });
@@ -136,7 +136,7 @@
     task.lease.as_ref().and(ago).map(|ago| (task.spec.lease - ago).max(0.0).round())
 }
 
-fn line((task, ago): &Told) -> String {
+fn line(TaskStatus { task, renewed_ms_ago: ago }: &TaskStatus) -> String {
     let held = match &task.lease {
         Some(lease) => {
             let left = left(task, *ago).map_or("not renewed lately".to_owned(), |ms| format!("{ms} ms left"));
@@ -172,7 +172,7 @@
         return Ok(());
     }
     println!("{}", line(&told));
-    for s in &told.0.record {
+    for s in &told.task.record {
         let outcome = match &s.outcome {
             Outcome::Done => "done".to_owned(),
             Outcome::NeverRan(why) => format!("never ran: {why}"),
--- a/src/fleet/budgets/mod.rs
+++ b/src/fleet/budgets/mod.rs
@@ -1,7 +1,7 @@
 //! The fleet's budgets in this front end: joins what it holds of them (`crates/budgets`) to the gate, to attempts and to
 //! connections. An admission looks at memory only.
 
-use super::test_hooks::{machine_clock, Trial};
+use super::test_hooks::{machine_clock, TestHooks};
 use beamgap_budgets::hold::Holder;
 use beamgap_budgets::lead::{Ask, Reply};
 use beamgap_budgets::spec::{Of, Spec};
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Shares {
     holder: Holder,
-    trial: Trial,
+    hooks: TestHooks,
     classes: Vec<String>,
     /// By name of a stock: as many hold it as there are others beside this one.
     stocks: BTreeMap<String, Rc<()>>,
@@ -62,9 +62,9 @@
     pub fn take(&self, name: &str) -> bool {
         let mut shares = self.shares.borrow_mut();
         let machine = machine_clock();
-        let now = shares.trial.taken(machine);
+        let now = shares.hooks.member_time(machine);
         let may = self.binding.further.is_empty() || shares.take(now, &self.binding.further).is_ok();
-        if may && shares.trial.history {
+        if may && shares.hooks.write_history {
             eprintln!("history further t={machine:.3} id={name}");
         }
         may
@@ -73,10 +73,10 @@
 
 impl Shares {
     /// A member that has just started: no budget is in use.
-    pub fn new(member: &str, life: u64, zone: &str, classes: &[String], trial: Trial) -> Shares {
+    pub fn new(member: &str, life: u64, zone: &str, classes: &[String], hooks: TestHooks) -> Shares {
         Shares {
-            holder: Holder::new((member.to_owned(), life), zone, trial.budgets),
-            trial,
+            holder: Holder::new((member.to_owned(), life), zone, hooks.budget_bug),
+            hooks,
             classes: classes.to_vec(),
             stocks: BTreeMap::new(),
             counts: Vec::new(),
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -3,10 +3,11 @@
 
 use super::budgets::{Further, Held, Shares};
 use super::document::{usable, Here};
-use super::settings::Fleet;
-use super::state_machine::{decode, encode, Answer, FleetMachine, Question};
+use super::message::{decode, encode, FleetRequest, FleetResponse};
+use super::settings::FleetSettings;
+use super::state_machine::FleetStateMachine;
 use super::tasks::Keeper;
-use super::test_hooks::{machine_clock, Trial};
+use super::test_hooks::{machine_clock, TestHooks};
 use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
 use beamgap_config::Problem;
 use beamgap_consensus::node::TaggedResponse;
@@ -60,7 +61,7 @@
     asked: (u64, f64),
     /// Until then only the policy is asked for: the leader runs an older program, which knows no tasks.
     plain_until: f64,
-    trial: Trial,
+    hooks: TestHooks,
     /// The list as it was told, to offer it anew when the policy changes.
     listed: BTreeMap<EngineId, Member>,
     /// The loop's turn's reading, for a fault that tests plant.
@@ -78,43 +79,42 @@
 impl Gate {
     /// Takes part in the fleet. `wake` ends the loop's wait when the council has answered.
     pub fn start(
-        fleet: &Fleet,
+        fleet: &FleetSettings,
         module: &ModuleSettings,
         zones: &[String],
         seed: u64,
         wake: impl Fn() + Send + Sync + 'static,
     ) -> io::Result<Gate> {
-        fleet.trial.hold_leash();
+        fleet.test_hooks.watch_stdin();
         let listener = fleet.listen.map(std::net::TcpListener::bind).transpose()?;
         // A life is told from others by when it began: two processes never begin within the same nanosecond by one name.
         let life = machine_clock().to_bits() ^ u64::from(std::process::id()).rotate_left(48) ^ seed;
         let settings = Settings {
             fleet: fleet.name.clone(),
             member: fleet.member.clone(),
-            voters: fleet.deciders.clone(),
-            slot: fleet.seat,
-            data_dir: fleet.folder.clone(),
+            voters: fleet.voters.clone(),
+            slot: fleet.slot,
+            data_dir: fleet.data_dir.clone(),
             seed: life,
-            clock: fleet.trial.clock(),
-            injected_bugs: fleet.trial.plants(),
+            clock: fleet.test_hooks.clock(),
+            injected_bugs: fleet.test_hooks.consensus_bugs(),
         };
         let wake: Arc<dyn Fn() + Send + Sync> = Arc::new(wake);
         let woken = wake.clone();
         let zone = zones.first().map(String::as_str).unwrap_or_default();
-        let tasks = Keeper::new(&fleet.member, life, zone, fleet.trial, wake);
-        let machine =
-            FleetMachine::new(fleet.times, life, fleet.trial.plant, fleet.trial.leases, fleet.trial.budgets);
+        let tasks = Keeper::new(&fleet.member, life, zone, fleet.test_hooks, wake);
+        let machine = FleetStateMachine::new(fleet.timings, life, &fleet.test_hooks);
         let machine = Arc::new(Mutex::new(machine));
         let consensus =
-            ConsensusNode::start(settings, listener, fleet.trial.disk(), machine, move || woken())?;
+            ConsensusNode::start(settings, listener, fleet.test_hooks.disk(), machine, move || woken())?;
         let classes: Vec<String> = module.classes.iter().map(|c| c.name.clone()).collect();
         let accounts = module.tenants.iter().map(|t| t.name.clone()).collect();
         let deadlines = module.classes.iter().map(|c| c.deadline.as_millis()).collect();
         let names = Known { classes: classes.clone(), accounts, zones: zones.to_vec() };
-        let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.trial);
+        let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.test_hooks);
         Ok(Gate {
             consensus,
-            hold: Hold::new(&fleet.member, life, FORM, fleet.trial.plant),
+            hold: Hold::new(&fleet.member, life, FORM, fleet.test_hooks.policy_bug),
             here: Here { names, deadlines },
             ruling: Rc::new(Ruling::new(Policy::default(), &classes)),
             classes,
@@ -123,7 +123,7 @@
             shares: Rc::new(RefCell::new(shares)),
             asked: (0, 0.0),
             plain_until: f64::NEG_INFINITY,
-            trial: fleet.trial,
+            hooks: fleet.test_hooks,
             listed: BTreeMap::new(),
             turn: 0.0,
             was_shut: true,
@@ -145,7 +145,7 @@
 
     /// The member's clock now.
     pub fn now(&self) -> f64 {
-        self.trial.taken(machine_clock())
+        self.hooks.member_time(machine_clock())
     }
 
     /// How long until the council is to be asked again, in milliseconds.
@@ -163,7 +163,11 @@
     ) -> Result<Admitted, f64> {
         // Read for this request: the process may have stood still since the loop's turn began.
         let machine = machine_clock();
-        let now = if self.trial.plant == Plant::StaleClock { self.turn } else { self.trial.taken(machine) };
+        let now = if self.hooks.policy_bug == Plant::StaleClock {
+            self.turn
+        } else {
+            self.hooks.member_time(machine)
+        };
         let admitted = match self.hold.admits(now) {
             None => Err(("right", NO_RIGHT_BACKOFF)),
             Some(version) => match self.meter.admit(now, &self.ruling, class, account, open) {
@@ -183,7 +187,7 @@
                 Err(No::Open) => Err(("open", RULE_BACKOFF)),
             },
         };
-        if self.trial.history {
+        if self.hooks.write_history {
             match &admitted {
                 Ok(a) => {
                     let (version, account) = (a.version, account.unwrap_or_default());
@@ -229,13 +233,13 @@
         let answers: Vec<_> = self.consensus.responses().collect();
         for TaggedResponse { tag: round, body: answer } in answers {
             let now = self.now();
-            match answer.as_deref().and_then(decode::<Answer>) {
-                Some(Answer::Renewed(reply)) => {
+            match answer.as_deref().and_then(decode::<FleetResponse>) {
+                Some(FleetResponse::Policy(reply)) => {
                     for act in self.hold.reply(now, reply) {
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
-                Some(Answer::All(reply, leases, shares)) => {
+                Some(FleetResponse::All(reply, leases, shares)) => {
                     if round == self.asked.0 {
                         self.tasks.reply(self.asked.1, leases);
                         self.shares.borrow_mut().reply(now, shares);
@@ -244,7 +248,7 @@
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
-                Some(Answer::Both(reply, leases)) => {
+                Some(FleetResponse::PolicyAndTasks(reply, leases)) => {
                     if round == self.asked.0 {
                         self.tasks.reply(self.asked.1, leases);
                     }
@@ -252,7 +256,7 @@
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
-                Some(Answer::Unreadable) => {
+                Some(FleetResponse::Unreadable) => {
                     self.plain_until = now + PLAIN;
                     self.hold.no_answer(now, round);
                 }
@@ -273,13 +277,13 @@
             let round = ask.round;
             self.asked = (round, now);
             let question = match now < self.plain_until {
-                true => Question::Renew(ask),
+                true => FleetRequest::PollPolicy(ask),
                 false if self.shares.borrow().is_empty() => {
-                    Question::Both(ask, self.tasks.ask(), self.tasks.wants(now, open))
+                    FleetRequest::PollPolicyAndTasks(ask, self.tasks.ask(), self.tasks.wants(now, open))
                 }
                 false => {
                     let shares = self.shares.borrow_mut().ask(now, round);
-                    Question::All(ask, self.tasks.ask(), self.tasks.wants(now, open), shares)
+                    FleetRequest::PollAll(ask, self.tasks.ask(), self.tasks.wants(now, open), shares)
                 }
             };
             if !self.consensus.submit(round, encode(&question)) {
@@ -324,7 +328,7 @@
                     changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
                     self.hold.used(version, Ok(()));
                     lines.push(format!("fleet: policy version={version} in use"));
-                    if self.trial.history {
+                    if self.hooks.write_history {
                         let hash =
                             text.bytes().fold(0u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
                         eprintln!("history use t={:.3} v={version} hash={hash:x}", machine_clock());
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,7 +1,7 @@
 //! The `fleet` block: which fleet, who decides, where, and the fleet's figures of time.
 
 use super::tasks::read as tasks;
-use super::test_hooks::Trial;
+use super::test_hooks::TestHooks;
 use crate::node::config::ConfigError;
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use beamgap_config::schema::{Block, Key, Shape};
@@ -15,25 +15,25 @@
 
 /// How a front end takes part in its fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// The fleet's name.
     pub name: String,
     /// This member's name.
     pub member: String,
     /// The deciders by their seats.
-    pub deciders: BTreeMap<VoterSlot, SocketAddr>,
+    pub voters: BTreeMap<VoterSlot, SocketAddr>,
     /// This member's seat, if it decides.
-    pub seat: Option<VoterSlot>,
+    pub slot: Option<VoterSlot>,
     /// Where it listens for the others, if it decides.
     pub listen: Option<SocketAddr>,
     /// Where it keeps what was agreed on, if it decides.
-    pub folder: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// The fleet's figures, used when it is founded.
-    pub times: Times,
+    pub timings: Times,
     /// The tasks of its file, for `beamgap task apply`.
     pub tasks: Vec<Spec>,
     /// What a test has set.
-    pub trial: Trial,
+    pub test_hooks: TestHooks,
 }
 
 /// What may stand in the block.
@@ -76,7 +76,7 @@
     fleet: &OwnedValue,
     node: &str,
     env: &dyn Fn(&str) -> Option<String>,
-) -> Result<Fleet, ConfigError> {
+) -> Result<FleetSettings, ConfigError> {
     let text = |key: &str| fleet.get(key).and_then(|v| v.as_str());
     let number = |key: &str, absent: f64, least: f64, most: f64| match fleet.get(key).map(json::number) {
         None => Ok(absent),
@@ -153,16 +153,16 @@
     if times.right < 2.0 * times.switch_bound {
         return wrong("right_ms", "is under twice the switch_bound: a leader's death would stop the fleet");
     }
-    let trial = Trial::of(env).or_else(|e| wrong("trial", e))?;
-    Ok(Fleet {
+    let test_hooks = TestHooks::from_env(env).or_else(|e| wrong("trial", e.to_string()))?;
+    Ok(FleetSettings {
         name: name.to_owned(),
         member: member.to_owned(),
-        deciders,
-        seat,
+        voters: deciders,
+        slot: seat,
         listen,
-        folder,
-        times,
+        data_dir: folder,
+        timings: times,
         tasks: tasks::read(fleet)?,
-        trial,
+        test_hooks,
     })
 }
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -1,190 +1,167 @@
-//! Policy, tasks and budgets as commands and questions of the council.
+//! The fleet's replicated state machine: policy and tasks in the log, budgets at the leader.
+//!
+//! Policy, leases and budgets do not know each other. Here their commands share one log, and their leaders handle the
+//! requests of members and operators together.
 
 use super::document;
-use beamgap_budgets::lead::{Ask as BudgetAsk, Lead as BudgetLead, Reply as BudgetReply, Standing};
-use beamgap_budgets::spec::Spec as Budget;
-use beamgap_budgets::{Plant as BudgetPlant, Times as BudgetTimes};
+use super::message::{
+    decode, encode, FleetRequest, FleetResponse, FleetStatus, LogCommand, MemberSummary, OutcomeReport,
+    PendingSummary, PolicyText, TaskStatus,
+};
+use super::test_hooks::TestHooks;
+use beamgap_budgets::lead::{
+    Ask as BudgetPollRequest, Lead as BudgetLeader, Reply as BudgetPollResponse, Standing as BudgetStatus,
+};
+use beamgap_budgets::spec::Spec as BudgetSpec;
+use beamgap_budgets::Times as BudgetTimings;
 use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
-use beamgap_leases::lead::{self, Lead as LeaseLead};
-use beamgap_leases::state::{Command as TaskCommand, State as Tasks, Task};
-use beamgap_leases::{Clocks, Plant as LeasePlant, Token};
-use beamgap_policy::switch::lead::Lead;
-use beamgap_policy::switch::state::{Change, Command, Outcome, Record, State};
-use beamgap_policy::switch::{Ask, Mark, Plant, Reply, Times, Version};
-use serde::{Deserialize, Serialize};
+use beamgap_leases::lead::{Ask as LeasePollRequest, Lead as LeaseLeader, Reply as LeasePollResponse};
+use beamgap_leases::state::{Command as TaskCommand, State as TaskState, Task};
+use beamgap_leases::{Clocks as ClockBounds, Token as FencingToken};
+use beamgap_policy::switch::lead::Lead as PolicyLeader;
+use beamgap_policy::switch::state::{Command as PolicyCommand, State as PolicyState, EMPTY as EMPTY_POLICY};
+use beamgap_policy::switch::{
+    Ask as PolicyPollRequest, Reply as PolicyPollResponse, Times as PolicyTimings, Version,
+};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What is asked of the leader.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Question {
-    /// A member renews its right.
-    Renew(Ask),
-    /// An operator proposes a change.
-    Propose(Change),
-    /// An operator takes one back.
-    TakeBack(String),
-    /// What became of a change?
-    Outcome(String),
-    /// How the fleet is.
-    Status,
-    /// What became of changes.
-    History,
-    /// The text of a version; of the one in force if none is named.
-    Text(Option<Version>),
-    /// A member renews its right and all its leases, and has these commands agreed on.
-    Both(Ask, lead::Ask, Vec<TaskCommand>),
-    /// An operator has something agreed on of a task.
-    Task(TaskCommand),
-    /// An operator has a task's lease not be renewed any more.
-    Release(String),
-    /// How tasks stand: all, without their records, or one with it.
-    Tasks(Option<String>),
-    /// As [`Question::Both`], where the policy in use has budgets.
-    All(Ask, lead::Ask, Vec<TaskCommand>, BudgetAsk),
-    /// How budgets are divided.
-    Budgets,
-}
+/// What stands for the file's name in errors of a policy's text.
+const POLICY_FILE: &str = "policy";
 
-/// What the leader answers.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
-    /// To a renewal.
-    Renewed(Reply),
-    /// Taken: ask for its outcome.
-    Taken,
-    /// What became of a change, as far as it is known, and how many members still stand under the version before.
-    Outcome(Option<Outcome>, usize),
-    /// How the fleet is.
-    Status(Box<Status>),
-    /// Changes, oldest first.
-    History(Vec<Record>),
-    /// A version's text.
-    Text(Option<(Version, String)>),
-    /// The question can't be read: it comes from another program.
-    Unreadable,
-    /// To a renewal of both.
-    Both(Reply, lead::Reply),
-    /// Tasks, with the milliseconds since each one's lease was renewed.
-    Tasks(Vec<(Task, Option<f64>)>),
-    /// To a renewal of all.
-    All(Reply, lead::Reply, BudgetReply),
-    /// Budgets as they are divided.
-    Budgets(Vec<Standing>),
+/// The budgets of one version of the policy.
+#[derive(Debug, Default)]
+struct VersionBudgets {
+    /// The version; none if no version was read yet.
+    version: Option<Version>,
+    specs: Vec<BudgetSpec>,
 }
 
-/// How the fleet is, as its leader sees it.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Status {
-    /// The version in force.
-    pub version: Version,
-    /// The change under way: id, who asked, whether it is decided.
-    pub pending: Option<(String, String, bool)>,
-    /// Its figures of time.
-    pub times: Option<Times>,
-    /// Its members.
-    pub members: Vec<Member>,
+/// The fleet's state machine.
+#[derive(Debug)]
+pub struct FleetStateMachine {
+    policy: PolicyState,
+    policy_leader: PolicyLeader,
+    /// The timings that a new fleet gets.
+    initial_timings: PolicyTimings,
+    tasks: TaskState,
+    lease_leader: LeaseLeader,
+    budgets: VersionBudgets,
+    budget_leader: BudgetLeader,
 }
 
-/// A member, as the leader last heard of it.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Member {
-    /// Its name.
-    pub name: String,
-    /// Its life.
-    pub life: u64,
-    /// The version that it has.
-    pub version: Option<Version>,
-    /// What its right was worth when it last asked.
-    pub holds: Option<Mark>,
-    /// How long ago that was, in milliseconds; none if not since this leader leads.
-    pub heard_ms: Option<f64>,
-    /// Why it admits nothing, if so.
-    pub why_not: Option<String>,
-    /// Its note.
-    pub note: String,
+/// A response, and the commands that follow from the request.
+struct Handled {
+    response: FleetResponse,
+    commands: Vec<LogCommand>,
 }
 
-/// Encodes what goes over the council.
-pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Such a value always has a form; an empty one is read by nobody.
-    postcard::to_stdvec(value).unwrap_or_default()
-}
+impl Handled {
+    fn response(response: FleetResponse) -> Handled {
+        Handled { response, commands: Vec::new() }
+    }
 
-/// The other way.
-pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
-    postcard::from_bytes(bytes).ok()
+    fn accepted(command: LogCommand) -> Handled {
+        Handled { response: FleetResponse::Accepted, commands: vec![command] }
+    }
 }
 
-/// What a task's command begins with in the log: no command of the policy does.
-const TASK: u8 = 0xff;
-
-fn of_task(command: &TaskCommand) -> Vec<u8> {
-    [vec![TASK], encode(command)].concat()
+/// What a poll for policy and tasks gives.
+struct PolicyAndTasks {
+    policy: PolicyPollResponse,
+    leases: LeasePollResponse,
+    commands: Vec<LogCommand>,
 }
 
-/// The policy and the tasks, as the council's machine.
-#[derive(Debug)]
-pub struct FleetMachine {
-    state: State,
-    lead: Lead,
-    times: Times,
-    tasks: Tasks,
-    leases: LeaseLead,
-    /// The budgets of a version, as its text says.
-    budgets: (Option<Version>, Vec<Budget>),
-    division: BudgetLead,
+fn policy_commands(commands: Vec<PolicyCommand>) -> impl Iterator<Item = LogCommand> {
+    commands.into_iter().map(LogCommand::Policy)
 }
 
-impl FleetMachine {
-    /// One with nothing agreed on yet; `times` are those that a fleet is founded with.
-    /// The seed is unlike that of any other life.
-    pub fn new(
-        times: Times,
-        seed: u64,
-        plant: Plant,
-        leases: LeasePlant,
-        budgets: BudgetPlant,
-    ) -> FleetMachine {
-        let clocks = Clocks { drift: times.drift, ..Clocks::default() };
-        let leases = LeaseLead::new(clocks, leases);
-        let lead = Lead::planted(plant);
-        let division = BudgetLead::new(seed, BudgetTimes::of_right(times.right, times.drift), budgets);
-        let (state, tasks, budgets) = (State::default(), Tasks::default(), (None, Vec::new()));
-        FleetMachine { state, lead, times, tasks, leases, budgets, division }
+impl FleetStateMachine {
+    /// An empty one. A new fleet gets `timings`; `seed` differs for each incarnation of the member.
+    pub fn new(timings: PolicyTimings, seed: u64, hooks: &TestHooks) -> FleetStateMachine {
+        let clock_bounds = ClockBounds { drift: timings.drift, ..ClockBounds::default() };
+        let budget_timings = BudgetTimings::of_right(timings.right, timings.drift);
+        FleetStateMachine {
+            policy: PolicyState::default(),
+            policy_leader: PolicyLeader::planted(hooks.policy_bug),
+            initial_timings: timings,
+            tasks: TaskState::default(),
+            lease_leader: LeaseLeader::new(clock_bounds, hooks.lease_bug),
+            budgets: VersionBudgets::default(),
+            budget_leader: BudgetLeader::new(seed, budget_timings, hooks.budget_bug),
+        }
     }
 
-    /// Reads the budgets of the version in force, if they are not those that were read last.
+    /// Reads the budgets of the active version, unless they are read already.
     fn read_budgets(&mut self) {
-        let version = self.state.version();
-        if self.budgets.0 != Some(version) {
-            let read = document::read("policy", self.state.text()).ok();
-            self.budgets = (Some(version), read.map(|read| read.budgets).unwrap_or_default());
-            let times = self.state.times.unwrap_or(self.times);
-            self.division.timed(BudgetTimes::of_right(times.right, times.drift));
+        let version = self.policy.version();
+        if self.budgets.version == Some(version) {
+            return;
         }
+        let read = document::read(POLICY_FILE, self.policy.text()).ok();
+        let specs = read.map(|read| read.budgets).unwrap_or_default();
+        self.budgets = VersionBudgets { version: Some(version), specs };
+        let timings = self.policy.times.unwrap_or(self.initial_timings);
+        self.budget_leader.timed(BudgetTimings::of_right(timings.right, timings.drift));
     }
 
-    fn renew(&mut self, now: f64, ask: &Ask, lease: &lead::Ask) -> (Reply, lead::Reply, Vec<Command>) {
-        let (reply, changes) = self.lead.answer(now, &self.state, ask);
-        // Only members hold leases: who is none yet is told so by the policy's answer.
-        let joined =
-            lease.who == (ask.member.clone(), ask.life) && self.state.members.contains_key(&lease.who);
-        let told = if joined { self.leases.answer(now, &self.tasks, lease) } else { lead::Reply::default() };
-        (reply, told, changes)
-    }
-
-    /// Holds back the tasks that the policy in force forbids; the same at all deciders, as the text is.
-    fn forbid(&mut self) {
-        let read = document::read("policy", self.state.text()).ok();
+    /// Tells the tasks which of them the active policy forbids.
+    fn forbid_tasks(&mut self) {
+        let read = document::read(POLICY_FILE, self.policy.text()).ok();
         let names = read.map(|read| read.read.policy.forbidden.into_iter().collect()).unwrap_or_default();
         self.tasks.apply(&TaskCommand::Forbid(names));
     }
 
-    /// What a member may have agreed on: of leases that are its own.
-    fn own(&self, ask: &lead::Ask, command: &TaskCommand) -> bool {
-        let holds = |task: &str, token: Token| {
+    fn poll_policy(&mut self, now: f64, request: &PolicyPollRequest) -> Handled {
+        let (response, commands) = self.policy_leader.answer(now, &self.policy, request);
+        let commands = policy_commands(commands).collect();
+        Handled { response: FleetResponse::Policy(response), commands }
+    }
+
+    fn poll_policy_and_tasks(
+        &mut self,
+        now: f64,
+        policy_request: &PolicyPollRequest,
+        lease_request: &LeasePollRequest,
+        task_commands: Vec<TaskCommand>,
+    ) -> PolicyAndTasks {
+        let own_commands: Vec<TaskCommand> = task_commands
+            .into_iter()
+            .filter(|command| self.is_of_own_lease(lease_request, command))
+            .collect();
+        let (policy, commands) = self.policy_leader.answer(now, &self.policy, policy_request);
+        // Only members hold leases. One that is not a member yet learns it from the policy's response.
+        let is_member = lease_request.who == (policy_request.member.clone(), policy_request.life)
+            && self.policy.members.contains_key(&lease_request.who);
+        let leases = if is_member {
+            self.lease_leader.answer(now, &self.tasks, lease_request)
+        } else {
+            LeasePollResponse::default()
+        };
+        let own_commands = own_commands.into_iter().map(LogCommand::Task);
+        PolicyAndTasks { policy, leases, commands: policy_commands(commands).chain(own_commands).collect() }
+    }
+
+    fn poll_budgets(
+        &mut self,
+        now: f64,
+        policy_request: PolicyPollRequest,
+        budget_request: &BudgetPollRequest,
+    ) -> BudgetPollResponse {
+        self.read_budgets();
+        if budget_request.who != (policy_request.member, policy_request.life) {
+            return BudgetPollResponse::default();
+        }
+        let version = self.policy.version();
+        let specs = &self.budgets.specs;
+        self.budget_leader.answer(now, version, specs, &self.policy.members, budget_request)
+    }
+
+    /// Whether a command is one that a member may submit: of a lease that it holds.
+    fn is_of_own_lease(&self, request: &LeasePollRequest, command: &TaskCommand) -> bool {
+        let holds = |task: &str, token: FencingToken| {
             let lease = self.tasks.tasks.get(task).and_then(|task| task.lease.as_ref());
-            lease.is_some_and(|lease| lease.token == token && lease.who == ask.who)
+            lease.is_some_and(|lease| lease.token == token && lease.who == request.who)
         };
         match command {
             TaskCommand::Begin { task, token, .. }
@@ -194,176 +171,219 @@
         }
     }
 
-    fn told(&self, now: f64, one: Option<&str>) -> Vec<(Task, Option<f64>)> {
-        let renewed = |task: &Task| task.lease.as_ref().and_then(|l| self.leases.renewed_ago(now, l.token));
-        let all = self.tasks.tasks.values().filter(|task| one.is_none_or(|name| name == task.spec.name));
-        let shown = |task: &Task| {
-            let mut shown = task.clone();
-            if one.is_none() {
-                shown.record.clear();
+    fn release_lease(&mut self, now: f64, task: &str) {
+        let lease = self.tasks.tasks.get(task).and_then(|task| task.lease.as_ref());
+        if let Some(lease) = lease {
+            self.lease_leader.release(now, lease.token);
+        }
+    }
+
+    fn task_status(&self, now: f64, task: &Task) -> TaskStatus {
+        let lease = task.lease.as_ref();
+        let renewed_ms_ago = lease.and_then(|lease| self.lease_leader.renewed_ago(now, lease.token));
+        TaskStatus { task: task.clone(), renewed_ms_ago }
+    }
+
+    /// The task of this name with its history, or all tasks without theirs.
+    fn task_statuses(&self, now: f64, name: Option<&str>) -> Vec<TaskStatus> {
+        let tasks = self.tasks.tasks.values();
+        let Some(name) = name else {
+            let mut statuses: Vec<_> = tasks.map(|task| self.task_status(now, task)).collect();
+            for status in &mut statuses {
+                status.task.record.clear();
             }
-            (shown, renewed(task))
+            return statuses;
         };
-        all.map(shown).collect()
+        let named = tasks.filter(|task| task.spec.name == name);
+        named.map(|task| self.task_status(now, task)).collect()
+    }
+
+    fn status(&self, now: f64) -> FleetStatus {
+        let pending = self.policy.pending.as_ref().map(|pending| PendingSummary {
+            id: pending.id.clone(),
+            by: pending.by.clone(),
+            committed: pending.decided,
+        });
+        let members = self.policy.members.keys().map(|(name, incarnation)| {
+            let member = (name.clone(), *incarnation);
+            self.member_summary(now, &member)
+        });
+        FleetStatus {
+            version: self.policy.version(),
+            pending,
+            timings: self.policy.times,
+            members: members.collect(),
+        }
+    }
+
+    fn member_summary(&self, now: f64, member: &(String, u64)) -> MemberSummary {
+        let (name, incarnation) = member.clone();
+        match self.policy_leader.heard().get(member) {
+            Some(last) => MemberSummary {
+                name,
+                incarnation,
+                version: last.version,
+                lease: last.holds.clone(),
+                polled_ms_ago: Some(now - last.at),
+                blocked_reason: last.why_not.clone(),
+                note: last.note.clone(),
+            },
+            None => MemberSummary { name, incarnation, ..MemberSummary::default() },
+        }
+    }
+
+    fn outcome_report(&self, now: f64, id: &str) -> OutcomeReport {
+        OutcomeReport { outcome: self.policy.outcome(id), members_behind: self.members_behind(now) }
+    }
+
+    /// Members that polled within the length of a long lease, and do not have the active version yet.
+    fn members_behind(&self, now: f64) -> usize {
+        let active = Some(self.policy.version());
+        let lease_length = self.policy.times.map_or(0.0, |times| times.right);
+        let statuses = self.policy_leader.heard().values();
+        statuses.filter(|last| last.version != active && now - last.at < lease_length).count()
+    }
+
+    fn policy_text(&self, version: Option<Version>) -> Option<PolicyText> {
+        let version = version.unwrap_or(self.policy.version());
+        let kept = self.policy.versions.iter().find(|(kept, _)| *kept == version);
+        match kept {
+            Some((version, text)) => Some(PolicyText { version: *version, text: text.clone() }),
+            None if version == 0 => Some(PolicyText { version: 0, text: EMPTY_POLICY.to_owned() }),
+            None => None,
+        }
+    }
+
+    fn budget_statuses(&mut self, now: f64) -> Vec<BudgetStatus> {
+        self.read_budgets();
+        self.tick_budgets(now);
+        self.budget_leader.standings()
+    }
+
+    fn tick_budgets(&mut self, now: f64) {
+        let version = self.policy.version();
+        self.budget_leader.tick(now, version, &self.budgets.specs, &self.policy.members);
     }
 
-    fn status(&self, now: f64) -> Status {
-        let member = |who: &(String, u64)| {
-            let heard = self.lead.heard().get(who);
-            Member {
-                name: who.0.clone(),
-                life: who.1,
-                version: heard.and_then(|h| h.version),
-                holds: heard.and_then(|h| h.holds.clone()),
-                heard_ms: heard.map(|h| now - h.at),
-                why_not: heard.and_then(|h| h.why_not.clone()),
-                note: heard.map(|h| h.note.clone()).unwrap_or_default(),
+    fn handle(&mut self, now: f64, request: FleetRequest) -> Handled {
+        match request {
+            FleetRequest::PollPolicy(policy) => self.poll_policy(now, &policy),
+            FleetRequest::PollPolicyAndTasks(policy, leases, commands) => {
+                let polled = self.poll_policy_and_tasks(now, &policy, &leases, commands);
+                let response = FleetResponse::PolicyAndTasks(polled.policy, polled.leases);
+                Handled { response, commands: polled.commands }
             }
-        };
-        let pending = self.state.pending.as_ref().map(|p| (p.id.clone(), p.by.clone(), p.decided));
-        let members = self.state.members.keys().map(member).collect();
-        Status { version: self.state.version(), pending, times: self.state.times, members }
+            FleetRequest::PollAll(policy, leases, commands, budgets) => {
+                let polled = self.poll_policy_and_tasks(now, &policy, &leases, commands);
+                let shares = self.poll_budgets(now, policy, &budgets);
+                let response = FleetResponse::All(polled.policy, polled.leases, shares);
+                Handled { response, commands: polled.commands }
+            }
+            FleetRequest::SubmitTaskCommand(command) => Handled::accepted(LogCommand::Task(command)),
+            FleetRequest::Propose(change) => {
+                Handled::accepted(LogCommand::Policy(PolicyCommand::Propose(change)))
+            }
+            FleetRequest::Withdraw(id) => {
+                Handled::accepted(LogCommand::Policy(PolicyCommand::TakeBack { id }))
+            }
+            FleetRequest::ReleaseLease(task) => {
+                self.release_lease(now, &task);
+                Handled::response(FleetResponse::Accepted)
+            }
+            other => Handled::response(self.report(now, other)),
+        }
     }
 
-    /// Members heard of within a right's time that do not have the version in force yet.
-    fn behind(&self, now: f64) -> usize {
-        let (version, right) = (Some(self.state.version()), self.state.times.map_or(0.0, |t| t.right));
-        let behind = self.lead.heard().values().filter(|h| h.version != version && now - h.at < right);
-        behind.count()
+    /// Handles the requests that only look at the state.
+    fn report(&mut self, now: f64, request: FleetRequest) -> FleetResponse {
+        match request {
+            FleetRequest::Outcome(id) => FleetResponse::Outcome(self.outcome_report(now, &id)),
+            FleetRequest::Status => FleetResponse::Status(Box::new(self.status(now))),
+            FleetRequest::History => FleetResponse::History(self.policy.history.iter().cloned().collect()),
+            FleetRequest::PolicyText(version) => FleetResponse::PolicyText(self.policy_text(version)),
+            FleetRequest::Tasks(name) => FleetResponse::Tasks(self.task_statuses(now, name.as_deref())),
+            FleetRequest::Budgets => FleetResponse::Budgets(self.budget_statuses(now)),
+            _ => FleetResponse::Unreadable,
+        }
     }
 }
 
-impl StateMachine for FleetMachine {
+impl StateMachine for FleetStateMachine {
     fn reset(&mut self) {
-        (self.state, self.tasks, self.budgets.0) = (State::default(), Tasks::default(), None);
+        self.policy = PolicyState::default();
+        self.tasks = TaskState::default();
+        self.budgets.version = None;
     }
 
     fn apply(&mut self, command: &[u8]) {
-        if let Some(rest) = command.strip_prefix(&[TASK]) {
-            match decode::<TaskCommand>(rest) {
-                Some(command) => {
-                    self.tasks.apply(&command);
-                    if matches!(command, TaskCommand::Define(_)) {
-                        self.forbid();
-                    }
-                }
-                None => {
-                    tracing::error!(target: "fleet", "a task's command can't be read: update this program")
+        match LogCommand::decode(command) {
+            Some(LogCommand::Policy(command)) => {
+                let version_before = self.policy.version();
+                self.policy.apply(&command);
+                if self.policy.version() != version_before {
+                    self.forbid_tasks();
                 }
             }
-            return;
-        }
-        match decode::<Command>(command) {
-            Some(command) => {
-                let before = self.state.version();
-                self.state.apply(&command);
-                if self.state.version() != before {
-                    self.forbid();
+            Some(LogCommand::Task(command)) => {
+                self.tasks.apply(&command);
+                if matches!(command, TaskCommand::Define(_)) {
+                    self.forbid_tasks();
                 }
             }
-            // A younger program's command: this one can't follow, and says so rather than guess.
-            None => tracing::error!(target: "fleet", "a command can't be read: update this program"),
+            // Written by a newer program. This one can't follow, and does not guess.
+            None => {
+                let bytes = command.len();
+                tracing::error!(target: "fleet", bytes, "unreadable command in the log: update this program");
+            }
         }
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        // An older program reads the policy, and leaves what follows.
-        [encode(&self.state), encode(&self.tasks)].concat()
+        // Programs from before there were tasks read the policy and ignore the rest.
+        [encode(&self.policy), encode(&self.tasks)].concat()
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
-        let (state, rest) = postcard::take_from_bytes(snapshot).map_err(RestoreError::new)?;
+        let (policy, rest) = postcard::take_from_bytes(snapshot).map_err(RestoreError::new)?;
         let tasks = match rest {
-            [] => Tasks::default(),
+            [] => TaskState::default(),
             rest => postcard::from_bytes(rest).map_err(RestoreError::new)?,
         };
-        (self.state, self.tasks, self.budgets.0) = (state, tasks, None);
+        self.policy = policy;
+        self.tasks = tasks;
+        self.budgets.version = None;
         Ok(())
     }
 
-    fn set_leadership(&mut self, now: f64, leads: bool) {
-        self.lead.role(now, leads);
-        self.leases.role(now, leads);
-        self.division.role(now, leads);
+    fn set_leadership(&mut self, now: f64, is_leader: bool) {
+        self.policy_leader.role(now, is_leader);
+        self.lease_leader.role(now, is_leader);
+        self.budget_leader.role(now, is_leader);
     }
 
-    fn handle_request(&mut self, now: f64, question: &[u8]) -> HandledRequest {
-        let mut commands = Vec::new();
-        let mut more: Vec<TaskCommand> = Vec::new();
-        let answer = match decode::<Question>(question) {
-            Some(Question::Renew(ask)) => {
-                let (reply, more) = self.lead.answer(now, &self.state, &ask);
-                commands = more;
-                Answer::Renewed(reply)
-            }
-            Some(Question::Both(ask, lease, wants)) => {
-                more.extend(wants.into_iter().filter(|want| self.own(&lease, want)));
-                let (reply, told, changes) = self.renew(now, &ask, &lease);
-                commands = changes;
-                Answer::Both(reply, told)
-            }
-            Some(Question::All(ask, lease, wants, budget)) => {
-                more.extend(wants.into_iter().filter(|want| self.own(&lease, want)));
-                let (reply, told, changes) = self.renew(now, &ask, &lease);
-                commands = changes;
-                self.read_budgets();
-                let own = budget.who == (ask.member, ask.life);
-                let (version, specs) = (self.state.version(), &self.budgets.1);
-                let shares = match own {
-                    true => self.division.answer(now, version, specs, &self.state.members, &budget),
-                    false => BudgetReply::default(),
-                };
-                Answer::All(reply, told, shares)
-            }
-            Some(Question::Budgets) => {
-                self.read_budgets();
-                self.division.tick(now, self.state.version(), &self.budgets.1, &self.state.members);
-                Answer::Budgets(self.division.standings())
-            }
-            Some(Question::Task(command)) => {
-                more.push(command);
-                Answer::Taken
-            }
-            Some(Question::Release(task)) => {
-                let lease = self.tasks.tasks.get(&task).and_then(|task| task.lease.as_ref());
-                lease.into_iter().for_each(|lease| self.leases.release(now, lease.token));
-                Answer::Taken
-            }
-            Some(Question::Tasks(one)) => Answer::Tasks(self.told(now, one.as_deref())),
-            Some(Question::Propose(change)) => {
-                commands.push(Command::Propose(change));
-                Answer::Taken
-            }
-            Some(Question::TakeBack(id)) => {
-                commands.push(Command::TakeBack { id });
-                Answer::Taken
-            }
-            Some(Question::Outcome(id)) => Answer::Outcome(self.state.outcome(&id), self.behind(now)),
-            Some(Question::Status) => Answer::Status(Box::new(self.status(now))),
-            Some(Question::History) => Answer::History(self.state.history.iter().cloned().collect()),
-            Some(Question::Text(version)) => {
-                let version = version.unwrap_or(self.state.version());
-                let kept = self.state.versions.iter().find(|(v, _)| *v == version);
-                let text = kept.map(|(v, text)| (*v, text.clone()));
-                let empty = (version == 0).then(|| (0, beamgap_policy::switch::state::EMPTY.to_owned()));
-                Answer::Text(text.or(empty))
-            }
-            None => Answer::Unreadable,
+    fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest {
+        let handled = match decode(request) {
+            Some(request) => self.handle(now, request),
+            None => Handled::response(FleetResponse::Unreadable),
         };
-        let commands = commands.iter().map(encode).chain(more.iter().map(of_task)).collect();
-        HandledRequest { response: encode(&answer), commands }
+        HandledRequest {
+            response: encode(&handled.response),
+            commands: handled.commands.iter().map(LogCommand::encode).collect(),
+        }
     }
 
     fn tick(&mut self, now: f64) -> Vec<Vec<u8>> {
-        if self.state.times.is_none() {
-            return vec![encode(&Command::Found(self.times))];
+        if self.policy.times.is_none() {
+            let bootstrap = LogCommand::Policy(PolicyCommand::Found(self.initial_timings));
+            return vec![bootstrap.encode()];
         }
-        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).ok();
-        let minute = since_1970.map(|time| time.as_secs() / 60);
-        let policy = self.lead.tick(now, &self.state);
-        let tasks = self.leases.tick(now, minute, &self.tasks);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).ok();
+        let minute = since_epoch.map(|time| time.as_secs() / 60);
+        let policy = self.policy_leader.tick(now, &self.policy);
+        let tasks = self.lease_leader.tick(now, minute, &self.tasks);
         self.read_budgets();
-        self.division.tick(now, self.state.version(), &self.budgets.1, &self.state.members);
-        policy.iter().map(encode).chain(tasks.iter().map(of_task)).collect()
+        self.tick_budgets(now);
+        let tasks = tasks.into_iter().map(LogCommand::Task);
+        policy_commands(policy).chain(tasks).map(|command| command.encode()).collect()
     }
 }
--- a/src/fleet/tasks/call.rs
+++ b/src/fleet/tasks/call.rs
@@ -3,7 +3,7 @@
 //! The target is told `{"task", "run", "step", "token"}` and the header `Lease-Token`. It answers 2xx for done; 409 if it has seen a
 //! newer token, and any other 4xx if it did nothing; all else leaves open whether the step ran.
 
-use crate::fleet::test_hooks::{machine_clock, Trial};
+use crate::fleet::test_hooks::{machine_clock, TestHooks};
 use beamgap_consensus::Clock;
 use beamgap_leases::hold::Pass;
 use beamgap_leases::state::{Command, Outcome};
@@ -18,7 +18,7 @@
 /// Does acts.
 pub struct Runner {
     clock: Clock,
-    trial: Trial,
+    hooks: TestHooks,
     wake: Arc<dyn Fn() + Send + Sync>,
     told: SyncSender<Option<Command>>,
     over: Receiver<Option<Command>>,
@@ -27,9 +27,9 @@
 
 impl Runner {
     /// One with nothing to do; `wake` is called when an act is over.
-    pub fn new(clock: Clock, trial: Trial, wake: Arc<dyn Fn() + Send + Sync>) -> Runner {
+    pub fn new(clock: Clock, hooks: TestHooks, wake: Arc<dyn Fn() + Send + Sync>) -> Runner {
         let (told, over) = sync_channel(ACTS_MOST);
-        Runner { clock, trial, wake, told, over, out: 0 }
+        Runner { clock, hooks, wake, told, over, out: 0 }
     }
 
     /// Whether another act may be under way.
@@ -46,8 +46,8 @@
 
     /// Begins an act that lasts so many milliseconds at most.
     pub fn act(&mut self, pass: Pass, work: String, run: u64, takes: f64) {
-        let (clock, trial, told, wake) =
-            (self.clock.clone(), self.trial, self.told.clone(), self.wake.clone());
+        let (clock, hooks, told, wake) =
+            (self.clock.clone(), self.hooks, self.told.clone(), self.wake.clone());
         let work = move || {
             // The look at the clock comes last: what follows is the act.
             let (task, step) = (pass.task().to_owned(), pass.step().unwrap_or(0));
@@ -55,7 +55,7 @@
                 Err(late) => late.over(),
                 Ok(acted) => {
                     let token = acted.token();
-                    trial.between_look_and_act(&format!(
+                    hooks.between_look_and_action(&format!(
                         "t={:.3} task={task} step={step} token={token}",
                         machine_clock()
                     ));
--- a/src/fleet/tasks/mod.rs
+++ b/src/fleet/tasks/mod.rs
@@ -6,7 +6,7 @@
 pub mod call;
 pub mod read;
 
-use super::test_hooks::Trial;
+use super::test_hooks::TestHooks;
 use beamgap_consensus::Clock;
 use beamgap_leases::hold::{Holder, No};
 use beamgap_leases::lead::{Ask, Reply};
@@ -29,12 +29,12 @@
         member: &str,
         life: u64,
         zone: &str,
-        trial: Trial,
+        hooks: TestHooks,
         wake: Arc<dyn Fn() + Send + Sync>,
     ) -> Keeper {
-        let clock: Clock = trial.clock();
-        let holder = Holder::new((member.to_owned(), life), zone, trial.leases);
-        Keeper { holder, runner: Runner::new(clock, trial, wake) }
+        let clock: Clock = hooks.clock();
+        let holder = Holder::new((member.to_owned(), life), zone, hooks.lease_bug);
+        Keeper { holder, runner: Runner::new(clock, hooks, wake) }
     }
 
     /// What is asked of the leader.
--- a/src/fleet/test_disk.rs
+++ b/src/fleet/test_disk.rs
@@ -4,21 +4,24 @@
 use std::io;
 use std::ops::Range;
 use std::path::{Path, PathBuf};
-use std::sync::{Mutex, PoisonError};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// While a file of this name is in the decider's folder, each fsync there fails.
-pub const FSYNC_FAILS: &str = "fsync-fails";
+/// While a file of this name is in the voter's data folder, each fsync there fails.
+pub const FSYNC_FAILS_FILE: &str = "fsync-fails";
+/// What a disk that fails reports.
+const EIO: i32 = 5;
 
-/// Real files that are written to only by fsync.
+/// Files that are written to only by fsync.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PowerCut;
+pub struct PowerCutDisk;
 
-impl Disk for PowerCut {
-    fn open(&self, path: &Path, new: bool) -> io::Result<Option<Box<dyn StorageBackend>>> {
-        let Some(inner) = FileDisk.open(path, new)? else { return Ok(None) };
-        let bytes = inner.read(0, inner.len()? as usize)?;
-        let flag = path.with_file_name(FSYNC_FAILS);
-        Ok(Some(Box::new(Cached { inner, flag, state: Mutex::new(State { bytes, dirty: Vec::new() }) })))
+impl Disk for PowerCutDisk {
+    fn open(&self, path: &Path, create: bool) -> io::Result<Option<Box<dyn StorageBackend>>> {
+        let Some(file) = FileDisk.open(path, create)? else { return Ok(None) };
+        let bytes = file.read(0, file.len()? as usize)?;
+        let cache = Mutex::new(Cache { bytes, dirty: Vec::new() });
+        let fsync_fails = path.with_file_name(FSYNC_FAILS_FILE);
+        Ok(Some(Box::new(CachedFile { file, fsync_fails, cache })))
     }
 
     fn replace(&self, from: &Path, to: &Path) -> io::Result<()> {
@@ -26,66 +29,70 @@
     }
 }
 
-/// What the system's cache would hold.
+/// What the page cache would hold.
 #[derive(Debug)]
-struct State {
+struct Cache {
     bytes: Vec<u8>,
     dirty: Vec<Range<usize>>,
 }
 
 #[derive(Debug)]
-struct Cached {
-    inner: Box<dyn StorageBackend>,
-    flag: PathBuf,
-    state: Mutex<State>,
+struct CachedFile {
+    file: Box<dyn StorageBackend>,
+    /// While this file exists, fsync fails.
+    fsync_fails: PathBuf,
+    cache: Mutex<Cache>,
 }
 
-impl Cached {
-    fn state(&self) -> std::sync::MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+impl CachedFile {
+    fn cache(&self) -> MutexGuard<'_, Cache> {
+        self.cache.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn short() -> io::Error {
+fn beyond_end() -> io::Error {
     io::Error::from(io::ErrorKind::UnexpectedEof)
 }
 
-impl StorageBackend for Cached {
+impl StorageBackend for CachedFile {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.state().bytes.len() as u64)
+        Ok(self.cache().bytes.len() as u64)
     }
 
     fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        let from = offset as usize;
-        self.state().bytes.get(from..from + len).map(<[u8]>::to_vec).ok_or_else(short)
+        let start = offset as usize;
+        let cache = self.cache();
+        let bytes = cache.bytes.get(start..start + len).ok_or_else(beyond_end)?;
+        Ok(bytes.to_vec())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut state = self.state();
-        state.bytes.resize(len as usize, 0);
+        self.cache().bytes.resize(len as usize, 0);
         Ok(())
     }
 
     fn sync_data(&self, eventual: bool) -> io::Result<()> {
-        if self.flag.exists() {
-            return Err(io::Error::from_raw_os_error(5)); // EIO: what was to be written counts as lost
+        if self.fsync_fails.exists() {
+            return Err(io::Error::from_raw_os_error(EIO));
         }
-        let mut state = self.state();
-        self.inner.set_len(state.bytes.len() as u64)?;
-        for range in std::mem::take(&mut state.dirty) {
-            let range = range.start..range.end.min(state.bytes.len());
+        let mut cache = self.cache();
+        self.file.set_len(cache.bytes.len() as u64)?;
+        for range in std::mem::take(&mut cache.dirty) {
+            let range = range.start..range.end.min(cache.bytes.len());
             if !range.is_empty() {
-                self.inner.write(range.start as u64, &state.bytes[range])?;
+                self.file.write(range.start as u64, &cache.bytes[range])?;
             }
         }
-        self.inner.sync_data(eventual)
+        self.file.sync_data(eventual)
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let (from, mut state) = (offset as usize, self.state());
-        let range = from..from + data.len();
-        state.bytes.get_mut(range.clone()).ok_or_else(short)?.copy_from_slice(data);
-        state.dirty.push(range);
+        let start = offset as usize;
+        let range = start..start + data.len();
+        let mut cache = self.cache();
+        let target = cache.bytes.get_mut(range.clone()).ok_or_else(beyond_end)?;
+        target.copy_from_slice(data);
+        cache.dirty.push(range);
         Ok(())
     }
 }
--- a/src/fleet/test_hooks.rs
+++ b/src/fleet/test_hooks.rs
@@ -1,54 +1,81 @@
-//! What tests set by the environment variable `BEAMGAP_TRIAL`, and nobody else: a clock that runs apart, a history of
-//! what was admitted, a disk whose power can be cut, planted faults. Words with commas between: `history`, `rate=1.05`,
-//! `offset=5000`, `jump=2000:5000`, `power`, `leash`, `look=300`, `plant=NAME`.
+//! Hooks for the fault harness, set by the environment variable `BEAMGAP_TRIAL`: a clock that drifts or leaps, a history
+//! of what was admitted, a disk whose power can be cut, injected bugs. Nothing is set in service.
+//!
+//! The variable holds words with commas between: `history`, `rate=1.05`, `offset=5000`, `jump=2000:5000`, `power`,
+//! `leash`, `look=300`, `plant=NAME`.
 
-use super::test_disk::PowerCut;
-use beamgap_budgets::Plant as BudgetPlant;
+use super::test_disk::PowerCutDisk;
+use beamgap_budgets::Plant as BudgetBug;
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::{Clock, InjectedBugs};
-use beamgap_leases::Plant as LeasePlant;
-use beamgap_policy::switch::Plant;
+use beamgap_leases::Plant as LeaseBug;
+use beamgap_policy::switch::Plant as PolicyBug;
 use rustix::time::{clock_gettime, ClockId};
 use std::sync::Arc;
+use std::time::Duration;
+use thiserror::Error;
 
-/// What a test has set; nothing as a rule.
+/// The environment variable.
+pub const TEST_HOOKS_VARIABLE: &str = "BEAMGAP_TRIAL";
+
+/// A word of the variable that can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum TestHooksError {
+    /// A word needs a number.
+    #[error("{TEST_HOOKS_VARIABLE}: `{0}` has no number")]
+    NoNumber(String),
+    /// A word is not known.
+    #[error("{TEST_HOOKS_VARIABLE}: `{0}` is not known")]
+    UnknownWord(String),
+}
+
+/// A leap of the clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trial {
-    /// How fast the member's clock runs.
-    pub rate: f64,
-    /// By how many milliseconds it is ahead.
-    pub offset: f64,
-    /// The clock leaps at this reading of the machine's, by so many milliseconds.
-    pub jump: Option<(f64, f64)>,
+pub struct ClockJump {
+    /// At this reading of the machine's clock, in milliseconds.
+    pub at_ms: f64,
+    /// By this much, in milliseconds.
+    pub by_ms: f64,
+}
+
+/// What a test has set; the default is service.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TestHooks {
+    /// Speed of the member's clock, as a multiple of the machine's.
+    pub clock_rate: f64,
+    /// How far the member's clock is ahead, in milliseconds.
+    pub clock_offset_ms: f64,
+    /// A leap of the member's clock.
+    pub clock_jump: Option<ClockJump>,
     /// Whether what was not synced is lost with the process.
-    pub power: bool,
+    pub power_cut_disk: bool,
     /// Whether the process ends when its standard input does.
-    pub leash: bool,
-    /// How long a task's act waits behind its look at the clock, in milliseconds.
-    pub look: f64,
+    pub exit_with_stdin: bool,
+    /// Pause between a task's look at the clock and its action, in milliseconds.
+    pub pause_before_action_ms: f64,
     /// Whether a history is written to standard error.
-    pub history: bool,
-    /// A fault on purpose.
-    pub plant: Plant,
-    /// One in the leases.
-    pub leases: LeasePlant,
-    /// One in the budgets.
-    pub budgets: BudgetPlant,
+    pub write_history: bool,
+    /// A bug in the policy's part.
+    pub policy_bug: PolicyBug,
+    /// A bug in the leases.
+    pub lease_bug: LeaseBug,
+    /// A bug in the budgets.
+    pub budget_bug: BudgetBug,
 }
 
-impl Default for Trial {
-    fn default() -> Trial {
-        Trial {
-            rate: 1.0,
-            offset: 0.0,
-            jump: None,
-            power: false,
-            leash: false,
-            look: 0.0,
-            history: false,
-            plant: Plant::None,
-            leases: LeasePlant::None,
-            budgets: BudgetPlant::None,
+impl Default for TestHooks {
+    fn default() -> TestHooks {
+        TestHooks {
+            clock_rate: 1.0,
+            clock_offset_ms: 0.0,
+            clock_jump: None,
+            power_cut_disk: false,
+            exit_with_stdin: false,
+            pause_before_action_ms: 0.0,
+            write_history: false,
+            policy_bug: PolicyBug::None,
+            lease_bug: LeaseBug::None,
+            budget_bug: BudgetBug::None,
         }
     }
 }
@@ -59,102 +86,122 @@
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
 }
 
-impl Trial {
-    /// Reads the variable's text.
-    pub fn read(text: &str) -> Result<Trial, String> {
-        let mut trial = Trial::default();
+impl TestHooks {
+    /// Parses the variable's text.
+    ///
+    /// # Errors
+    /// If a word is not known, or lacks its number.
+    pub fn parse(text: &str) -> Result<TestHooks, TestHooksError> {
+        let mut hooks = TestHooks::default();
         for word in text.split(',').filter(|word| !word.is_empty()) {
-            let number = |text: &str| {
-                text.parse::<f64>().map_err(|_| format!("BEAMGAP_TRIAL: `{word}` has no number"))
-            };
-            match word.split_once('=') {
-                None if word == "history" => trial.history = true,
-                None if word == "power" => trial.power = true,
-                None if word == "leash" => trial.leash = true,
-                Some(("look", n)) => trial.look = number(n)?,
-                Some(("rate", n)) => trial.rate = number(n)?,
-                Some(("jump", text)) => {
-                    let (after, by) = text.split_once(':').unwrap_or((text, ""));
-                    trial.jump = Some((machine_clock() + number(after)?, number(by)?));
-                }
-                Some(("offset", n)) => trial.offset = number(n)?,
-                Some(("plant", "no-margin")) => trial.leases = LeasePlant::NoMargin,
-                Some(("plant", "no-lease-wait")) => trial.leases = LeasePlant::NoWait,
-                Some(("plant", "holds-on")) => trial.leases = LeasePlant::HoldsOn,
-                Some(("plant", "act-first")) => trial.leases = LeasePlant::ActFirst,
-                Some(("plant", "new-leader-gives")) => trial.budgets = BudgetPlant::NoWait,
-                Some(("plant", "given-twice")) => trial.budgets = BudgetPlant::GivenTwice,
-                Some(("plant", "full-bucket")) => trial.budgets = BudgetPlant::FullBucket,
-                Some(("plant", "no-end")) => trial.budgets = BudgetPlant::NoEnd,
-                Some(("plant", "dead-is-over")) => trial.budgets = BudgetPlant::DeadIsOver,
-                Some(("plant", name)) => {
-                    trial.plant = match name {
-                        "early-activation" => Plant::EarlyActivation,
-                        "unconfirmed-leader" => Plant::UnconfirmedLeader,
-                        "vote-before-sync" => Plant::VoteBeforeSync,
-                        "no-catch-up" => Plant::NoCatchUp,
-                        "no-wait" => Plant::NoWait,
-                        "stale-clock" => Plant::StaleClock,
-                        _ => return Err(format!("BEAMGAP_TRIAL: `{word}` is not known")),
-                    }
-                }
-                _ => return Err(format!("BEAMGAP_TRIAL: `{word}` is not known")),
+            hooks.set(word)?;
+        }
+        Ok(hooks)
+    }
+
+    /// Reads the variable from an environment.
+    ///
+    /// # Errors
+    /// As [`TestHooks::parse`].
+    pub fn from_env(env: &dyn Fn(&str) -> Option<String>) -> Result<TestHooks, TestHooksError> {
+        match env(TEST_HOOKS_VARIABLE) {
+            Some(text) => TestHooks::parse(&text),
+            None => Ok(TestHooks::default()),
+        }
+    }
+
+    fn set(&mut self, word: &str) -> Result<(), TestHooksError> {
+        let number = |text: &str| text.parse::<f64>().map_err(|_| TestHooksError::NoNumber(word.to_owned()));
+        match word.split_once('=') {
+            None if word == "history" => self.write_history = true,
+            None if word == "power" => self.power_cut_disk = true,
+            None if word == "leash" => self.exit_with_stdin = true,
+            Some(("look", text)) => self.pause_before_action_ms = number(text)?,
+            Some(("rate", text)) => self.clock_rate = number(text)?,
+            Some(("offset", text)) => self.clock_offset_ms = number(text)?,
+            Some(("jump", text)) => {
+                let (after, by) = text.split_once(':').unwrap_or((text, ""));
+                let at_ms = machine_clock() + number(after)?;
+                self.clock_jump = Some(ClockJump { at_ms, by_ms: number(by)? });
             }
+            Some(("plant", name)) if self.inject(name) => {}
+            _ => return Err(TestHooksError::UnknownWord(word.to_owned())),
         }
-        Ok(trial)
+        Ok(())
     }
 
-    /// From the environment.
-    pub fn of(env: &dyn Fn(&str) -> Option<String>) -> Result<Trial, String> {
-        env("BEAMGAP_TRIAL").map_or(Ok(Trial::default()), |text| Trial::read(&text))
+    /// Injects the bug of this name. Returns whether there is one.
+    fn inject(&mut self, name: &str) -> bool {
+        match name {
+            "early-activation" => self.policy_bug = PolicyBug::EarlyActivation,
+            "unconfirmed-leader" => self.policy_bug = PolicyBug::UnconfirmedLeader,
+            "vote-before-sync" => self.policy_bug = PolicyBug::VoteBeforeSync,
+            "no-catch-up" => self.policy_bug = PolicyBug::NoCatchUp,
+            "no-wait" => self.policy_bug = PolicyBug::NoWait,
+            "stale-clock" => self.policy_bug = PolicyBug::StaleClock,
+            "no-margin" => self.lease_bug = LeaseBug::NoMargin,
+            "no-lease-wait" => self.lease_bug = LeaseBug::NoWait,
+            "holds-on" => self.lease_bug = LeaseBug::HoldsOn,
+            "act-first" => self.lease_bug = LeaseBug::ActFirst,
+            "new-leader-gives" => self.budget_bug = BudgetBug::NoWait,
+            "given-twice" => self.budget_bug = BudgetBug::GivenTwice,
+            "full-bucket" => self.budget_bug = BudgetBug::FullBucket,
+            "no-end" => self.budget_bug = BudgetBug::NoEnd,
+            "dead-is-over" => self.budget_bug = BudgetBug::DeadIsOver,
+            _ => return false,
+        }
+        true
     }
 
-    /// A reading of the machine's clock as this member takes it.
-    pub fn taken(&self, machine: f64) -> f64 {
-        let leap = self.jump.filter(|(at, _)| machine >= *at).map_or(0.0, |(_, by)| by);
-        machine * self.rate + self.offset + leap
+    /// The member's clock at a reading of the machine's, both in milliseconds.
+    pub fn member_time(&self, machine_ms: f64) -> f64 {
+        let jumped = self.clock_jump.filter(|jump| machine_ms >= jump.at_ms);
+        let leap = jumped.map_or(0.0, |jump| jump.by_ms);
+        machine_ms * self.clock_rate + self.clock_offset_ms + leap
     }
 
     /// The member's clock.
     pub fn clock(&self) -> Clock {
-        let trial = *self;
-        Arc::new(move || trial.taken(machine_clock()))
+        let hooks = *self;
+        Arc::new(move || hooks.member_time(machine_clock()))
     }
 
-    /// The decider's disk.
+    /// The voter's disk.
     pub fn disk(&self) -> SharedDisk {
-        if self.power {
-            Arc::new(PowerCut)
+        if self.power_cut_disk {
+            Arc::new(PowerCutDisk)
         } else {
             Arc::new(FileDisk)
         }
     }
 
-    /// Where a process may stand still: behind the look at the clock, before the act.
-    pub fn between_look_and_act(&self, what: &str) {
-        if self.history {
+    /// Called between a look at the clock and the action that rests on it, where a process may be suspended.
+    pub fn between_look_and_action(&self, what: &str) {
+        if self.write_history {
             eprintln!("history look {what}");
         }
-        if self.look > 0.0 {
-            std::thread::sleep(std::time::Duration::from_secs_f64(self.look / 1000.0));
+        if self.pause_before_action_ms > 0.0 {
+            std::thread::sleep(Duration::from_secs_f64(self.pause_before_action_ms / 1000.0));
         }
     }
 
-    /// Ends the process when whoever started it is gone.
-    pub fn hold_leash(&self) {
-        if self.leash {
-            std::thread::spawn(|| {
-                let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink()); // Its end is what is waited for.
-                std::process::exit(1);
-            });
+    /// Has the process end with its standard input, if that is set: when whoever started it is gone.
+    pub fn watch_stdin(&self) {
+        if !self.exit_with_stdin {
+            return;
         }
+        std::thread::spawn(|| {
+            // Whether by end of file or by an error, whoever started the process is gone.
+            let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
+            std::process::exit(1);
+        });
     }
 
-    /// The council's part of what is planted.
-    pub fn plants(&self) -> InjectedBugs {
+    /// The injected bugs of the consensus.
+    pub fn consensus_bugs(&self) -> InjectedBugs {
         InjectedBugs {
-            unconfirmed_leader: self.plant == Plant::UnconfirmedLeader,
-            unsynced_writes: self.plant == Plant::VoteBeforeSync,
+            unconfirmed_leader: self.policy_bug == PolicyBug::UnconfirmedLeader,
+            unsynced_writes: self.policy_bug == PolicyBug::VoteBeforeSync,
         }
     }
 }
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -101,7 +101,7 @@
     /// The service for proxies over xDS; none if it is off.
     pub xds: Option<Service>,
     /// How it takes part in a fleet; not at all unless an operator's file says so.
-    pub fleet: Option<crate::fleet::settings::Fleet>,
+    pub fleet: Option<crate::fleet::settings::FleetSettings>,
     /// What of the settings has no use here, and what is assumed where they say nothing: lines for the log.
     pub fit: Vec<String>,
     /// The file's keys that count at the start only, to see on a reload which of them have changed.
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -4,8 +4,12 @@
 //! start does. The leader's own commands are left out, so that the state stays as it was stored.
 
 use beamgap::fleet::document;
-use beamgap::fleet::state_machine::{decode, encode, Answer, FleetMachine, Question, Status};
-use beamgap::fleet::test_hooks::Trial;
+use beamgap::fleet::message::{
+    decode, encode, FleetRequest, FleetResponse, FleetStatus, OutcomeReport, PendingSummary, PolicyText,
+    TaskStatus,
+};
+use beamgap::fleet::state_machine::FleetStateMachine;
+use beamgap::fleet::test_hooks::TestHooks;
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::store::{Store, VoterIdentity};
 use beamgap_consensus::{ConsensusNode, HandledRequest, InjectedBugs, RestoreError, Settings, StateMachine};
@@ -45,7 +49,7 @@
 
 /// The state machine, counting how it came to its state, and without commands of its own.
 struct Observed {
-    machine: FleetMachine,
+    machine: FleetStateMachine,
     restored: usize,
     applied: usize,
 }
@@ -96,8 +100,8 @@
 
 impl Started {
     fn on(folder: &Path) -> Started {
-        let trial = Trial::default();
-        let machine = FleetMachine::new(Times::default(), 1, trial.plant, trial.leases, trial.budgets);
+        let hooks = TestHooks::default();
+        let machine = FleetStateMachine::new(Times::default(), 1, &hooks);
         let machine = Arc::new(Mutex::new(Observed { machine, restored: 0, applied: 0 }));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let settings = Settings {
@@ -107,7 +111,7 @@
             slot: Some(1),
             data_dir: Some(folder.to_owned()),
             seed: 7,
-            clock: trial.clock(),
+            clock: hooks.clock(),
             injected_bugs: InjectedBugs::default(),
         };
         let disk: SharedDisk = Arc::new(FileDisk);
@@ -116,11 +120,11 @@
     }
 
     /// Asks until a leader answers.
-    fn ask(&self, question: &Question) -> Answer {
+    fn ask(&self, request: &FleetRequest) -> FleetResponse {
         let deadline = Instant::now() + Duration::from_secs(30);
         for tag in 0.. {
             assert!(Instant::now() < deadline, "no leader answered: {:?}", self.consensus.status());
-            assert!(self.consensus.submit(tag, encode(question)));
+            assert!(self.consensus.submit(tag, encode(request)));
             std::thread::sleep(Duration::from_millis(50));
             let answers: Vec<_> = self.consensus.responses().collect();
             if let Some(answer) = answers.into_iter().find_map(|response| response.body) {
@@ -131,15 +135,15 @@
     }
 
     fn tasks(&self) -> Vec<Task> {
-        match self.ask(&Question::Tasks(None)) {
-            Answer::Tasks(tasks) => tasks.into_iter().map(|(task, _)| task).collect(),
+        match self.ask(&FleetRequest::Tasks(None)) {
+            FleetResponse::Tasks(tasks) => tasks.into_iter().map(|status: TaskStatus| status.task).collect(),
             other => panic!("{other:?}"),
         }
     }
 
-    fn status(&self) -> Status {
-        match self.ask(&Question::Status) {
-            Answer::Status(status) => *status,
+    fn status(&self) -> FleetStatus {
+        match self.ask(&FleetRequest::Status) {
+            FleetResponse::Status(status) => *status,
             other => panic!("{other:?}"),
         }
     }
@@ -177,14 +181,18 @@
 
     let status = started.status();
     assert_eq!(status.version, 1);
-    assert_eq!(status.pending, Some(("c4".to_owned(), "ada".to_owned(), false)));
-    assert_eq!(status.times, Some(Times { right: 600_000.0, ..Times::default() }));
-    let members: Vec<_> = status.members.iter().map(|m| (m.name.as_str(), m.life)).collect();
+    let pending = PendingSummary { id: "c4".to_owned(), by: "ada".to_owned(), committed: false };
+    assert_eq!(status.pending, Some(pending));
+    assert_eq!(status.timings, Some(Times { right: 600_000.0, ..Times::default() }));
+    let members: Vec<_> = status.members.iter().map(|m| (m.name.as_str(), m.incarnation)).collect();
     assert_eq!(members, [FRONT_1, FRONT_2]);
 
-    assert_eq!(started.ask(&Question::Text(None)), Answer::Text(Some((1, POLICY.to_owned()))));
+    let policy = PolicyText { version: 1, text: POLICY.to_owned() };
+    assert_eq!(started.ask(&FleetRequest::PolicyText(None)), FleetResponse::PolicyText(Some(policy)));
     let budgets = document::read("policy", POLICY).unwrap().budgets;
-    let Answer::Budgets(standings) = started.ask(&Question::Budgets) else { panic!("other answer") };
+    let FleetResponse::Budgets(standings) = started.ask(&FleetRequest::Budgets) else {
+        panic!("other answer")
+    };
     let named: Vec<_> = budgets.iter().map(|budget| budget.name.as_str()).collect();
     let divided: Vec<_> = standings.iter().map(|budget| budget.name.as_str()).collect();
     assert_eq!((named, divided), (vec!["all", "munster"], vec!["all", "munster"]));
@@ -195,8 +203,9 @@
         record("c2", Outcome::TurnedDown(rejected)),
         record("c3", Outcome::TakenBack),
     ];
-    assert_eq!(started.ask(&Question::History), Answer::History(history));
-    assert_eq!(started.ask(&Question::Outcome("c4".to_owned())), Answer::Outcome(Some(Outcome::Checking), 0));
+    assert_eq!(started.ask(&FleetRequest::History), FleetResponse::History(history));
+    let checking = OutcomeReport { outcome: Some(Outcome::Checking), members_behind: 0 };
+    assert_eq!(started.ask(&FleetRequest::Outcome("c4".to_owned())), FleetResponse::Outcome(checking));
 }
 
 #[test]
@@ -221,7 +230,7 @@
 
     assert_eq!((watch.spec.name.as_str(), &watch.lease), ("watch", &lease(FRONT_1, 2)));
 
-    let Answer::Tasks(one) = started.ask(&Question::Tasks(Some("compact".to_owned()))) else {
+    let FleetResponse::Tasks(one) = started.ask(&FleetRequest::Tasks(Some("compact".to_owned()))) else {
         panic!("other answer")
     };
     let history = [
@@ -229,7 +238,7 @@
         step(1, 1, "front-1", StepOutcome::Unknown("its lease ended".to_owned())),
         step(2, 3, "front-2", StepOutcome::NeverRan("connection refused".to_owned())),
     ];
-    assert_eq!(one[0].0.record, history);
+    assert_eq!(one[0].task.record, history);
 }
 
 #[test]
