--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,11 +1,11 @@
 //! The `fleet` block: which fleet, who decides, where, and the fleet's figures of time.
 
 use super::tasks::read as tasks;
-use super::trial::Trial;
+use super::test_hooks::TestHooks;
 use crate::node::config::ConfigError;
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use beamgap_config::schema::{Block, Key, Shape};
-use beamgap_consensus::{Seat, SEATS};
+use beamgap_consensus::{VoterSlot, SLOT_STRIDE};
 use beamgap_leases::spec::Spec;
 use beamgap_policy::rollout::state::good_name;
 use beamgap_policy::rollout::Times;
@@ -15,25 +15,25 @@
 
 /// How a front end takes part in its fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// The fleet's name.
     pub name: String,
     /// This member's name.
     pub member: String,
     /// The deciders by their seats.
-    pub deciders: BTreeMap<Seat, SocketAddr>,
+    pub voters: BTreeMap<VoterSlot, SocketAddr>,
     /// This member's seat, if it decides.
-    pub seat: Option<Seat>,
+    pub slot: Option<VoterSlot>,
     /// Where it listens for the others, if it decides.
     pub listen: Option<SocketAddr>,
     /// Where it keeps what was agreed on, if it decides.
-    pub folder: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// The fleet's figures, used when it is founded.
-    pub times: Times,
+    pub timings: Times,
     /// The tasks of its file, for `beamgap task apply`.
     pub tasks: Vec<Spec>,
     /// What a test has set.
-    pub trial: Trial,
+    pub test_hooks: TestHooks,
 }
 
 /// What may stand in the block.
@@ -76,7 +76,7 @@
     fleet: &OwnedValue,
     node: &str,
     env: &dyn Fn(&str) -> Option<String>,
-) -> Result<Fleet, ConfigError> {
+) -> Result<FleetSettings, ConfigError> {
     let text = |key: &str| fleet.get(key).and_then(|v| v.as_str());
     let number = |key: &str, absent: f64, least: f64, most: f64| match fleet.get(key).map(json::number) {
         None => Ok(absent),
@@ -108,7 +108,7 @@
     for (i, decider) in list.iter().enumerate() {
         let at = |key: &str| format!("deciders[{i}].{key}");
         let of = |key: &str| decider.get(key).and_then(|v| v.as_str()).unwrap_or_default();
-        let seat = of("seat").parse::<Seat>().ok().filter(|seat| (1..SEATS).contains(seat));
+        let seat = of("seat").parse::<VoterSlot>().ok().filter(|seat| (1..SLOT_STRIDE).contains(seat));
         let Some(seat) = seat.filter(|seat| *seat < 100 && !deciders.contains_key(seat)) else {
             return wrong(
                 &at("seat"),
@@ -124,7 +124,7 @@
             format!("are {n}; write three or five decider blocks (one for trying out)"),
         );
     }
-    let seat = number("seat", 0.0, 1.0, 99.0)? as Seat;
+    let seat = number("seat", 0.0, 1.0, 99.0)? as VoterSlot;
     let seat = (seat > 0).then_some(seat);
     let folder = text("folder").map(PathBuf::from);
     let listen = match (seat, text("listen")) {
@@ -153,16 +153,16 @@
     if times.right < 2.0 * times.switch_bound {
         return wrong("right_ms", "is under twice the switch_bound: a leader's death would stop the fleet");
     }
-    let trial = Trial::of(env).or_else(|e| wrong("trial", e))?;
-    Ok(Fleet {
+    let test_hooks = TestHooks::from_env(env).or_else(|e| wrong("trial", e.to_string()))?;
+    Ok(FleetSettings {
         name: name.to_owned(),
         member: member.to_owned(),
-        deciders,
-        seat,
+        voters: deciders,
+        slot: seat,
         listen,
-        folder,
-        times,
+        data_dir: folder,
+        timings: times,
         tasks: tasks::read(fleet)?,
-        trial,
+        test_hooks,
     })
 }
--- /dev/null
+++ b/src/fleet/state_machine.rs
@@ -0,0 +1,389 @@
+//! The fleet's replicated state machine: policy and tasks in the log, budgets at the leader.
+//!
+//! Policy, leases and budgets do not know each other. Here their commands share one log, and their leaders handle the
+//! requests of members and operators together.
+
+use super::document;
+use super::message::{
+    decode, encode, FleetRequest, FleetResponse, FleetStatus, LogCommand, MemberSummary, OutcomeReport,
+    PendingSummary, PolicyText, TaskStatus,
+};
+use super::test_hooks::TestHooks;
+use beamgap_budgets::leader::{
+    Ask as BudgetPollRequest, Lead as BudgetLeader, Reply as BudgetPollResponse, Standing as BudgetStatus,
+};
+use beamgap_budgets::spec::Spec as BudgetSpec;
+use beamgap_budgets::Times as BudgetTimings;
+use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
+use beamgap_leases::leader::{Ask as LeasePollRequest, Lead as LeaseLeader, Reply as LeasePollResponse};
+use beamgap_leases::state::{Command as TaskCommand, State as TaskState, Task};
+use beamgap_leases::{Clocks as ClockBounds, Token as FencingToken};
+use beamgap_policy::rollout::leader::Lead as PolicyLeader;
+use beamgap_policy::rollout::state::{Command as PolicyCommand, State as PolicyState, EMPTY as EMPTY_POLICY};
+use beamgap_policy::rollout::{
+    Ask as PolicyPollRequest, Reply as PolicyPollResponse, Times as PolicyTimings, Version,
+};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// What stands for the file's name in errors of a policy's text.
+const POLICY_FILE: &str = "policy";
+
+/// The budgets of one version of the policy.
+#[derive(Debug, Default)]
+struct VersionBudgets {
+    /// The version; none if no version was read yet.
+    version: Option<Version>,
+    specs: Vec<BudgetSpec>,
+}
+
+/// The fleet's state machine.
+#[derive(Debug)]
+pub struct FleetStateMachine {
+    policy: PolicyState,
+    policy_leader: PolicyLeader,
+    /// The timings that a new fleet gets.
+    initial_timings: PolicyTimings,
+    tasks: TaskState,
+    lease_leader: LeaseLeader,
+    budgets: VersionBudgets,
+    budget_leader: BudgetLeader,
+}
+
+/// A response, and the commands that follow from the request.
+struct Handled {
+    response: FleetResponse,
+    commands: Vec<LogCommand>,
+}
+
+impl Handled {
+    fn response(response: FleetResponse) -> Handled {
+        Handled { response, commands: Vec::new() }
+    }
+
+    fn accepted(command: LogCommand) -> Handled {
+        Handled { response: FleetResponse::Accepted, commands: vec![command] }
+    }
+}
+
+/// What a poll for policy and tasks gives.
+struct PolicyAndTasks {
+    policy: PolicyPollResponse,
+    leases: LeasePollResponse,
+    commands: Vec<LogCommand>,
+}
+
+fn policy_commands(commands: Vec<PolicyCommand>) -> impl Iterator<Item = LogCommand> {
+    commands.into_iter().map(LogCommand::Policy)
+}
+
+impl FleetStateMachine {
+    /// An empty one. A new fleet gets `timings`; `seed` differs for each incarnation of the member.
+    pub fn new(timings: PolicyTimings, seed: u64, hooks: &TestHooks) -> FleetStateMachine {
+        let clock_bounds = ClockBounds { drift: timings.drift, ..ClockBounds::default() };
+        let budget_timings = BudgetTimings::of_right(timings.right, timings.drift);
+        FleetStateMachine {
+            policy: PolicyState::default(),
+            policy_leader: PolicyLeader::planted(hooks.policy_bug),
+            initial_timings: timings,
+            tasks: TaskState::default(),
+            lease_leader: LeaseLeader::new(clock_bounds, hooks.lease_bug),
+            budgets: VersionBudgets::default(),
+            budget_leader: BudgetLeader::new(seed, budget_timings, hooks.budget_bug),
+        }
+    }
+
+    /// Reads the budgets of the active version, unless they are read already.
+    fn read_budgets(&mut self) {
+        let version = self.policy.version();
+        if self.budgets.version == Some(version) {
+            return;
+        }
+        let read = document::read(POLICY_FILE, self.policy.text()).ok();
+        let specs = read.map(|read| read.budgets).unwrap_or_default();
+        self.budgets = VersionBudgets { version: Some(version), specs };
+        let timings = self.policy.times.unwrap_or(self.initial_timings);
+        self.budget_leader.timed(BudgetTimings::of_right(timings.right, timings.drift));
+    }
+
+    /// Tells the tasks which of them the active policy forbids.
+    fn forbid_tasks(&mut self) {
+        let read = document::read(POLICY_FILE, self.policy.text()).ok();
+        let names = read.map(|read| read.read.policy.forbidden.into_iter().collect()).unwrap_or_default();
+        self.tasks.apply(&TaskCommand::Forbid(names));
+    }
+
+    fn poll_policy(&mut self, now: f64, request: &PolicyPollRequest) -> Handled {
+        let (response, commands) = self.policy_leader.answer(now, &self.policy, request);
+        let commands = policy_commands(commands).collect();
+        Handled { response: FleetResponse::Policy(response), commands }
+    }
+
+    fn poll_policy_and_tasks(
+        &mut self,
+        now: f64,
+        policy_request: &PolicyPollRequest,
+        lease_request: &LeasePollRequest,
+        task_commands: Vec<TaskCommand>,
+    ) -> PolicyAndTasks {
+        let own_commands: Vec<TaskCommand> = task_commands
+            .into_iter()
+            .filter(|command| self.is_of_own_lease(lease_request, command))
+            .collect();
+        let (policy, commands) = self.policy_leader.answer(now, &self.policy, policy_request);
+        // Only members hold leases. One that is not a member yet learns it from the policy's response.
+        let is_member = lease_request.who == (policy_request.member.clone(), policy_request.life)
+            && self.policy.members.contains_key(&lease_request.who);
+        let leases = if is_member {
+            self.lease_leader.answer(now, &self.tasks, lease_request)
+        } else {
+            LeasePollResponse::default()
+        };
+        let own_commands = own_commands.into_iter().map(LogCommand::Task);
+        PolicyAndTasks { policy, leases, commands: policy_commands(commands).chain(own_commands).collect() }
+    }
+
+    fn poll_budgets(
+        &mut self,
+        now: f64,
+        policy_request: PolicyPollRequest,
+        budget_request: &BudgetPollRequest,
+    ) -> BudgetPollResponse {
+        self.read_budgets();
+        if budget_request.who != (policy_request.member, policy_request.life) {
+            return BudgetPollResponse::default();
+        }
+        let version = self.policy.version();
+        let specs = &self.budgets.specs;
+        self.budget_leader.answer(now, version, specs, &self.policy.members, budget_request)
+    }
+
+    /// Whether a command is one that a member may submit: of a lease that it holds.
+    fn is_of_own_lease(&self, request: &LeasePollRequest, command: &TaskCommand) -> bool {
+        let holds = |task: &str, token: FencingToken| {
+            let lease = self.tasks.tasks.get(task).and_then(|task| task.lease.as_ref());
+            lease.is_some_and(|lease| lease.token == token && lease.who == request.who)
+        };
+        match command {
+            TaskCommand::Begin { task, token, .. }
+            | TaskCommand::Record { task, token, .. }
+            | TaskCommand::End { task, token } => holds(task, *token),
+            _ => false,
+        }
+    }
+
+    fn release_lease(&mut self, now: f64, task: &str) {
+        let lease = self.tasks.tasks.get(task).and_then(|task| task.lease.as_ref());
+        if let Some(lease) = lease {
+            self.lease_leader.release(now, lease.token);
+        }
+    }
+
+    fn task_status(&self, now: f64, task: &Task) -> TaskStatus {
+        let lease = task.lease.as_ref();
+        let renewed_ms_ago = lease.and_then(|lease| self.lease_leader.renewed_ago(now, lease.token));
+        TaskStatus { task: task.clone(), renewed_ms_ago }
+    }
+
+    /// The task of this name with its history, or all tasks without theirs.
+    fn task_statuses(&self, now: f64, name: Option<&str>) -> Vec<TaskStatus> {
+        let tasks = self.tasks.tasks.values();
+        let Some(name) = name else {
+            let mut statuses: Vec<_> = tasks.map(|task| self.task_status(now, task)).collect();
+            for status in &mut statuses {
+                status.task.record.clear();
+            }
+            return statuses;
+        };
+        let named = tasks.filter(|task| task.spec.name == name);
+        named.map(|task| self.task_status(now, task)).collect()
+    }
+
+    fn status(&self, now: f64) -> FleetStatus {
+        let pending = self.policy.pending.as_ref().map(|pending| PendingSummary {
+            id: pending.id.clone(),
+            by: pending.by.clone(),
+            committed: pending.decided,
+        });
+        let members = self.policy.members.keys().map(|(name, incarnation)| {
+            let member = (name.clone(), *incarnation);
+            self.member_summary(now, &member)
+        });
+        FleetStatus {
+            version: self.policy.version(),
+            pending,
+            timings: self.policy.times,
+            members: members.collect(),
+        }
+    }
+
+    fn member_summary(&self, now: f64, member: &(String, u64)) -> MemberSummary {
+        let (name, incarnation) = member.clone();
+        match self.policy_leader.heard().get(member) {
+            Some(last) => MemberSummary {
+                name,
+                incarnation,
+                version: last.version,
+                lease: last.holds.clone(),
+                polled_ms_ago: Some(now - last.at),
+                blocked_reason: last.why_not.clone(),
+                note: last.note.clone(),
+            },
+            None => MemberSummary { name, incarnation, ..MemberSummary::default() },
+        }
+    }
+
+    fn outcome_report(&self, now: f64, id: &str) -> OutcomeReport {
+        OutcomeReport { outcome: self.policy.outcome(id), members_behind: self.members_behind(now) }
+    }
+
+    /// Members that polled within the length of a long lease, and do not have the active version yet.
+    fn members_behind(&self, now: f64) -> usize {
+        let active = Some(self.policy.version());
+        let lease_length = self.policy.times.map_or(0.0, |times| times.right);
+        let statuses = self.policy_leader.heard().values();
+        statuses.filter(|last| last.version != active && now - last.at < lease_length).count()
+    }
+
+    fn policy_text(&self, version: Option<Version>) -> Option<PolicyText> {
+        let version = version.unwrap_or(self.policy.version());
+        let kept = self.policy.versions.iter().find(|(kept, _)| *kept == version);
+        match kept {
+            Some((version, text)) => Some(PolicyText { version: *version, text: text.clone() }),
+            None if version == 0 => Some(PolicyText { version: 0, text: EMPTY_POLICY.to_owned() }),
+            None => None,
+        }
+    }
+
+    fn budget_statuses(&mut self, now: f64) -> Vec<BudgetStatus> {
+        self.read_budgets();
+        self.tick_budgets(now);
+        self.budget_leader.standings()
+    }
+
+    fn tick_budgets(&mut self, now: f64) {
+        let version = self.policy.version();
+        self.budget_leader.tick(now, version, &self.budgets.specs, &self.policy.members);
+    }
+
+    fn handle(&mut self, now: f64, request: FleetRequest) -> Handled {
+        match request {
+            FleetRequest::PollPolicy(policy) => self.poll_policy(now, &policy),
+            FleetRequest::PollPolicyAndTasks(policy, leases, commands) => {
+                let polled = self.poll_policy_and_tasks(now, &policy, &leases, commands);
+                let response = FleetResponse::PolicyAndTasks(polled.policy, polled.leases);
+                Handled { response, commands: polled.commands }
+            }
+            FleetRequest::PollAll(policy, leases, commands, budgets) => {
+                let polled = self.poll_policy_and_tasks(now, &policy, &leases, commands);
+                let shares = self.poll_budgets(now, policy, &budgets);
+                let response = FleetResponse::All(polled.policy, polled.leases, shares);
+                Handled { response, commands: polled.commands }
+            }
+            FleetRequest::SubmitTaskCommand(command) => Handled::accepted(LogCommand::Task(command)),
+            FleetRequest::Propose(change) => {
+                Handled::accepted(LogCommand::Policy(PolicyCommand::Propose(change)))
+            }
+            FleetRequest::Withdraw(id) => {
+                Handled::accepted(LogCommand::Policy(PolicyCommand::TakeBack { id }))
+            }
+            FleetRequest::ReleaseLease(task) => {
+                self.release_lease(now, &task);
+                Handled::response(FleetResponse::Accepted)
+            }
+            other => Handled::response(self.report(now, other)),
+        }
+    }
+
+    /// Handles the requests that only look at the state.
+    fn report(&mut self, now: f64, request: FleetRequest) -> FleetResponse {
+        match request {
+            FleetRequest::Outcome(id) => FleetResponse::Outcome(self.outcome_report(now, &id)),
+            FleetRequest::Status => FleetResponse::Status(Box::new(self.status(now))),
+            FleetRequest::History => FleetResponse::History(self.policy.history.iter().cloned().collect()),
+            FleetRequest::PolicyText(version) => FleetResponse::PolicyText(self.policy_text(version)),
+            FleetRequest::Tasks(name) => FleetResponse::Tasks(self.task_statuses(now, name.as_deref())),
+            FleetRequest::Budgets => FleetResponse::Budgets(self.budget_statuses(now)),
+            _ => FleetResponse::Unreadable,
+        }
+    }
+}
+
+impl StateMachine for FleetStateMachine {
+    fn reset(&mut self) {
+        self.policy = PolicyState::default();
+        self.tasks = TaskState::default();
+        self.budgets.version = None;
+    }
+
+    fn apply(&mut self, command: &[u8]) {
+        match LogCommand::decode(command) {
+            Some(LogCommand::Policy(command)) => {
+                let version_before = self.policy.version();
+                self.policy.apply(&command);
+                if self.policy.version() != version_before {
+                    self.forbid_tasks();
+                }
+            }
+            Some(LogCommand::Task(command)) => {
+                self.tasks.apply(&command);
+                if matches!(command, TaskCommand::Define(_)) {
+                    self.forbid_tasks();
+                }
+            }
+            // Written by a newer program. This one can't follow, and does not guess.
+            None => {
+                let bytes = command.len();
+                tracing::error!(target: "fleet", bytes, "unreadable command in the log: update this program");
+            }
+        }
+    }
+
+    fn snapshot(&self) -> Vec<u8> {
+        // Programs from before there were tasks read the policy and ignore the rest.
+        [encode(&self.policy), encode(&self.tasks)].concat()
+    }
+
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
+        let (policy, rest) = postcard::take_from_bytes(snapshot).map_err(RestoreError::new)?;
+        let tasks = match rest {
+            [] => TaskState::default(),
+            rest => postcard::from_bytes(rest).map_err(RestoreError::new)?,
+        };
+        self.policy = policy;
+        self.tasks = tasks;
+        self.budgets.version = None;
+        Ok(())
+    }
+
+    fn set_leadership(&mut self, now: f64, is_leader: bool) {
+        self.policy_leader.role(now, is_leader);
+        self.lease_leader.role(now, is_leader);
+        self.budget_leader.role(now, is_leader);
+    }
+
+    fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest {
+        let handled = match decode(request) {
+            Some(request) => self.handle(now, request),
+            None => Handled::response(FleetResponse::Unreadable),
+        };
+        HandledRequest {
+            response: encode(&handled.response),
+            commands: handled.commands.iter().map(LogCommand::encode).collect(),
+        }
+    }
+
+    fn tick(&mut self, now: f64) -> Vec<Vec<u8>> {
+        if self.policy.times.is_none() {
+            let bootstrap = LogCommand::Policy(PolicyCommand::Found(self.initial_timings));
+            return vec![bootstrap.encode()];
+        }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).ok();
+        let minute = since_epoch.map(|time| time.as_secs() / 60);
+        let policy = self.policy_leader.tick(now, &self.policy);
+        let tasks = self.lease_leader.tick(now, minute, &self.tasks);
+        self.read_budgets();
+        self.tick_budgets(now);
+        let tasks = tasks.into_iter().map(LogCommand::Task);
+        policy_commands(policy).chain(tasks).map(|command| command.encode()).collect()
+    }
+}
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -4,11 +4,15 @@
 //! start does. The leader's own commands are left out, so that the state stays as it was stored.
 
 use beamgap::fleet::document;
-use beamgap::fleet::machine::{decode, encode, Answer, FleetMachine, Question, Status};
-use beamgap::fleet::trial::Trial;
-use beamgap_consensus::disk::{Files, SharedDisk};
-use beamgap_consensus::store::{Marker, Store};
-use beamgap_consensus::{Council, Machine, Plants, Settings};
+use beamgap::fleet::message::{
+    decode, encode, FleetRequest, FleetResponse, FleetStatus, OutcomeReport, PendingSummary, PolicyText,
+    TaskStatus,
+};
+use beamgap::fleet::state_machine::FleetStateMachine;
+use beamgap::fleet::test_hooks::TestHooks;
+use beamgap_consensus::disk::{FileDisk, SharedDisk};
+use beamgap_consensus::store::{Store, VoterIdentity};
+use beamgap_consensus::{ConsensusNode, HandledRequest, InjectedBugs, RestoreError, Settings, StateMachine};
 use beamgap_leases::state::{Lease, Outcome as StepOutcome, Run, Step, Task};
 use beamgap_policy::rollout::state::{Outcome, Record};
 use beamgap_policy::rollout::{Fault, Times};
@@ -45,14 +49,14 @@
 
 /// The state machine, counting how it came to its state, and without commands of its own.
 struct Observed {
-    machine: FleetMachine,
+    machine: FleetStateMachine,
     restored: usize,
     applied: usize,
 }
 
-impl Machine for Observed {
-    fn blank(&mut self) {
-        self.machine.blank();
+impl StateMachine for Observed {
+    fn reset(&mut self) {
+        self.machine.reset();
     }
     fn apply(&mut self, command: &[u8]) {
         self.applied += 1;
@@ -61,15 +65,17 @@
     fn snapshot(&self) -> Vec<u8> {
         self.machine.snapshot()
     }
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), String> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
         self.restored += 1;
         self.machine.restore(snapshot)
     }
-    fn role(&mut self, now: f64, leads: bool) {
-        self.machine.role(now, leads);
+    fn set_leadership(&mut self, now: f64, leads: bool) {
+        self.machine.set_leadership(now, leads);
     }
-    fn answer(&mut self, now: f64, question: &[u8]) -> (Vec<u8>, Vec<Vec<u8>>) {
-        (self.machine.answer(now, question).0, Vec::new())
+    fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest {
+        // A request may come before the first tick, which reports the leadership.
+        self.machine.set_leadership(now, true);
+        HandledRequest { commands: Vec::new(), ..self.machine.handle_request(now, request) }
     }
     fn tick(&mut self, _: f64) -> Vec<Vec<u8>> {
         Vec::new()
@@ -88,40 +94,40 @@
 
 /// A voter that was started on the folder.
 struct Started {
-    council: Council,
+    consensus: ConsensusNode,
     machine: Arc<Mutex<Observed>>,
 }
 
 impl Started {
     fn on(folder: &Path) -> Started {
-        let trial = Trial::default();
-        let machine = FleetMachine::new(Times::default(), 1, trial.plant, trial.leases, trial.budgets);
+        let hooks = TestHooks::default();
+        let machine = FleetStateMachine::new(Times::default(), 1, &hooks);
         let machine = Arc::new(Mutex::new(Observed { machine, restored: 0, applied: 0 }));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let settings = Settings {
             fleet: "cedar".to_owned(),
             member: "front-1".to_owned(),
-            deciders: [(1, listener.local_addr().unwrap())].into(),
-            seat: Some(1),
-            folder: Some(folder.to_owned()),
+            voters: [(1, listener.local_addr().unwrap())].into(),
+            slot: Some(1),
+            data_dir: Some(folder.to_owned()),
             seed: 7,
-            clock: trial.clock(),
-            plants: Plants::default(),
+            clock: hooks.clock(),
+            injected_bugs: InjectedBugs::default(),
         };
-        let disk: SharedDisk = Arc::new(Files);
-        let council = Council::start(settings, Some(listener), disk, machine.clone(), || {}).unwrap();
-        Started { council, machine }
+        let disk: SharedDisk = Arc::new(FileDisk);
+        let consensus = ConsensusNode::start(settings, Some(listener), disk, machine.clone(), || {}).unwrap();
+        Started { consensus, machine }
     }
 
     /// Asks until a leader answers.
-    fn ask(&self, question: &Question) -> Answer {
+    fn ask(&self, request: &FleetRequest) -> FleetResponse {
         let deadline = Instant::now() + Duration::from_secs(30);
         for tag in 0.. {
-            assert!(Instant::now() < deadline, "no leader answered: {:?}", self.council.status());
-            assert!(self.council.ask(tag, encode(question)));
+            assert!(Instant::now() < deadline, "no leader answered: {:?}", self.consensus.status());
+            assert!(self.consensus.submit(tag, encode(request)));
             std::thread::sleep(Duration::from_millis(50));
-            let answers: Vec<_> = self.council.answers().collect();
-            if let Some(answer) = answers.into_iter().find_map(|(_, answer)| answer) {
+            let answers: Vec<_> = self.consensus.responses().collect();
+            if let Some(answer) = answers.into_iter().find_map(|response| response.body) {
                 return decode(&answer).expect("an answer that can be read");
             }
         }
@@ -129,15 +135,15 @@
     }
 
     fn tasks(&self) -> Vec<Task> {
-        match self.ask(&Question::Tasks(None)) {
-            Answer::Tasks(tasks) => tasks.into_iter().map(|(task, _)| task).collect(),
+        match self.ask(&FleetRequest::Tasks(None)) {
+            FleetResponse::Tasks(tasks) => tasks.into_iter().map(|status: TaskStatus| status.task).collect(),
             other => panic!("{other:?}"),
         }
     }
 
-    fn status(&self) -> Status {
-        match self.ask(&Question::Status) {
-            Answer::Status(status) => *status,
+    fn status(&self) -> FleetStatus {
+        match self.ask(&FleetRequest::Status) {
+            FleetResponse::Status(status) => *status,
             other => panic!("{other:?}"),
         }
     }
@@ -158,10 +164,10 @@
 #[test]
 fn a_stored_folder_opens_with_its_cluster_id_snapshot_and_log() {
     let folder = stored_folder();
-    let disk: SharedDisk = Arc::new(Files);
+    let disk: SharedDisk = Arc::new(FileDisk);
     let store = Store::open(folder.path(), &disk, true).unwrap();
-    let marker = Marker { fleet: "cedar".to_owned(), founding: CLUSTER_ID, id: 1 };
-    assert_eq!(store.marker().unwrap(), Some(marker));
+    let identity = VoterIdentity { fleet: "cedar".to_owned(), cluster_id: CLUSTER_ID, node_id: 1 };
+    assert_eq!(store.identity().unwrap(), Some(identity));
     assert_eq!(store.entries(..).unwrap().len(), ENTRIES_IN_LOG);
     for name in ["form", "vote", "purged", "snapshot"] {
         assert!(store.get(name).unwrap().is_some(), "{name}");
@@ -175,14 +181,18 @@
 
     let status = started.status();
     assert_eq!(status.version, 1);
-    assert_eq!(status.pending, Some(("c4".to_owned(), "ada".to_owned(), false)));
-    assert_eq!(status.times, Some(Times { right: 600_000.0, ..Times::default() }));
-    let members: Vec<_> = status.members.iter().map(|m| (m.name.as_str(), m.life)).collect();
+    let pending = PendingSummary { id: "c4".to_owned(), by: "ada".to_owned(), committed: false };
+    assert_eq!(status.pending, Some(pending));
+    assert_eq!(status.timings, Some(Times { right: 600_000.0, ..Times::default() }));
+    let members: Vec<_> = status.members.iter().map(|m| (m.name.as_str(), m.incarnation)).collect();
     assert_eq!(members, [FRONT_1, FRONT_2]);
 
-    assert_eq!(started.ask(&Question::Text(None)), Answer::Text(Some((1, POLICY.to_owned()))));
+    let policy = PolicyText { version: 1, text: POLICY.to_owned() };
+    assert_eq!(started.ask(&FleetRequest::PolicyText(None)), FleetResponse::PolicyText(Some(policy)));
     let budgets = document::read("policy", POLICY).unwrap().budgets;
-    let Answer::Budgets(standings) = started.ask(&Question::Budgets) else { panic!("other answer") };
+    let FleetResponse::Budgets(standings) = started.ask(&FleetRequest::Budgets) else {
+        panic!("other answer")
+    };
     let named: Vec<_> = budgets.iter().map(|budget| budget.name.as_str()).collect();
     let divided: Vec<_> = standings.iter().map(|budget| budget.name.as_str()).collect();
     assert_eq!((named, divided), (vec!["all", "munster"], vec!["all", "munster"]));
@@ -193,8 +203,9 @@
         record("c2", Outcome::TurnedDown(rejected)),
         record("c3", Outcome::TakenBack),
     ];
-    assert_eq!(started.ask(&Question::History), Answer::History(history));
-    assert_eq!(started.ask(&Question::Outcome("c4".to_owned())), Answer::Outcome(Some(Outcome::Checking), 0));
+    assert_eq!(started.ask(&FleetRequest::History), FleetResponse::History(history));
+    let checking = OutcomeReport { outcome: Some(Outcome::Checking), members_behind: 0 };
+    assert_eq!(started.ask(&FleetRequest::Outcome("c4".to_owned())), FleetResponse::Outcome(checking));
 }
 
 #[test]
@@ -219,7 +230,7 @@
 
     assert_eq!((watch.spec.name.as_str(), &watch.lease), ("watch", &lease(FRONT_1, 2)));
 
-    let Answer::Tasks(one) = started.ask(&Question::Tasks(Some("compact".to_owned()))) else {
+    let FleetResponse::Tasks(one) = started.ask(&FleetRequest::Tasks(Some("compact".to_owned()))) else {
         panic!("other answer")
     };
     let history = [
@@ -227,7 +238,7 @@
         step(1, 1, "front-1", StepOutcome::Unknown("its lease ended".to_owned())),
         step(2, 3, "front-2", StepOutcome::NeverRan("connection refused".to_owned())),
     ];
-    assert_eq!(one[0].0.record, history);
+    assert_eq!(one[0].task.record, history);
 }
 
 #[test]
@@ -238,6 +249,26 @@
     let observed = started.machine.lock().unwrap();
     assert_eq!(observed.restored, 1);
     assert!((1..ENTRIES_IN_LOG).contains(&observed.applied), "{} entries applied", observed.applied);
-    assert!(started.council.status().log.1 >= LAST_ENTRY, "all entries are applied");
+    assert!(started.consensus.status().log.applied >= LAST_ENTRY, "all entries are applied");
     assert_eq!(observed.snapshot(), STORED_STATE, "the same bytes");
 }
+
+/// A request and its response in the form in which members exchange them.
+#[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
+struct Exchange {
+    request: Vec<u8>,
+    response: Vec<u8>,
+}
+
+#[test]
+fn a_start_on_a_stored_folder_responds_to_stored_requests_with_the_same_bytes() {
+    let folder = stored_folder();
+    let started = Started::on(folder.path());
+    started.status();
+    let stored: Vec<Exchange> = decode(include_bytes!("stored_data/responses.bin")).unwrap();
+    assert_eq!(stored.len(), 8);
+    for exchange in stored {
+        let handled = started.machine.lock().unwrap().handle_request(0.0, &exchange.request);
+        assert_eq!(Exchange { request: exchange.request.clone(), response: handled.response }, exchange);
+    }
+}
