--- a/crates/policy/src/document.rs
+++ b/crates/policy/src/document.rs
@@ -8,7 +8,7 @@
 pub const FORM: u64 = 1;
 
 /// Longest document in bytes: it goes through the fleet's log whole.
-pub const TEXT_MOST: usize = 64 * 1024;
+pub const MAX_TEXT_LENGTH: usize = 64 * 1024;
 
 /// What a class is subject to.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -117,7 +117,7 @@
         let (file, place) = (file.to_owned(), Place { line: 1, column: 1 });
         vec![Problem { file, place, key: key.to_owned(), problem, fix: fix.to_owned() }]
     };
-    if text.len() > TEXT_MOST {
+    if text.len() > MAX_TEXT_LENGTH {
         return Err(fault("(file)", format!("has {} bytes", text.len()), "at most 65536 are read"));
     }
     if let Some(form) = form(text).filter(|form| *form > FORM) {
--- a/crates/policy/src/rollout/leader.rs
+++ b/crates/policy/src/rollout/leader.rs
@@ -1,216 +1,339 @@
-//! What the leading decider does. All of it is of the moment: a new leader begins with nothing, and safety stands on
-//! the log and on the members' own clocks alone.
+//! The leading voter's part: it answers members, and proposes what is to be committed next.
+//!
+//! All of its state is volatile: a new leader begins with none. Safety rests on the replicated log and on the members'
+//! own clocks alone. All times are in milliseconds.
 
-use super::state::{Command, State};
-use super::{Ask, Fault, Grant, Mark, Plant, Reply, Times};
+use super::message::{LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError};
+use super::state::{Command, RolloutState, MAX_MEMBERS};
+use super::{InjectedBug, PendingChange, PolicyTimings, Version};
+use beamgap_fleet_types::{is_valid_name, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 
-const BUSY_AGAIN: f64 = 30.0; // ms; between a member's questions while a change is under way
-const JOIN_AGAIN: f64 = 20.0; // ms; until its joining is agreed on
-const FORGET: f64 = 12.0; // rights; a life not heard of for so long has left
+/// Pause between a member's polls while a change is under way, in milliseconds.
+const POLL_INTERVAL_DURING_ROLLOUT_MS: f64 = 30.0;
+/// Pause between a member's polls until it has joined, in milliseconds.
+const POLL_INTERVAL_UNTIL_JOINED_MS: f64 = 20.0;
+/// Polls of a member within the length of a long lease while no change is under way.
+const POLLS_PER_LEASE: f64 = 6.0;
+/// A member that was silent for so many lengths of a lease is removed.
+const LEASES_UNTIL_REMOVED: f64 = 12.0;
+/// Pause before a member's join or removal is proposed again, in milliseconds.
+const MEMBERSHIP_RETRY_MS: f64 = 500.0;
+/// Pause before the next step of a change is proposed again, in milliseconds.
+const ROLLOUT_RETRY_MS: f64 = 200.0;
 
-/// A member as the leader last heard of it.
+/// A member as of its last poll.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard {
-    /// When.
-    pub at: f64,
+pub struct MemberStatus {
+    /// When it polled.
+    pub polled_at: f64,
     /// The version that it has.
-    pub version: Option<super::Version>,
-    /// What its right was worth when it asked.
-    pub holds: Option<Mark>,
-    /// Why it admits nothing, if so.
-    pub why_not: Option<String>,
+    pub version: Option<Version>,
+    /// The kind of its lease.
+    pub lease_kind: Option<LeaseKind>,
+    /// Why it admits no request, if so.
+    pub blocked_reason: Option<String>,
     /// Its note for operators.
     pub note: String,
 }
 
-/// The leader's part.
+/// The change under way as this leader has seen it.
+#[derive(Clone, Debug, PartialEq)]
+struct TrackedChange {
+    id: String,
+    first_seen_at: f64,
+    /// When it was first seen to be committed.
+    committed_at: Option<f64>,
+}
+
+/// The state machine of the leader.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Lead {
-    since: Option<f64>,
-    /// The change under way, when it was first seen here, and when its decision was.
-    change: Option<(String, f64, Option<f64>)>,
-    /// What members made of it.
-    checked: BTreeMap<(String, u64), Vec<Fault>>,
-    /// Who holds a short right for sure, and so no long one.
-    short: BTreeSet<(String, u64)>,
-    heard: BTreeMap<(String, u64), Heard>,
-    /// Commands handed out and not yet seen in the state: not to be handed out again at once.
-    joining: BTreeMap<(String, u64), f64>,
-    /// Lives whose leaving was asked for: granted nothing more, since it may be agreed on at any moment.
-    leaving: BTreeMap<(String, u64), f64>,
-    asked: f64,
-    plant: Plant,
+pub struct PolicyLeader {
+    leads_since: Option<f64>,
+    change: Option<TrackedChange>,
+    /// What members found in the change under way.
+    validations: BTreeMap<MemberId, Vec<ValidationError>>,
+    /// Members that are known to hold a short lease, and so no long one.
+    short_leases: BTreeSet<MemberId>,
+    statuses: BTreeMap<MemberId, MemberStatus>,
+    /// Members whose join was proposed and is not applied yet, with the time of that.
+    joining: BTreeMap<MemberId, f64>,
+    /// Members whose removal was proposed: they are granted nothing, since it may be committed at any moment.
+    leaving: BTreeMap<MemberId, f64>,
+    /// When a step of the change was last proposed.
+    step_proposed_at: Option<f64>,
+    injected_bug: InjectedBug,
 }
 
-impl Lead {
-    /// One that leads nothing, with a fault planted for tests.
-    pub fn planted(plant: Plant) -> Lead {
-        Lead { plant, ..Lead::default() }
+impl PolicyLeader {
+    /// One that does not lead yet, with a bug injected for tests.
+    pub fn with_injected_bug(injected_bug: InjectedBug) -> PolicyLeader {
+        PolicyLeader { injected_bug, ..PolicyLeader::default() }
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
-        self.since.is_some()
+    pub fn is_leader(&self) -> bool {
+        self.leads_since.is_some()
     }
 
-    /// It leads from now on, or no more.
-    pub fn role(&mut self, now: f64, leads: bool) {
-        if leads != self.leads() {
-            *self = Lead { since: leads.then_some(now), plant: self.plant, ..Lead::default() };
+    /// It leads from now on, or no more. All that it knew is dropped.
+    pub fn set_leadership(&mut self, now: f64, is_leader: bool) {
+        if is_leader != self.is_leader() {
+            *self = PolicyLeader::with_injected_bug(self.injected_bug);
+            self.leads_since = is_leader.then_some(now);
         }
     }
 
-    /// Members as last heard of.
-    pub fn heard(&self) -> &BTreeMap<(String, u64), Heard> {
-        &self.heard
+    /// Members as of their last polls.
+    pub fn member_statuses(&self) -> &BTreeMap<MemberId, MemberStatus> {
+        &self.statuses
     }
 
-    /// Answers a member. The state must be one that was agreed on after the question came.
-    pub fn answer(&mut self, now: f64, state: &State, ask: &Ask) -> (Reply, Vec<Command>) {
-        self.follow(now, state);
-        let who = (ask.member.clone(), ask.life);
-        let round = ask.round;
-        // Also one that is not a member yet: it must not be taken for lost between its joining and its next question.
-        let heard = Heard {
-            at: now,
-            version: ask.version,
-            holds: ask.holds.clone(),
-            why_not: ask.why_not.clone(),
-            note: ask.note.clone(),
+    /// Answers a member's poll, with commands to propose. The state must be one that was committed after the poll came.
+    pub fn handle_poll(
+        &mut self,
+        now: f64,
+        state: &RolloutState,
+        request: &PollRequest,
+    ) -> (PollResponse, Vec<Command>) {
+        self.observe(now, state);
+        self.record_status(now, request);
+        let member = &request.member;
+        let timings = match state.timings {
+            Some(timings) if state.members.contains_key(member) => timings,
+            _ => return (response_without_lease(request), self.propose_join(now, state, request)),
         };
-        if super::state::good_name(&ask.member) && self.heard.len() < 2 * super::state::MEMBERS_MOST {
-            self.heard.insert(who.clone(), heard);
-        }
-        let (Some(times), Some(_)) = (state.times, state.members.get(&who)) else {
-            let reply = Reply { round, grant: None, check: None, again: JOIN_AGAIN };
-            let waiting = self.joining.get(&who).is_some_and(|at| now - at < 500.0);
-            if waiting || !super::state::good_name(&ask.member) || state.times.is_none() {
-                return (reply, Vec::new());
-            }
-            self.joining.insert(who, now);
-            let join = Command::Join { member: ask.member.clone(), life: ask.life, form: ask.form };
-            return (reply, vec![join]);
+        self.joining.remove(member);
+        if self.leaving.contains_key(member) {
+            return (response_without_lease(request), Vec::new());
+        }
+        if let Some(pending) = &state.pending {
+            self.record_progress(pending, request);
+        }
+        let response = self.response(state, timings, request);
+        (response, self.next_commands(now, state))
+    }
+
+    /// Time passes: what is to be committed next.
+    pub fn tick(&mut self, now: f64, state: &RolloutState) -> Vec<Command> {
+        self.observe(now, state);
+        self.next_commands(now, state)
+    }
+
+    /// Remembers when this member polled, also before it has joined: it must not be taken for lost between its joining
+    /// and its next poll.
+    fn record_status(&mut self, now: f64, request: &PollRequest) {
+        if !is_valid_name(&request.member.name) || self.statuses.len() >= 2 * MAX_MEMBERS {
+            return;
+        }
+        let status = MemberStatus {
+            polled_at: now,
+            version: request.version,
+            lease_kind: request.lease_kind.clone(),
+            blocked_reason: request.blocked_reason.clone(),
+            note: request.note.clone(),
         };
-        self.joining.remove(&who);
-        if self.leaving.contains_key(&who) {
-            return (Reply { round, grant: None, check: None, again: JOIN_AGAIN }, Vec::new());
-        }
-        let pending = state.pending.as_ref();
-        if let Some(p) = pending {
-            if let Some((_, faults)) = ask.checked.as_ref().filter(|(id, _)| *id == p.id) {
-                self.checked.insert(who.clone(), faults.clone());
-            }
-            // It took a short right, which replaced the long one, before it asked this.
-            if ask.holds.as_ref().is_some_and(|mark| *mark == Mark::Short(p.id.clone())) {
-                self.short.insert(who.clone());
-            }
+        self.statuses.insert(request.member.clone(), status);
+    }
+
+    fn propose_join(&mut self, now: f64, state: &RolloutState, request: &PollRequest) -> Vec<Command> {
+        let member = &request.member;
+        let is_proposed = self.joining.get(member).is_some_and(|at| now - at < MEMBERSHIP_RETRY_MS);
+        if is_proposed || !is_valid_name(&member.name) || state.timings.is_none() {
+            return Vec::new();
         }
-        let check = pending.filter(|p| !p.decided && !self.checked.contains_key(&who));
-        let check = check.map(|p| (p.id.clone(), p.text.clone()));
-        let decided = pending.filter(|p| p.decided);
-        let mark = decided.map_or(Mark::Long, |p| Mark::Short(p.id.clone()));
-        let mut version = state.version();
-        let mut text = state.text();
-        let mut length = if decided.is_some() { times.short() } else { times.right };
-        match (self.plant, pending) {
-            (Plant::EarlyActivation, Some(p)) => (version, text) = (version + 1, p.text.as_str()),
-            (Plant::NoWait, Some(_)) => length = times.right,
-            _ => {}
+        self.joining.insert(member.clone(), now);
+        vec![Command::Join { member: member.clone(), format_version: request.format_version }]
+    }
+
+    /// What a poll tells of the member's part in the change under way.
+    fn record_progress(&mut self, pending: &PendingChange, request: &PollRequest) {
+        if let Some(report) = request.validation.as_ref().filter(|report| report.change_id == pending.id) {
+            self.validations.insert(request.member.clone(), report.errors.clone());
+        }
+        // It accepted the short lease, which replaced the long one, before it sent this poll.
+        let has_short_lease =
+            matches!(&request.lease_kind, Some(LeaseKind::Short(change)) if *change == pending.id);
+        if has_short_lease {
+            self.short_leases.insert(request.member.clone());
+        }
+    }
+
+    fn response(&self, state: &RolloutState, timings: PolicyTimings, request: &PollRequest) -> PollResponse {
+        let grant = self.grant(state, timings, request);
+        // A member that activates another version is to poll soon: that is what the operator's command waits for.
+        let is_busy = state.pending.is_some() || request.version != Some(grant.version);
+        let poll_again_after_ms =
+            if is_busy { POLL_INTERVAL_DURING_ROLLOUT_MS } else { timings.lease_ms / POLLS_PER_LEASE };
+        PollResponse {
+            sequence: request.sequence,
+            grant: Some(grant),
+            validate: self.change_to_validate(state, &request.member),
+            poll_again_after_ms,
+        }
+    }
+
+    fn change_to_validate(&self, state: &RolloutState, member: &MemberId) -> Option<ProposedChange> {
+        let pending = state.pending.as_ref()?;
+        if pending.committed || self.validations.contains_key(member) {
+            return None;
         }
-        let grant = Grant {
-            version,
-            length,
-            mark,
-            drift: times.drift,
-            text: (ask.version != Some(version)).then(|| text.to_owned()),
+        Some(ProposedChange { id: pending.id.clone(), policy_text: pending.policy_text.clone() })
+    }
+
+    fn grant(&self, state: &RolloutState, timings: PolicyTimings, request: &PollRequest) -> LeaseGrant {
+        let committed = state.pending.as_ref().filter(|pending| pending.committed);
+        let mut version = state.version();
+        let mut text = state.policy_text();
+        let (mut length_ms, kind) = match committed {
+            Some(pending) => (timings.short_lease_ms(), LeaseKind::Short(pending.id.clone())),
+            None => (timings.lease_ms, LeaseKind::Long),
         };
-        // Who takes up another version is to say so soon: that is what the operator's command waits for.
-        let busy = pending.is_some() || ask.version != Some(version);
-        let again = if busy { BUSY_AGAIN } else { times.right / 6.0 };
-        (Reply { round, grant: Some(grant), check, again }, self.step(now, state))
-    }
-
-    /// Time passes: what is to be agreed on next.
-    pub fn tick(&mut self, now: f64, state: &State) -> Vec<Command> {
-        self.follow(now, state);
-        self.step(now, state)
-    }
-
-    fn follow(&mut self, now: f64, state: &State) {
-        self.leaving.retain(|who, _| state.members.contains_key(who));
-        // Lives that asked and never joined are forgotten, so that strangers leave no trace.
-        let right = state.times.map_or(0.0, |times| times.right);
-        self.heard.retain(|who, heard| state.members.contains_key(who) || now - heard.at <= right);
-        match (&state.pending, &mut self.change) {
-            (None, _) => {
-                if self.change.take().is_some() {
-                    self.asked = 0.0;
-                }
-                self.checked.clear();
-                self.short.clear();
-            }
-            (Some(p), Some((id, _, decided))) if *id == p.id => {
-                if p.decided && decided.is_none() {
-                    (*decided, self.asked) = (Some(now), 0.0);
-                }
-            }
-            (Some(p), _) => {
-                self.change = Some((p.id.clone(), now, p.decided.then_some(now)));
-                self.checked.clear();
-                self.short.clear();
-                self.asked = 0.0;
+        match (self.injected_bug, &state.pending) {
+            (InjectedBug::EarlyActivation, Some(pending)) => {
+                version += 1;
+                text = &pending.policy_text;
             }
+            (InjectedBug::NoWait, Some(_)) => length_ms = timings.lease_ms,
+            _ => {}
         }
+        let has_version = request.version == Some(version);
+        let policy_text = if has_version { None } else { Some(text.to_owned()) };
+        LeaseGrant { version, length_ms, kind, max_drift: timings.max_drift, policy_text }
     }
 
-    fn step(&mut self, now: f64, state: &State) -> Vec<Command> {
-        let (Some(since), Some(times)) = (self.since, state.times) else { return Vec::new() };
-        let mut commands = Vec::new();
-        // A life that was not heard of for many times a right holds none, whoever granted it.
-        let gone = FORGET * times.surely_over(times.right);
-        if now - since > gone && state.pending.is_none() {
-            let lost = |who: &&(String, u64)| self.heard.get(*who).is_none_or(|heard| now - heard.at > gone);
-            let lost: Vec<_> = state.members.keys().filter(lost).cloned().collect();
-            for (member, life) in lost {
-                let who = (member.clone(), life);
-                if self.leaving.get(&who).is_none_or(|at| now - at > 500.0) {
-                    self.leaving.insert(who, now);
-                    commands.push(Command::Leave { member, life });
-                }
+    /// Follows the replicated state.
+    fn observe(&mut self, now: f64, state: &RolloutState) {
+        self.leaving.retain(|member, _| state.members.contains_key(member));
+        // Polls from those that never joined are forgotten, so that strangers leave no trace.
+        let lease_ms = state.timings.map_or(0.0, |timings| timings.lease_ms);
+        self.statuses.retain(|member, status| {
+            state.members.contains_key(member) || now - status.polled_at <= lease_ms
+        });
+        match &state.pending {
+            None => self.track_no_change(),
+            Some(pending) => self.track_change(now, pending),
+        }
+    }
+
+    fn track_no_change(&mut self) {
+        if self.change.take().is_some() {
+            self.step_proposed_at = None;
+        }
+        self.validations.clear();
+        self.short_leases.clear();
+    }
+
+    fn track_change(&mut self, now: f64, pending: &PendingChange) {
+        if let Some(change) = self.change.as_mut().filter(|change| change.id == pending.id) {
+            if pending.committed && change.committed_at.is_none() {
+                change.committed_at = Some(now);
+                self.step_proposed_at = None;
             }
+            return;
         }
-        // What was asked for may have been lost with a leader's hold: again, but not each time.
-        if now - self.asked < 200.0 && self.asked > 0.0 {
+        self.change = Some(TrackedChange {
+            id: pending.id.clone(),
+            first_seen_at: now,
+            committed_at: pending.committed.then_some(now),
+        });
+        self.validations.clear();
+        self.short_leases.clear();
+        self.step_proposed_at = None;
+    }
+
+    fn next_commands(&mut self, now: f64, state: &RolloutState) -> Vec<Command> {
+        let (Some(leads_since), Some(timings)) = (self.leads_since, state.timings) else { return Vec::new() };
+        let mut commands = self.propose_removals(now, leads_since, state, timings);
+        // A proposal may have been lost with a leader: it is repeated, but not at each poll.
+        if self.step_proposed_at.is_some_and(|at| now - at < ROLLOUT_RETRY_MS) {
             return commands;
         }
-        let next = self.next(now, state, times);
-        if next.is_some() {
-            self.asked = now.max(f64::MIN_POSITIVE);
+        if let Some(step) = self.next_step(now, state, timings) {
+            self.step_proposed_at = Some(now);
+            commands.push(step);
         }
-        commands.extend(next);
         commands
     }
 
-    fn next(&self, now: f64, state: &State, times: Times) -> Option<Command> {
-        let (id, seen, decided) = self.change.as_ref()?;
-        let id = id.clone();
-        match decided {
-            None => {
-                let faults: Vec<Fault> = self.checked.values().flatten().cloned().collect();
-                if !faults.is_empty() {
-                    return Some(Command::TurnDown { id, faults });
-                }
-                let all = state.members.keys().all(|who| self.checked.contains_key(who));
-                // Who is down is no veto; one at least must have looked at it.
-                let enough = all || now - seen >= times.check;
-                (enough && !self.checked.is_empty()).then_some(Command::Decide { id })
-            }
-            Some(at) => {
-                let all = state.members.keys().all(|who| self.short.contains(who));
-                let over = now - at >= times.surely_over(times.right);
-                (all || over || self.plant == Plant::NoWait).then_some(Command::Activate { id })
+    /// A member that was silent for many lengths of a lease holds none, whichever leader granted it.
+    fn propose_removals(
+        &mut self,
+        now: f64,
+        leads_since: f64,
+        state: &RolloutState,
+        timings: PolicyTimings,
+    ) -> Vec<Command> {
+        let silence_ms = LEASES_UNTIL_REMOVED * timings.long_leases_expired_after_ms();
+        if now - leads_since <= silence_ms || state.pending.is_some() {
+            return Vec::new();
+        }
+        let mut commands = Vec::new();
+        for member in state.members.keys() {
+            let status = self.statuses.get(member);
+            let is_lost = status.is_none_or(|status| now - status.polled_at > silence_ms);
+            let is_proposed = self.leaving.get(member).is_some_and(|at| now - at <= MEMBERSHIP_RETRY_MS);
+            if is_lost && !is_proposed {
+                self.leaving.insert(member.clone(), now);
+                commands.push(Command::Leave { member: member.clone() });
             }
         }
+        commands
+    }
+
+    fn next_step(&self, now: f64, state: &RolloutState, timings: PolicyTimings) -> Option<Command> {
+        let change = self.change.as_ref()?;
+        match change.committed_at {
+            None => self.rejection_or_commit(now, state, timings, change),
+            Some(committed_at) => self.activation(now, state, timings, change, committed_at),
+        }
+    }
+
+    fn rejection_or_commit(
+        &self,
+        now: f64,
+        state: &RolloutState,
+        timings: PolicyTimings,
+        change: &TrackedChange,
+    ) -> Option<Command> {
+        let id = change.id.clone();
+        let errors: Vec<ValidationError> = self.validations.values().flatten().cloned().collect();
+        if !errors.is_empty() {
+            return Some(Command::Reject { id, errors });
+        }
+        // A member that is down has no veto; one at least must have validated the change.
+        let all_validated = state.members.keys().all(|member| self.validations.contains_key(member));
+        let is_time_over = now - change.first_seen_at >= timings.validation_ms;
+        if (all_validated || is_time_over) && !self.validations.is_empty() {
+            Some(Command::Commit { id })
+        } else {
+            None
+        }
+    }
+
+    fn activation(
+        &self,
+        now: f64,
+        state: &RolloutState,
+        timings: PolicyTimings,
+        change: &TrackedChange,
+        committed_at: f64,
+    ) -> Option<Command> {
+        let all_short = state.members.keys().all(|member| self.short_leases.contains(member));
+        let long_leases_expired = now - committed_at >= timings.long_leases_expired_after_ms();
+        if all_short || long_leases_expired || self.injected_bug == InjectedBug::NoWait {
+            Some(Command::Activate { id: change.id.clone() })
+        } else {
+            None
+        }
+    }
+}
+
+fn response_without_lease(request: &PollRequest) -> PollResponse {
+    PollResponse {
+        sequence: request.sequence,
+        grant: None,
+        validate: None,
+        poll_again_after_ms: POLL_INTERVAL_UNTIL_JOINED_MS,
     }
 }
--- a/crates/policy/src/rollout/state.rs
+++ b/crates/policy/src/rollout/state.rs
@@ -1,265 +1,237 @@
-//! What the fleet has agreed on: members, the version in force, the change under way, what became of earlier ones.
+//! The replicated state: members, the active version, the change under way, what became of earlier changes.
 //!
 //! Commands come in the order of the log, and give the same state everywhere. A command that does not fit the state
-//! changes nothing: it was overtaken.
+//! changes nothing: it was overtaken by another.
 
-use super::{Fault, Times, Version};
+use super::change::{ChangeOutcome, ChangeRecord, ChangeRequest, PendingChange, ProposalError};
+use super::message::ValidationError;
+use super::{PolicyTimings, Version};
+use crate::document::MAX_TEXT_LENGTH;
+use beamgap_fleet_types::{is_valid_name, MemberId, MAX_NAME_LENGTH};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Members at most.
-pub const MEMBERS_MOST: usize = 1000;
-/// Changes whose outcome is kept; beyond, the oldest are forgotten.
-pub const HISTORY_MOST: usize = 256;
-/// Versions whose text is kept, to go back to.
-pub const VERSIONS_MOST: usize = 32;
-/// Letters of a name or an id at most.
-pub const NAME_MOST: usize = 64;
-/// Faults kept of a change that was turned down.
-pub const FAULTS_MOST: usize = 50;
-
-/// A command to the fleet.
+/// Most members.
+pub const MAX_MEMBERS: usize = 1000;
+/// Most changes whose outcome is kept; the oldest are dropped.
+pub const MAX_CHANGE_RECORDS: usize = 256;
+/// Most versions whose text is kept, to go back to.
+pub const MAX_KEPT_VERSIONS: usize = 32;
+/// Most errors kept of a change that was rejected.
+pub const MAX_VALIDATION_ERRORS: usize = 50;
+/// The policy of a fleet that has just been bootstrapped.
+pub const EMPTY_POLICY: &str = "form = 1\n";
+
+/// Stands for a member's name where the fleet itself rejects a change. Stored data holds it.
+const FLEET_AS_MEMBER: &str = "council";
+
+/// An entry of the replicated log.
+///
+/// The encoded form is positional (postcard): the order of variants and fields is stored data.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// The fleet's figures, once.
-    Found(Times),
-    /// A life of a member may be granted rights from now on.
+    /// Sets the fleet's timings, once.
+    Bootstrap(PolicyTimings),
+    /// This incarnation of a member may be granted leases from now on.
     Join {
-        /// Its name.
-        member: String,
-        /// Its life.
-        life: u64,
-        /// The latest form of policies that it reads.
-        form: u64,
+        /// The member.
+        member: MemberId,
+        /// The latest format version of policies that it reads.
+        format_version: u64,
     },
-    /// A life of a member holds no right any more.
+    /// This incarnation of a member holds no lease any more.
     Leave {
-        /// Its name.
-        member: String,
-        /// Its life.
-        life: u64,
+        /// The member.
+        member: MemberId,
     },
     /// A change is asked for.
-    Propose(Change),
-    /// Members can't use it.
-    TurnDown {
+    Propose(ChangeRequest),
+    /// Members can't use the change.
+    Reject {
         /// Which change.
         id: String,
         /// Why.
-        faults: Vec<Fault>,
+        errors: Vec<ValidationError>,
     },
-    /// Whoever asked for it, or another operator, takes it back. Too late once it is decided.
-    TakeBack {
+    /// An operator withdraws the change. Without effect once it is committed.
+    Withdraw {
         /// Which change.
         id: String,
     },
-    /// It will be in force.
-    Decide {
+    /// The change will become active.
+    Commit {
         /// Which change.
         id: String,
     },
-    /// It is in force.
+    /// The change is active.
     Activate {
         /// Which change.
         id: String,
     },
 }
 
-/// A change as an operator asks for it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Change {
-    /// Its id: a change sent twice under one id is one change.
-    pub id: String,
-    /// Who asks.
-    pub by: String,
-    /// The policy's text; none: back to the version before the one in force.
-    pub text: Option<String>,
-    /// The version that it was made from; if that is not in force any more, the change is turned down.
-    pub base: Option<Version>,
-}
-
-/// How far a change is.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
-    /// Members check it.
-    Checking,
-    /// It will be in force as this version.
-    Decided(Version),
-    /// It came into force as this version.
-    InForce(Version),
-    /// It was never in force, and never will be.
-    TurnedDown(Vec<Fault>),
-    /// Likewise: an operator took it back.
-    TakenBack,
-}
-
-impl Outcome {
-    /// Whether nothing will change it any more.
-    pub fn is_final(&self) -> bool {
-        !matches!(self, Outcome::Checking | Outcome::Decided(_))
-    }
-}
-
-/// A change and what became of it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
-    /// Its id.
-    pub id: String,
-    /// Who asked.
-    pub by: String,
-    /// What became of it.
-    pub outcome: Outcome,
-}
-
-/// A change under way.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pending {
-    /// Its id.
-    pub id: String,
-    /// Who asked.
-    pub by: String,
+/// A version whose text is kept.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct PolicyRevision {
+    /// Its number.
+    pub version: Version,
     /// The policy's text.
-    pub text: String,
-    /// Whether it is decided.
-    pub decided: bool,
+    pub policy_text: String,
 }
 
-/// What the fleet has agreed on.
+/// The replicated state of a fleet's policy. Its encoded form is stored in snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
-    /// The fleet's figures; none before it is founded.
-    pub times: Option<Times>,
-    /// Members by name and life, with the form that they read.
-    pub members: BTreeMap<(String, u64), u64>,
-    /// Versions whose text is kept, the last being in force.
-    pub versions: VecDeque<(Version, String)>,
+pub struct RolloutState {
+    /// The fleet's timings; none before it is bootstrapped.
+    pub timings: Option<PolicyTimings>,
+    /// Members with the latest format version of policies that each reads.
+    pub members: BTreeMap<MemberId, u64>,
+    /// Versions whose text is kept; the last is the active one.
+    pub revisions: VecDeque<PolicyRevision>,
     /// The change under way.
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingChange>,
     /// What became of changes, oldest first.
-    pub history: VecDeque<Record>,
+    pub history: VecDeque<ChangeRecord>,
 }
 
-impl State {
-    /// The version in force.
+impl RolloutState {
+    /// The active version.
     pub fn version(&self) -> Version {
-        self.versions.back().map_or(0, |(version, _)| *version)
+        self.revisions.back().map_or(0, |revision| revision.version)
     }
 
-    /// The text in force.
-    pub fn text(&self) -> &str {
-        self.versions.back().map_or(EMPTY, |(_, text)| text)
+    /// The text of the active version.
+    pub fn policy_text(&self) -> &str {
+        self.revisions.back().map_or(EMPTY_POLICY, |revision| &revision.policy_text)
     }
 
     /// What became of a change, if it is known.
-    pub fn outcome(&self, id: &str) -> Option<Outcome> {
-        if let Some(pending) = self.pending.as_ref().filter(|p| p.id == id) {
-            let decided = Outcome::Decided(self.version() + 1);
-            return Some(if pending.decided { decided } else { Outcome::Checking });
+    pub fn outcome(&self, id: &str) -> Option<ChangeOutcome> {
+        match &self.pending {
+            Some(pending) if pending.id == id && pending.committed => {
+                Some(ChangeOutcome::Committed(self.version() + 1))
+            }
+            Some(pending) if pending.id == id => Some(ChangeOutcome::Validating),
+            _ => {
+                let record = self.history.iter().rev().find(|record| record.id == id);
+                record.map(|record| record.outcome.clone())
+            }
         }
-        self.history.iter().rev().find(|r| r.id == id).map(|r| r.outcome.clone())
     }
 
-    /// Takes a command in.
+    /// Applies a command.
     pub fn apply(&mut self, command: &Command) {
         match command {
-            Command::Found(times) => {
-                if self.times.is_none() {
-                    self.times = Some(*times);
+            Command::Bootstrap(timings) => {
+                if self.timings.is_none() {
+                    self.timings = Some(*timings);
                 }
             }
-            Command::Join { member, life, form } => {
-                if self.members.len() < MEMBERS_MOST && good_name(member) {
-                    self.members.insert((member.clone(), *life), *form);
-                }
-            }
-            Command::Leave { member, life } => {
-                self.members.remove(&(member.clone(), *life));
-            }
-            Command::Propose(change) => self.propose(change),
-            Command::TurnDown { id, faults } => {
-                let faults = faults.iter().take(FAULTS_MOST).cloned().collect();
-                self.end(id, false, |_| Outcome::TurnedDown(faults));
+            Command::Join { member, format_version } => self.join(member, *format_version),
+            Command::Leave { member } => {
+                self.members.remove(member);
             }
-            Command::TakeBack { id } => self.end(id, false, |_| Outcome::TakenBack),
-            Command::Decide { id } => {
-                let pending = self.pending.as_mut().filter(|p| p.id == *id);
-                pending.into_iter().for_each(|p| p.decided = true);
-            }
-            Command::Activate { id } => {
-                let decided = self.pending.as_ref().filter(|p| p.id == *id && p.decided);
-                let Some(text) = decided.map(|p| p.text.clone()) else { return };
-                let version = self.version() + 1;
-                self.end(id, true, |_| Outcome::InForce(version));
-                self.versions.push_back((version, text));
-                while self.versions.len() > VERSIONS_MOST {
-                    self.versions.pop_front();
-                }
+            Command::Propose(request) => self.propose(request),
+            Command::Reject { id, errors } => {
+                let errors = errors.iter().take(MAX_VALIDATION_ERRORS).cloned().collect();
+                self.finish_uncommitted(id, ChangeOutcome::Rejected(errors));
             }
+            Command::Withdraw { id } => self.finish_uncommitted(id, ChangeOutcome::Withdrawn),
+            Command::Commit { id } => self.commit(id),
+            Command::Activate { id } => self.activate(id),
+        }
+    }
+
+    fn join(&mut self, member: &MemberId, format_version: u64) {
+        if self.members.len() < MAX_MEMBERS && is_valid_name(&member.name) {
+            self.members.insert(member.clone(), format_version);
         }
     }
 
-    fn propose(&mut self, change: &Change) {
-        if !good_name(&change.id) || self.outcome(&change.id).is_some() {
+    fn propose(&mut self, request: &ChangeRequest) {
+        if !is_valid_name(&request.id) || self.outcome(&request.id).is_some() {
             return;
         }
-        let before = self.versions.len().checked_sub(2).and_then(|i| self.versions.get(i));
-        let text = match (&change.text, before) {
-            (Some(text), _) if text.len() > crate::document::TEXT_MOST => {
-                Err("the policy is too long".to_owned())
+        let id = request.id.clone();
+        let requested_by: String = request.requested_by.chars().take(MAX_NAME_LENGTH).collect();
+        match self.proposed_text(request) {
+            Ok(policy_text) => {
+                self.pending = Some(PendingChange { id, requested_by, policy_text, committed: false });
             }
-            (Some(text), _) => Ok(text.clone()),
-            (None, Some((_, text))) => Ok(text.clone()),
-            (None, None) if self.versions.len() == 1 && self.version() == 1 => Ok(EMPTY.to_owned()),
-            (None, None) => Err("there is no version before the one in force".to_owned()),
-        };
-        let stale = change.base.is_some_and(|base| base != self.version());
-        let under_way = self.pending.as_ref();
-        let why = match (&text, under_way) {
-            (_, Some(p)) => {
-                Some(format!("the change {} by {} is under way; ask again when it is over", p.id, p.by))
-            }
-            _ if stale => Some(format!(
-                "it was made from another version than {}, which is in force; look at that and propose anew",
-                self.version()
-            )),
-            (Err(why), _) => Some(why.clone()),
-            _ => None,
-        };
-        let (id, by) = (change.id.clone(), change.by.chars().take(NAME_MOST).collect::<String>());
-        match (why, text) {
-            (None, Ok(text)) => self.pending = Some(Pending { id, by, text, decided: false }),
-            (why, _) => {
-                let text = why.unwrap_or_default();
-                let faults = vec![Fault { member: "council".to_owned(), text }];
-                self.remember(Record { id, by, outcome: Outcome::TurnedDown(faults) });
+            Err(error) => {
+                let error =
+                    ValidationError { member: FLEET_AS_MEMBER.to_owned(), message: error.to_string() };
+                let outcome = ChangeOutcome::Rejected(vec![error]);
+                self.record(ChangeRecord { id, requested_by, outcome });
             }
         }
     }
 
-    fn end(&mut self, id: &str, decided: bool, outcome: impl FnOnce(&Pending) -> Outcome) {
-        let fits = |p: &&Pending| p.id == id && p.decided == decided;
-        if self.pending.as_ref().filter(fits).is_none() {
+    /// The text that a change would make active.
+    fn proposed_text(&self, request: &ChangeRequest) -> Result<String, ProposalError> {
+        if let Some(pending) = &self.pending {
+            return Err(ProposalError::ChangeUnderWay {
+                id: pending.id.clone(),
+                requested_by: pending.requested_by.clone(),
+            });
+        }
+        let active = self.version();
+        if request.base_version.is_some_and(|base| base != active) {
+            return Err(ProposalError::StaleBase { active });
+        }
+        match &request.policy_text {
+            Some(text) if text.len() > MAX_TEXT_LENGTH => Err(ProposalError::TooLong),
+            Some(text) => Ok(text.clone()),
+            None => self.earlier_text().ok_or(ProposalError::NoEarlierVersion),
+        }
+    }
+
+    /// The text of the version before the active one, if it is kept.
+    fn earlier_text(&self) -> Option<String> {
+        if let Some(index) = self.revisions.len().checked_sub(2) {
+            return self.revisions.get(index).map(|revision| revision.policy_text.clone());
+        }
+        let only_first = self.revisions.len() == 1 && self.version() == 1;
+        if only_first {
+            Some(EMPTY_POLICY.to_owned())
+        } else {
+            None
+        }
+    }
+
+    fn commit(&mut self, id: &str) {
+        if let Some(pending) = self.pending.as_mut().filter(|pending| pending.id == id) {
+            pending.committed = true;
+        }
+    }
+
+    fn activate(&mut self, id: &str) {
+        let Some(pending) = self.pending.take_if(|pending| pending.id == id && pending.committed) else {
             return;
+        };
+        let version = self.version() + 1;
+        self.record(ChangeRecord {
+            id: pending.id,
+            requested_by: pending.requested_by,
+            outcome: ChangeOutcome::Active(version),
+        });
+        self.revisions.push_back(PolicyRevision { version, policy_text: pending.policy_text });
+        while self.revisions.len() > MAX_KEPT_VERSIONS {
+            self.revisions.pop_front();
         }
-        if let Some(p) = self.pending.take() {
-            let outcome = outcome(&p);
-            self.remember(Record { id: p.id, by: p.by, outcome });
+    }
+
+    fn finish_uncommitted(&mut self, id: &str, outcome: ChangeOutcome) {
+        let is_meant = |pending: &mut PendingChange| pending.id == id && !pending.committed;
+        if let Some(pending) = self.pending.take_if(is_meant) {
+            self.record(ChangeRecord { id: pending.id, requested_by: pending.requested_by, outcome });
         }
     }
 
-    fn remember(&mut self, record: Record) {
+    fn record(&mut self, record: ChangeRecord) {
         self.history.push_back(record);
-        while self.history.len() > HISTORY_MOST {
+        while self.history.len() > MAX_CHANGE_RECORDS {
             self.history.pop_front();
         }
     }
 }
-
-/// The policy of a fleet that has just been founded.
-pub const EMPTY: &str = "form = 1\n";
-
-/// Whether a name or an id can be one: letters, digits, dots and dashes, not too many.
-pub fn good_name(name: &str) -> bool {
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
-    !name.is_empty() && name.len() <= NAME_MOST && name.chars().all(fits)
-}
--- a/crates/policy/tests/common/encoding.rs
+++ b/crates/policy/tests/common/encoding.rs
@@ -1,7 +1,6 @@
 //! The output of a step as bytes.
 
-use beamgap_policy::rollout::leader::Lead;
-use beamgap_policy::rollout::member::{Act, Hold};
+use beamgap_policy::rollout::{MemberAction, PolicyLeader, PolicyMember};
 use beamgap_policy::rules::{No, Terms};
 use serde::Serialize;
 
@@ -19,27 +18,33 @@
     }
 
     /// Appends what a member is to do.
-    pub fn put_action(&mut self, action: &Act) {
+    pub fn put_action(&mut self, action: &MemberAction) {
         match action {
-            Act::Use(version, text) => self.put(0x01, &(version, text)),
-            Act::Check(id, text) => self.put(0x02, &(id, text)),
+            MemberAction::Activate { version, policy_text: text } => self.put(0x01, &(version, text)),
+            MemberAction::Validate(change) => self.put(0x02, change),
         }
     }
 
     /// Appends what a member shows of itself.
-    pub fn put_member(&mut self, now: f64, member: &Hold) {
-        self.put(0x10, &(member.member(), member.admits(now), member.due(), member.why_not(now)));
-        if let Some(right) = member.right() {
-            self.put(0x11, &(right.version, right.until, &right.mark));
+    pub fn put_member(&mut self, now: f64, member: &PolicyMember) {
+        self.put(
+            0x10,
+            &(&member.id().name, member.admits(now), member.next_poll_at(), member.blocked_reason(now)),
+        );
+        if let Some(lease) = member.lease() {
+            self.put(0x11, &(lease.version, lease.expires_at, &lease.kind));
         }
     }
 
     /// Appends what a leader shows of itself.
-    pub fn put_leader(&mut self, leader: &Lead) {
-        self.put(0x20, &leader.leads());
-        for (who, heard) in leader.heard() {
-            self.put(0x21, who);
-            self.put(0x22, &(heard.at, heard.version, &heard.holds, &heard.why_not, &heard.note));
+    pub fn put_leader(&mut self, leader: &PolicyLeader) {
+        self.put(0x20, &leader.is_leader());
+        for (member, status) in leader.member_statuses() {
+            self.put(0x21, member);
+            self.put(
+                0x22,
+                &(status.polled_at, status.version, &status.lease_kind, &status.blocked_reason, &status.note),
+            );
         }
     }
 
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -2,11 +2,12 @@
 
 use super::encoding::Encoding;
 use super::random::Random;
-use beamgap_policy::document::{read, TEXT_MOST};
-use beamgap_policy::rollout::leader::Lead;
-use beamgap_policy::rollout::member::{Act, Hold};
-use beamgap_policy::rollout::state::{Change, Command, Outcome, State};
-use beamgap_policy::rollout::{Ask, Fault, Plant, Reply, Times};
+use beamgap_fleet_types::MemberId;
+use beamgap_policy::document::{read, MAX_TEXT_LENGTH};
+use beamgap_policy::rollout::{
+    ChangeOutcome, ChangeRequest, Command, InjectedBug, MemberAction, PolicyLeader, PolicyMember,
+    PolicyTimings, PollRequest, PollResponse, RolloutState, ValidationError,
+};
 use beamgap_policy::rules::{Meter, Ruling};
 
 const MEMBERS: usize = 5;
@@ -32,25 +33,25 @@
 }
 
 struct Member {
-    hold: Hold,
+    machine: PolicyMember,
     incarnation: u64,
     rate: f64,
     silent_until: f64,
-    replies: Vec<Reply>,
+    responses: Vec<PollResponse>,
     /// Actions that are not done yet.
-    todo: Vec<Act>,
+    todo: Vec<MemberAction>,
 }
 
 pub struct World {
     random: Random,
     now: f64,
-    state: State,
-    lead: Lead,
-    plant: Plant,
+    state: RolloutState,
+    leader: PolicyLeader,
+    injected_bug: InjectedBug,
     /// Few failures and many changes: so many versions that old ones are dropped.
     calm: bool,
     members: Vec<Member>,
-    asks: Vec<(usize, Ask)>,
+    requests: Vec<(usize, PollRequest)>,
     uncommitted: Vec<Command>,
     proposed: usize,
     steps: usize,
@@ -62,19 +63,19 @@
 impl World {
     pub fn new(seed: u64) -> World {
         // The last seeds run with a bug injected: its code is recorded as well.
-        let plant = match seed {
-            6 => Plant::EarlyActivation,
-            7 => Plant::NoCatchUp,
-            8 => Plant::NoWait,
-            _ => Plant::None,
+        let injected_bug = match seed {
+            6 => InjectedBug::EarlyActivation,
+            7 => InjectedBug::NoCatchUp,
+            8 => InjectedBug::NoWait,
+            _ => InjectedBug::None,
         };
         let mut random = Random::new(seed);
         let members = (0..MEMBERS).map(|m| Member {
-            hold: Hold::new(&format!("m{m}"), 0, 1, plant),
+            machine: PolicyMember::new(MemberId::new(format!("m{m}"), 0), 1, injected_bug),
             incarnation: 0,
             rate: 0.96 + 0.01 * random.below(9) as f64,
             silent_until: 0.0,
-            replies: Vec::new(),
+            responses: Vec::new(),
             todo: Vec::new(),
         });
         let members = members.collect();
@@ -83,12 +84,12 @@
         World {
             random,
             now: 0.0,
-            state: State::default(),
-            lead: Lead::planted(plant),
-            plant,
+            state: RolloutState::default(),
+            leader: PolicyLeader::with_injected_bug(injected_bug),
+            injected_bug,
             calm: matches!(seed, 4 | 5),
             members,
-            asks: Vec::new(),
+            requests: Vec::new(),
             uncommitted: Vec::new(),
             proposed: 0,
             steps: 0,
@@ -120,15 +121,15 @@
         out.line()
     }
 
-    fn times(&self) -> Times {
-        Times { switch_bound: 300.0, right: 900.0, check: 400.0, drift: 0.05 }
+    fn timings(&self) -> PolicyTimings {
+        PolicyTimings { switch_bound_ms: 300.0, lease_ms: 900.0, validation_ms: 400.0, max_drift: 0.05 }
     }
 
-    /// Operators ask for changes, also for such as can't be.
+    /// Operators request for changes, also for such as can't be.
     fn operate(&mut self) {
         if self.steps == 3 || self.random.one_in(500) {
-            let times = self.times();
-            self.state.apply(&Command::Found(times));
+            let timings = self.timings();
+            self.state.apply(&Command::Bootstrap(timings));
         }
         let interval = if self.calm { 8 } else { 45 };
         if self.random.one_in(interval) {
@@ -146,50 +147,56 @@
         }
         let id = format!("c{}", self.proposed.saturating_sub(self.random.below(2)));
         if self.random.one_in(60) {
-            self.uncommitted.push(Command::TakeBack { id });
+            self.uncommitted.push(Command::Withdraw { id });
         } else if self.random.one_in(300) {
             self.uncommitted.push(Command::Activate { id });
         } else if self.random.one_in(300) {
-            self.uncommitted.push(Command::Decide { id });
+            self.uncommitted.push(Command::Commit { id });
         } else if self.random.one_in(300) {
-            let fault = |n: usize| Fault { member: format!("m{n}"), text: format!("fault {n}") };
-            self.uncommitted.push(Command::TurnDown { id, faults: (0..60).map(fault).collect() });
+            let error = |n: usize| ValidationError { member: format!("m{n}"), message: format!("fault {n}") };
+            self.uncommitted.push(Command::Reject { id, errors: (0..60).map(error).collect() });
         }
     }
 
-    fn change(&mut self) -> Change {
+    fn change(&mut self) -> ChangeRequest {
         self.proposed += 1;
         if self.calm && !self.random.one_in(6) {
-            let text = Some(format!("form = 1 # {}\n", self.proposed));
-            return Change { id: format!("c{}", self.proposed), by: "operator".to_owned(), text, base: None };
+            let policy_text = Some(format!("form = 1 # {}\n", self.proposed));
+            let id = format!("c{}", self.proposed);
+            return ChangeRequest {
+                id,
+                requested_by: "operator".to_owned(),
+                policy_text,
+                base_version: None,
+            };
         }
         let id = match self.random.below(12) {
             0 => format!("c{}", self.proposed.saturating_sub(3)),
             1 => "no good id".to_owned(),
             _ => format!("c{}", self.proposed),
         };
-        let by = if self.random.one_in(10) { "o".repeat(100) } else { "operator".to_owned() };
-        let text = match self.random.below(10) {
+        let requested_by = if self.random.one_in(10) { "o".repeat(100) } else { "operator".to_owned() };
+        let policy_text = match self.random.below(10) {
             0 | 1 => None,
-            2 => Some("#".repeat(TEXT_MOST + 1)),
+            2 => Some("#".repeat(MAX_TEXT_LENGTH + 1)),
             _ => Some(format!("form = 1 # {}\n", self.proposed)),
         };
-        let base = match self.random.below(6) {
+        let base_version = match self.random.below(6) {
             0 => None,
             1 => Some(self.state.version() + 1),
             _ => Some(self.state.version()),
         };
-        Change { id, by, text, base }
+        ChangeRequest { id, requested_by, policy_text, base_version }
     }
 
     /// Leaders change, members restart, fall silent, are taken off; strangers come.
     fn disturb(&mut self) {
         if self.steps == 1 || self.random.one_in(if self.calm { 1500 } else { 250 }) {
-            self.lead.role(self.now, !self.lead.leads());
+            self.leader.set_leadership(self.now, !self.leader.is_leader());
             self.uncommitted.clear();
-            self.counts.leaderships += usize::from(self.lead.leads());
-        } else if !self.lead.leads() && self.random.one_in(15) {
-            self.lead.role(self.now, true);
+            self.counts.leaderships += usize::from(self.leader.is_leader());
+        } else if !self.leader.is_leader() && self.random.one_in(15) {
+            self.leader.set_leadership(self.now, true);
             self.counts.leaderships += 1;
         }
         if self.calm {
@@ -199,8 +206,9 @@
         if self.random.one_in(300) {
             let member = &mut self.members[m];
             member.incarnation += 1;
-            member.hold = Hold::new(&format!("m{m}"), member.incarnation, 1, self.plant);
-            member.replies.clear();
+            member.machine =
+                PolicyMember::new(MemberId::new(format!("m{m}"), member.incarnation), 1, self.injected_bug);
+            member.responses.clear();
             member.todo.clear();
             self.counts.restarts += 1;
         }
@@ -211,12 +219,12 @@
             self.members[m].silent_until = self.now + 20_000.0;
         }
         if self.random.one_in(700) {
-            let member = format!("m{m}");
-            self.uncommitted.push(Command::Leave { member, life: self.members[m].incarnation });
+            let member = MemberId::new(format!("m{m}"), self.members[m].incarnation);
+            self.uncommitted.push(Command::Leave { member });
         }
         if self.random.one_in(60) {
             let own = self.now * self.members[m].rate;
-            self.members[m].hold.hasten(own);
+            self.members[m].machine.poll_no_later_than(own);
         }
     }
 
@@ -224,18 +232,19 @@
     fn crowd(&mut self, out: &mut Encoding) {
         if self.steps == 2450 {
             for n in 0..1010 {
-                self.state.apply(&Command::Join { member: format!("s{n}"), life: n, form: 1 });
+                self.state
+                    .apply(&Command::Join { member: MemberId::new(format!("s{n}"), n), format_version: 1 });
             }
             out.put(0x41, &self.state);
             for n in 0..1005 {
-                self.state.apply(&Command::Leave { member: format!("s{n}"), life: n });
+                self.state.apply(&Command::Leave { member: MemberId::new(format!("s{n}"), n) });
             }
         }
     }
 
     fn tick(&mut self, out: &mut Encoding) {
         if self.random.one_in(3) {
-            let commands = self.lead.tick(self.now, &self.state);
+            let commands = self.leader.tick(self.now, &self.state);
             self.submit(out, commands);
         }
     }
@@ -255,39 +264,40 @@
             }
             let own = self.now * member.rate;
             let note = format!("admitted={}", self.counts.admitted);
-            let Some(ask) = member.hold.ask(own, &note) else { continue };
-            out.put(0x50, &ask);
+            let Some(request) = member.machine.poll_request(own, &note) else { continue };
+            out.put(0x50, &request);
             match self.random.below(if self.calm { 200 } else { 20 }) {
                 0 => {}
                 1 => {
-                    member.hold.no_answer(own, ask.round);
-                    member.hold.no_answer(own, ask.round);
+                    member.machine.poll_failed(own, request.sequence);
+                    member.machine.poll_failed(own, request.sequence);
                 }
                 2 => {
-                    self.asks.push((m, ask.clone()));
-                    self.asks.push((m, ask));
+                    self.requests.push((m, request.clone()));
+                    self.requests.push((m, request));
                 }
-                _ => self.asks.push((m, ask)),
+                _ => self.requests.push((m, request)),
             }
         }
         if self.random.one_in(150) {
             let name = if self.random.one_in(2) { "a name that is none" } else { "stranger" };
-            let ask = Hold::new(name, 9, 1, self.plant).ask(self.now, "");
-            self.asks.extend(ask.map(|ask| (0, ask)));
+            let request =
+                PolicyMember::new(MemberId::new(name, 9), 1, self.injected_bug).poll_request(self.now, "");
+            self.requests.extend(request.map(|request| (0, request)));
         }
     }
 
     fn respond(&mut self, out: &mut Encoding) {
-        while !self.asks.is_empty() && !self.random.one_in(4) {
-            let i = self.random.below(self.asks.len());
-            let (m, ask) = self.asks.remove(i);
-            if !self.lead.leads() {
+        while !self.requests.is_empty() && !self.random.one_in(4) {
+            let i = self.random.below(self.requests.len());
+            let (m, request) = self.requests.remove(i);
+            if !self.leader.is_leader() {
                 let own = self.now * self.members[m].rate;
-                self.members[m].hold.no_answer(own, ask.round);
+                self.members[m].machine.poll_failed(own, request.sequence);
                 continue;
             }
-            let (reply, commands) = self.lead.answer(self.now, &self.state, &ask);
-            out.put(0x51, &reply);
+            let (response, commands) = self.leader.handle_poll(self.now, &self.state, &request);
+            out.put(0x51, &response);
             self.submit(out, commands);
             let copies = match self.random.below(if self.calm { 200 } else { 20 }) {
                 0 => 0,
@@ -295,7 +305,7 @@
                 _ => 1,
             };
             for _ in 0..copies {
-                self.members[m].replies.push(reply.clone());
+                self.members[m].responses.push(response.clone());
             }
         }
     }
@@ -303,10 +313,10 @@
     fn receive(&mut self, out: &mut Encoding) {
         for m in 0..MEMBERS {
             let own = self.now * self.members[m].rate;
-            while !self.members[m].replies.is_empty() && !self.random.one_in(3) {
-                let i = self.random.below(self.members[m].replies.len());
-                let reply = self.members[m].replies.remove(i);
-                let actions = self.members[m].hold.reply(own, reply);
+            while !self.members[m].responses.is_empty() && !self.random.one_in(3) {
+                let i = self.random.below(self.members[m].responses.len());
+                let response = self.members[m].responses.remove(i);
+                let actions = self.members[m].machine.handle_response(own, response);
                 for action in actions {
                     out.put_action(&action);
                     self.members[m].todo.push(action);
@@ -321,21 +331,23 @@
             while !self.members[m].todo.is_empty() && !self.random.one_in(4) {
                 let member = &mut self.members[m];
                 match member.todo.remove(0) {
-                    Act::Use(version, _) => {
+                    MemberAction::Activate { version, .. } => {
                         let unusable = self.random.one_in(25);
                         self.counts.unusable += usize::from(unusable);
-                        let outcome =
-                            if unusable { Err("class \"x\" is not known".to_owned()) } else { Ok(()) };
-                        member.hold.used(version, outcome);
+                        if unusable {
+                            member.machine.activation_failed(version, "class \"x\" is not known".to_owned());
+                        } else {
+                            member.machine.activated(version);
+                        }
                     }
-                    Act::Check(id, _) => {
-                        let fault = Fault { member: format!("m{m}"), text: "line 1".to_owned() };
-                        let faults = if self.random.one_in(if self.calm { 100 } else { 15 }) {
-                            vec![fault]
+                    MemberAction::Validate(change) => {
+                        let error = ValidationError { member: format!("m{m}"), message: "line 1".to_owned() };
+                        let errors = if self.random.one_in(if self.calm { 100 } else { 15 }) {
+                            vec![error]
                         } else {
                             Vec::new()
                         };
-                        member.hold.checked(own, &id, faults);
+                        member.machine.validated(own, &change.id, errors);
                     }
                 }
                 out.put(0x60, &m);
@@ -354,9 +366,9 @@
             self.state.apply(&command);
             if self.state.history.back() != last.as_ref() {
                 match self.state.history.back().map(|record| &record.outcome) {
-                    Some(Outcome::InForce(_)) => self.counts.active += 1,
-                    Some(Outcome::TurnedDown(_)) => self.counts.rejected += 1,
-                    Some(Outcome::TakenBack) => self.counts.withdrawn += 1,
+                    Some(ChangeOutcome::Active(_)) => self.counts.active += 1,
+                    Some(ChangeOutcome::Rejected(_)) => self.counts.rejected += 1,
+                    Some(ChangeOutcome::Withdrawn) => self.counts.withdrawn += 1,
                     _ => {}
                 }
             }
@@ -382,14 +394,14 @@
     fn observe(&mut self, out: &mut Encoding) {
         self.counts.last_version = self.state.version();
         out.put(0x80, &self.state);
-        out.put(0x81, &(self.state.version(), self.state.text()));
+        out.put(0x81, &(self.state.version(), self.state.policy_text()));
         let id = format!("c{}", self.proposed.saturating_sub(self.random.below(4)));
         let outcome = self.state.outcome(&id);
-        out.put(0x82, &outcome.as_ref().map(Outcome::is_final));
+        out.put(0x82, &outcome.as_ref().map(ChangeOutcome::is_final));
         out.put(0x83, &outcome);
         for member in &self.members {
-            out.put_member(self.now * member.rate, &member.hold);
+            out.put_member(self.now * member.rate, &member.machine);
         }
-        out.put_leader(&self.lead);
+        out.put_leader(&self.leader);
     }
 }
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -1,16 +1,17 @@
 //! The switch on a set clock with 300 members: how long a change takes, how wide versions overlap, and what each failure
 //! does to it. The machines are those of the program; what stands in for the council is a log that commits at once.
 
-use beamgap_policy::rollout::leader::Lead;
-use beamgap_policy::rollout::member::{Act, Hold};
-use beamgap_policy::rollout::state::{Change, Command, Outcome, State};
-use beamgap_policy::rollout::{Plant, Times};
+use beamgap_fleet_types::MemberId;
+use beamgap_policy::rollout::{
+    ChangeOutcome, ChangeRequest, Command, InjectedBug, MemberAction, PolicyLeader, PolicyMember,
+    PolicyTimings, RolloutState,
+};
 
 struct Fleet {
     now: f64,
-    state: State,
-    lead: Lead,
-    holds: Vec<Hold>,
+    state: RolloutState,
+    leader: PolicyLeader,
+    members: Vec<PolicyMember>,
     /// Members that are cut off, and members whose clock runs at another rate.
     cut: Vec<bool>,
     rate: Vec<f64>,
@@ -24,16 +25,17 @@
 
 impl Fleet {
     fn new(members: usize) -> Fleet {
-        let mut state = State::default();
-        state.apply(&Command::Found(Times::default()));
-        let mut lead = Lead::default();
-        lead.role(0.0, true);
-        let hold = |m: usize| Hold::new(&format!("m{m}"), m as u64, 1, Plant::None);
+        let mut state = RolloutState::default();
+        state.apply(&Command::Bootstrap(PolicyTimings::default()));
+        let mut leader = PolicyLeader::default();
+        leader.set_leadership(0.0, true);
+        let member =
+            |m: usize| PolicyMember::new(MemberId::new(format!("m{m}"), m as u64), 1, InjectedBug::None);
         Fleet {
             now: 0.0,
             state,
-            lead,
-            holds: (0..members).map(hold).collect(),
+            leader,
+            members: (0..members).map(member).collect(),
             cut: vec![false; members],
             rate: vec![1.0; members],
             first: vec![f64::INFINITY; 8],
@@ -51,29 +53,31 @@
         let until = self.now + ms;
         while self.now < until {
             self.now += STEP;
-            let commands = self.lead.tick(self.now, &self.state);
+            let commands = self.leader.tick(self.now, &self.state);
             self.commit(commands);
             let mut any = false;
-            for m in 0..self.holds.len() {
+            for m in 0..self.members.len() {
                 let own = self.now * self.rate[m];
-                if let Some(version) = self.holds[m].admits(own) {
+                if let Some(version) = self.members[m].admits(own) {
                     any = true;
                     let v = version as usize;
                     (self.first[v], self.last[v]) = (self.first[v].min(self.now), self.now);
                 }
-                let Some(ask) = self.holds[m].ask(own, "") else { continue };
-                let round = ask.round;
-                if self.cut[m] || !self.lead.leads() {
-                    self.holds[m].no_answer(own + 400.0, round);
+                let Some(request) = self.members[m].poll_request(own, "") else { continue };
+                let sequence = request.sequence;
+                if self.cut[m] || !self.leader.is_leader() {
+                    self.members[m].poll_failed(own + 400.0, sequence);
                     continue;
                 }
                 self.asks += 1;
-                let (reply, commands) = self.lead.answer(self.now, &self.state, &ask);
+                let (response, commands) = self.leader.handle_poll(self.now, &self.state, &request);
                 self.commit(commands);
-                for act in self.holds[m].reply(own, reply) {
-                    match act {
-                        Act::Use(version, _) => self.holds[m].used(version, Ok(())),
-                        Act::Check(id, _) => self.holds[m].checked(own, &id, Vec::new()),
+                for action in self.members[m].handle_response(own, response) {
+                    match action {
+                        MemberAction::Activate { version, .. } => self.members[m].activated(version),
+                        MemberAction::Validate(change) => {
+                            self.members[m].validated(own, &change.id, Vec::new())
+                        }
                     }
                 }
             }
@@ -82,12 +86,12 @@
     }
 
     fn propose(&mut self, id: &str) -> f64 {
-        let text = Some(format!("form = 1 # {id}\n"));
-        self.commit(vec![Command::Propose(Change {
+        let policy_text = Some(format!("form = 1 # {id}\n"));
+        self.commit(vec![Command::Propose(ChangeRequest {
             id: id.to_owned(),
-            by: "o".to_owned(),
-            text,
-            base: None,
+            requested_by: "o".to_owned(),
+            policy_text,
+            base_version: None,
         })]);
         self.now
     }
@@ -95,9 +99,9 @@
     fn until_all_have(&mut self, version: u64) -> f64 {
         let from = self.now;
         for _ in 0..4000 {
-            let all = (0..self.holds.len()).filter(|m| !self.cut[*m]);
+            let all = (0..self.members.len()).filter(|m| !self.cut[*m]);
             let now = self.now;
-            if all.into_iter().all(|m| self.holds[m].admits(now * self.rate[m]) == Some(version)) {
+            if all.into_iter().all(|m| self.members[m].admits(now * self.rate[m]) == Some(version)) {
                 return self.now - from;
             }
             self.run(STEP);
@@ -143,7 +147,7 @@
         );
         (0..5).for_each(|m| fleet.cut[m] = false);
         fleet.run(2000.0);
-        assert!((0..30).all(|m| fleet.holds[m].admits(fleet.now * rate) == Some(1)), "all are back");
+        assert!((0..30).all(|m| fleet.members[m].admits(fleet.now * rate) == Some(1)), "all are back");
     }
 }
 
@@ -153,14 +157,14 @@
     fleet.run(3000.0);
     fleet.cut[8] = true;
     fleet.propose("c1");
-    while !fleet.state.pending.as_ref().is_some_and(|p| p.decided) {
+    while !fleet.state.pending.as_ref().is_some_and(|p| p.committed) {
         fleet.run(STEP);
     }
-    fleet.lead.role(fleet.now, false);
+    fleet.leader.set_leadership(fleet.now, false);
     fleet.run(1200.0);
-    fleet.lead.role(fleet.now, true);
+    fleet.leader.set_leadership(fleet.now, true);
     let took = fleet.until_all_have(1);
-    assert_eq!(fleet.state.outcome("c1"), Some(Outcome::InForce(1)));
+    assert_eq!(fleet.state.outcome("c1"), Some(ChangeOutcome::Active(1)));
     assert!(took <= 7000.0, "{took} ms");
     fleet.run(2000.0);
     assert!(fleet.first[1].is_finite());
@@ -170,35 +174,35 @@
     assert_eq!(fleet.state.members.len(), 8, "and is after twelve times as long");
     fleet.cut[8] = false;
     fleet.run(2000.0);
-    assert_eq!(fleet.holds[8].admits(fleet.now), Some(1), "it joins again");
+    assert_eq!(fleet.members[8].admits(fleet.now), Some(1), "it joins again");
 }
 
 #[test]
 fn commands_that_were_overtaken_change_nothing() {
-    let mut state = State::default();
+    let mut state = RolloutState::default();
     let propose = |id: &str, base| {
-        Command::Propose(Change {
+        Command::Propose(ChangeRequest {
             id: id.to_owned(),
-            by: "o".to_owned(),
-            text: Some("form = 1\n".to_owned()),
-            base,
+            requested_by: "o".to_owned(),
+            policy_text: Some("form = 1\n".to_owned()),
+            base_version: base,
         })
     };
     for (command, outcomes) in [
         (Command::Activate { id: "a".to_owned() }, vec![("a", None)]),
-        (propose("a", Some(0)), vec![("a", Some(Outcome::Checking))]),
-        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(Outcome::Checking))]),
-        (Command::Decide { id: "b".to_owned() }, vec![("a", Some(Outcome::Checking))]),
-        (Command::Decide { id: "a".to_owned() }, vec![("a", Some(Outcome::Decided(1)))]),
-        (Command::TakeBack { id: "a".to_owned() }, vec![("a", Some(Outcome::Decided(1)))]),
+        (propose("a", Some(0)), vec![("a", Some(ChangeOutcome::Validating))]),
+        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Validating))]),
+        (Command::Commit { id: "b".to_owned() }, vec![("a", Some(ChangeOutcome::Validating))]),
+        (Command::Commit { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Committed(1)))]),
+        (Command::Withdraw { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Committed(1)))]),
         (
-            Command::TurnDown { id: "a".to_owned(), faults: Vec::new() },
-            vec![("a", Some(Outcome::Decided(1)))],
+            Command::Reject { id: "a".to_owned(), errors: Vec::new() },
+            vec![("a", Some(ChangeOutcome::Committed(1)))],
         ),
-        (propose("a", None), vec![("a", Some(Outcome::Decided(1)))]),
-        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(Outcome::InForce(1)))]),
-        (propose("a", None), vec![("a", Some(Outcome::InForce(1)))]),
-        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(Outcome::InForce(1)))]),
+        (propose("a", None), vec![("a", Some(ChangeOutcome::Committed(1)))]),
+        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Active(1)))]),
+        (propose("a", None), vec![("a", Some(ChangeOutcome::Active(1)))]),
+        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Active(1)))]),
     ] {
         state.apply(&command);
         outcomes
@@ -206,6 +210,6 @@
             .for_each(|(id, outcome)| assert_eq!(state.outcome(id), *outcome, "after {command:?}"));
     }
     state.apply(&propose("stale", Some(0)));
-    assert!(matches!(state.outcome("stale"), Some(Outcome::TurnedDown(_))), "made from another version");
+    assert!(matches!(state.outcome("stale"), Some(ChangeOutcome::Rejected(_))), "made from another version");
     assert_eq!((state.version(), state.pending), (1, None));
 }
--- a/crates/sim/src/rollout.rs
+++ b/crates/sim/src/rollout.rs
@@ -1,6 +1,6 @@
 //! The switch of policies as a state machine: three deciders, two followers, two changes.
 //!
-//! The parts that act are the program's own ([`Lead`], [`Hold`], [`State`] of `crates/policy`), not a copy. What stands in
+//! The parts that act are the program's own ([`PolicyLeader`], [`PolicyMember`], [`RolloutState`] of `crates/policy`), not a copy. What stands in
 //! for the council is a log that one leader at a time commits to: an answer is given by the leader on all that is committed
 //! (a majority confirmed it), commands that were not committed when another leads are gone. Messages are lost, come late
 //! and come twice; followers and leaders die and come back with nothing; rights end as time passes.
@@ -8,10 +8,11 @@
 //! Left out: how consensus comes about (the library's), how long things take within a tick, clocks that run apart (the
 //! members' own arithmetic, tested by itself), and more than one question a tick.
 
-use beamgap_policy::rollout::leader::Lead;
-use beamgap_policy::rollout::member::{Act, Hold};
-use beamgap_policy::rollout::state::{Change, Command, Outcome, State};
-use beamgap_policy::rollout::{Ask, Fault, Plant, Reply, Times};
+use beamgap_fleet_types::MemberId;
+use beamgap_policy::rollout::{
+    ChangeOutcome, ChangeRequest, Command, InjectedBug, MemberAction, PolicyLeader, PolicyMember,
+    PolicyTimings, PollRequest, PollResponse, RolloutState, ValidationError,
+};
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -28,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Switch {
     /// A fault on purpose.
-    pub plant: Plant,
+    pub plant: InjectedBug,
     /// How long, in ticks.
     pub ticks: u64,
     /// Changes that are proposed.
@@ -46,7 +47,7 @@
 impl Default for Switch {
     fn default() -> Switch {
         Switch {
-            plant: Plant::None,
+            plant: InjectedBug::None,
             ticks: 4,
             changes: 2,
             elections: 1,
@@ -58,9 +59,14 @@
 }
 
 impl Switch {
-    fn times(&self) -> Times {
+    fn times(&self) -> PolicyTimings {
         // A short right is over by the next tick, a long one in three, by clocks that agree.
-        Times { switch_bound: 0.9 * TICK, right: 3.0 * TICK, check: TICK, drift: 0.0 }
+        PolicyTimings {
+            switch_bound_ms: 0.9 * TICK,
+            lease_ms: 3.0 * TICK,
+            validation_ms: TICK,
+            max_drift: 0.0,
+        }
     }
 }
 
@@ -70,17 +76,17 @@
     /// Ticks that have passed.
     pub now: u64,
     /// What is committed, applied.
-    pub state: State,
+    pub state: RolloutState,
     /// What of it the last leader that was replaced has, with its part: only for a fault that lets it answer.
-    stale: Option<(State, Lead)>,
-    before: State,
+    stale: Option<(RolloutState, PolicyLeader)>,
+    before: RolloutState,
     /// Who leads.
     pub leader: usize,
-    lead: Lead,
+    lead: PolicyLeader,
     pool: Vec<Command>,
-    holds: Vec<Hold>,
-    asks: Vec<Vec<Ask>>,
-    replies: Vec<Vec<Reply>>,
+    holds: Vec<PolicyMember>,
+    asks: Vec<Vec<PollRequest>>,
+    replies: Vec<Vec<PollResponse>>,
     lives: Vec<u64>,
     proposed: u8,
     elections: u8,
@@ -130,8 +136,8 @@
         world.now as f64 * TICK
     }
 
-    fn hold(&self, follower: usize, life: u64) -> Hold {
-        Hold::new(&format!("f{follower}"), life, 1, self.plant)
+    fn hold(&self, follower: usize, life: u64) -> PolicyMember {
+        PolicyMember::new(MemberId::new(format!("f{follower}"), life), 1, self.plant)
     }
 
     fn pool(&self, world: &mut World, commands: Vec<Command>) {
@@ -159,13 +165,16 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let mut state = State::default();
-        state.apply(&Command::Found(self.times()));
+        let mut state = RolloutState::default();
+        state.apply(&Command::Bootstrap(self.times()));
         for follower in 0..FOLLOWERS {
-            state.apply(&Command::Join { member: format!("f{follower}"), life: 0, form: 1 });
+            state.apply(&Command::Join {
+                member: MemberId::new(format!("f{follower}"), 0),
+                format_version: 1,
+            });
         }
-        let mut lead = Lead::planted(self.plant);
-        lead.role(0.0, true);
+        let mut lead = PolicyLeader::with_injected_bug(self.plant);
+        lead.set_leadership(0.0, true);
         vec![World {
             now: 0,
             before: state.clone(),
@@ -192,18 +201,18 @@
             steps.push(Step::Tick);
         }
         for f in 0..FOLLOWERS {
-            if world.holds[f].due() <= now {
+            if world.holds[f].next_poll_at() <= now {
                 steps.push(Step::Ask(f));
             }
             for i in 0..world.asks[f].len() {
                 steps.push(Step::Answer(f, i));
-                if self.plant == Plant::UnconfirmedLeader && world.stale.is_some() {
+                if self.plant == InjectedBug::UnconfirmedLeader && world.stale.is_some() {
                     steps.push(Step::Stale(f, i));
                 }
             }
             for i in 0..world.replies[f].len() {
                 steps.push(Step::Hear(f, i, false));
-                if self.faults && world.replies[f][i].check.is_some() {
+                if self.faults && world.replies[f][i].validate.is_some() {
                     steps.push(Step::Hear(f, i, true));
                 }
             }
@@ -229,7 +238,7 @@
         match step {
             Step::Tick => world.now += 1,
             Step::Ask(f) => {
-                let ask = world.holds[f].ask(now, "")?;
+                let ask = world.holds[f].poll_request(now, "")?;
                 world.asks[f].push(ask);
                 if world.asks[f].len() > IN_FLIGHT {
                     world.asks[f].remove(0);
@@ -241,8 +250,8 @@
                     world.asks[f].remove(i);
                 }
                 let (reply, commands) = match (step, &mut world.stale) {
-                    (Step::Stale(..), Some((state, lead))) => lead.answer(now, state, &ask),
-                    _ => world.lead.answer(now, &world.state, &ask),
+                    (Step::Stale(..), Some((state, lead))) => lead.handle_poll(now, state, &ask),
+                    _ => world.lead.handle_poll(now, &world.state, &ask),
                 };
                 if matches!(step, Step::Answer(..)) {
                     self.pool(&mut world, commands);
@@ -259,14 +268,14 @@
                 if !self.repeats {
                     world.replies[f].remove(i);
                 }
-                for act in world.holds[f].reply(now, reply) {
+                for act in world.holds[f].handle_response(now, reply) {
                     match act {
-                        Act::Use(version, _) => world.holds[f].used(version, Ok(())),
-                        Act::Check(id, _) => {
+                        MemberAction::Activate { version, .. } => world.holds[f].activated(version),
+                        MemberAction::Validate(change) => {
                             let text = "a class that is not known".to_owned();
-                            let faults = vec![Fault { member: format!("f{f}"), text }];
-                            let faults = if fault && id == "c0" { faults } else { Vec::new() };
-                            world.holds[f].checked(now, &id, faults);
+                            let faults = vec![ValidationError { member: format!("f{f}"), message: text }];
+                            let faults = if fault && change.id == "c0" { faults } else { Vec::new() };
+                            world.holds[f].validated(now, &change.id, faults);
                         }
                     }
                 }
@@ -282,22 +291,26 @@
             }
             Step::Elect => {
                 world.elections += 1;
-                if self.plant == Plant::VoteBeforeSync {
+                if self.plant == InjectedBug::VoteBeforeSync {
                     // The last that was committed was on no disk.
                     world.state = world.before.clone();
                 }
-                if self.plant == Plant::UnconfirmedLeader {
+                if self.plant == InjectedBug::UnconfirmedLeader {
                     world.stale = Some((world.state.clone(), world.lead.clone()));
                 }
                 world.leader = (world.leader + 1) % DECIDERS;
                 world.pool.clear();
-                world.lead.role(now, false);
-                world.lead.role(now, true);
+                world.lead.set_leadership(now, false);
+                world.lead.set_leadership(now, true);
             }
             Step::Propose => {
                 let text = Some(format!("form = 1 # {}\n", world.proposed));
-                let change =
-                    Change { id: format!("c{}", world.proposed), by: "o".to_owned(), text, base: None };
+                let change = ChangeRequest {
+                    id: format!("c{}", world.proposed),
+                    requested_by: "o".to_owned(),
+                    policy_text: text,
+                    base_version: None,
+                };
                 world.proposed += 1;
                 self.pool(&mut world, vec![Command::Propose(change)]);
             }
@@ -306,7 +319,7 @@
                 world.lives[f] += 1;
                 let kept = world.holds[f].clone();
                 world.holds[f] = self.hold(f, world.lives[f]);
-                if self.plant == Plant::NoCatchUp {
+                if self.plant == InjectedBug::NoCatchUp {
                     world.holds[f] = kept; // It goes on with what it had.
                 }
                 (world.asks[f], world.replies[f]) = (Vec::new(), Vec::new());
@@ -322,7 +335,7 @@
                 !world.early
             }),
             Property::always("2: the old one ends within the bound", |model: &Switch, world: &World| {
-                let bound = model.times().switch_bound;
+                let bound = model.times().switch_bound_ms;
                 world.admitted.iter().all(|(version, (first, _))| {
                     let older = world.admitted.range(..version);
                     older.into_iter().all(|(_, (_, last))| (*last as f64 - *first as f64) * TICK <= bound)
@@ -332,7 +345,7 @@
                 world.admitted.keys().any(|version| *version > 0)
             }),
             Property::sometimes("a change is turned down", |_, world: &World| {
-                world.state.history.iter().any(|r| matches!(r.outcome, Outcome::TurnedDown(_)))
+                world.state.history.iter().any(|r| matches!(r.outcome, ChangeOutcome::Rejected(_)))
             }),
         ]
     }
--- a/crates/sim/tests/rollout.rs
+++ b/crates/sim/tests/rollout.rs
@@ -1,7 +1,6 @@
 //! What the model of the switch shows: the promises hold in every state, and each planted fault is found.
 
-use beamgap_policy::rollout::state::Outcome;
-use beamgap_policy::rollout::Plant;
+use beamgap_policy::rollout::{ChangeOutcome, InjectedBug};
 use beamgap_sim::rollout::{Step, Switch};
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
 use std::time::Duration;
@@ -36,14 +35,14 @@
         repeats: false,
         faults: false,
         ticks: 7,
-        plant: Plant::None,
+        plant: InjectedBug::None,
     };
     for (plant, elections, promise) in [
-        (Plant::EarlyActivation, 0, EARLY),
-        (Plant::NoWait, 0, BOUND),
-        (Plant::NoCatchUp, 0, BOUND),
-        (Plant::UnconfirmedLeader, 1, BOUND),
-        (Plant::VoteBeforeSync, 1, EARLY),
+        (InjectedBug::EarlyActivation, 0, EARLY),
+        (InjectedBug::NoWait, 0, BOUND),
+        (InjectedBug::NoCatchUp, 0, BOUND),
+        (InjectedBug::UnconfirmedLeader, 1, BOUND),
+        (InjectedBug::VoteBeforeSync, 1, EARLY),
     ] {
         let model = Switch { plant, elections, ..one };
         let failures: std::collections::BTreeSet<&'static str> = [promise].into();
@@ -97,7 +96,7 @@
         }
         in_force += usize::from(world.admitted.keys().any(|version| *version > 0));
         turned_down +=
-            usize::from(world.state.history.iter().any(|r| matches!(r.outcome, Outcome::TurnedDown(_))));
+            usize::from(world.state.history.iter().any(|r| matches!(r.outcome, ChangeOutcome::Rejected(_))));
     }
     println!("{walks} walks, {steps} steps; a change in force in {in_force}, turned down in {turned_down}");
     assert!(
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -5,7 +5,7 @@
 use beamgap::fleet::machine::{Answer, Question, Status};
 use beamgap_budgets::lead::Standing;
 use beamgap_council::link::{Answer as Told, Question as Asked, Status as Decider};
-use beamgap_policy::rollout::Mark;
+use beamgap_policy::rollout::LeaseKind;
 use serde_json::json;
 use std::time::Duration;
 
@@ -140,7 +140,7 @@
     if let Ok(status) = fleet {
         let member = |m: &beamgap::fleet::machine::Member| {
             json!({"member": m.name, "life": format!("{:x}", m.life), "version": m.version,
-                "right": m.holds.as_ref().map(|mark| matches!(mark, Mark::Long)).map(|long| if long {"long"} else {"short"}),
+                "right": m.holds.as_ref().map(|mark| matches!(mark, LeaseKind::Long)).map(|long| if long {"long"} else {"short"}),
                 "heard_ms": m.heard_ms, "why_not": m.why_not, "note": m.note})
         };
         all["version"] = json!(status.version);
@@ -177,8 +177,8 @@
     for m in &status.members {
         let version = m.version.map_or("-".to_owned(), |v| v.to_string());
         let right = match &m.holds {
-            Some(Mark::Long) => "holds a right",
-            Some(Mark::Short(_)) => "holds a short right",
+            Some(LeaseKind::Long) => "holds a right",
+            Some(LeaseKind::Short(_)) => "holds a short right",
             None => "holds no right",
         };
         let heard = m.heard_ms.map_or("not heard of".to_owned(), |ms| format!("heard {ms:.0} ms ago"));
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -7,7 +7,7 @@
 use beamgap::fleet::trial::machine_clock;
 use beamgap::node::config::Config;
 use beamgap_policy::check::Known;
-use beamgap_policy::rollout::state::{Change, Outcome};
+use beamgap_policy::rollout::{ChangeOutcome, ChangeRequest};
 use serde_json::json;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -118,7 +118,8 @@
             Err(_) => {}
         }
     };
-    let change = Change { id: id.clone(), by, text, base: Some(base) };
+    let change =
+        ChangeRequest { id: id.clone(), requested_by: by, policy_text: text, base_version: Some(base) };
     let (mut said, mut sent, mut why) = (String::new(), None::<Instant>, String::new());
     let mut in_force = None::<Instant>;
     while Instant::now() < until {
@@ -136,26 +137,26 @@
             }
         };
         match asker.ask(&Question::Outcome(id.clone()), STEP) {
-            Ok(Answer::Outcome(Some(Outcome::InForce(version)), behind)) => {
+            Ok(Answer::Outcome(Some(ChangeOutcome::Active(version)), behind)) => {
                 let since = *in_force.get_or_insert_with(Instant::now);
-                let bound = Duration::from_secs_f64(asker.fleet.times.switch_bound / 1000.0);
+                let bound = Duration::from_secs_f64(asker.fleet.times.switch_bound_ms / 1000.0);
                 // Who is behind has stopped admitting by then, wherever it is.
                 if behind == 0 || since.elapsed() >= bound {
                     say("done", json!(format!("version {version} is in force everywhere")));
                     return Ok(());
                 }
             }
-            Ok(Answer::Outcome(Some(Outcome::TurnedDown(faults)), _)) => {
-                let lines: Vec<_> = faults.iter().map(|f| format!("{}: {}", f.member, f.text)).collect();
+            Ok(Answer::Outcome(Some(ChangeOutcome::Rejected(faults)), _)) => {
+                let lines: Vec<_> = faults.iter().map(|f| format!("{}: {}", f.member, f.message)).collect();
                 say("turned down", json!(lines));
                 return Err((NO, format!("{id} was turned down; it was never in force")));
             }
-            Ok(Answer::Outcome(Some(Outcome::TakenBack), _)) => {
+            Ok(Answer::Outcome(Some(ChangeOutcome::Withdrawn), _)) => {
                 say("taken back", serde_json::Value::Null);
                 return Err((NO, format!("{id} was taken back; it was never in force")));
             }
-            Ok(Answer::Outcome(Some(Outcome::Checking), _)) => tell("is checked by the members"),
-            Ok(Answer::Outcome(Some(Outcome::Decided(_)), _)) => {
+            Ok(Answer::Outcome(Some(ChangeOutcome::Validating), _)) => tell("is checked by the members"),
+            Ok(Answer::Outcome(Some(ChangeOutcome::Committed(_)), _)) => {
                 tell("is decided; rights under the old version end")
             }
             Ok(_) => tell("is on its way"),
@@ -173,11 +174,11 @@
         // Where this is lost, the outcome tells so and it is sent again.
         let _ = asker.ask(&Question::TakeBack(of.id.clone()), STEP);
         match asker.ask(&Question::Outcome(of.id.clone()), STEP) {
-            Ok(Answer::Outcome(Some(Outcome::TakenBack), _)) => {
+            Ok(Answer::Outcome(Some(ChangeOutcome::Withdrawn), _)) => {
                 println!("{} taken back", of.id);
                 return Ok(());
             }
-            Ok(Answer::Outcome(Some(outcome), _)) if outcome != Outcome::Checking => {
+            Ok(Answer::Outcome(Some(outcome), _)) if outcome != ChangeOutcome::Validating => {
                 return Err((NO, format!("too late: {} is {}", of.id, word(&outcome))));
             }
             _ => asker.sleep(50),
@@ -186,16 +187,16 @@
     Err((UNKNOWN, format!("whether {} was taken back is not known yet; ask for its outcome", of.id)))
 }
 
-fn word(outcome: &Outcome) -> String {
+fn word(outcome: &ChangeOutcome) -> String {
     match outcome {
-        Outcome::Checking => "checked by the members".to_owned(),
-        Outcome::Decided(version) => format!("decided, to be version {version}"),
-        Outcome::InForce(version) => format!("in force as version {version}"),
-        Outcome::TurnedDown(faults) => {
-            let lines: Vec<_> = faults.iter().map(|f| format!("{}: {}", f.member, f.text)).collect();
+        ChangeOutcome::Validating => "checked by the members".to_owned(),
+        ChangeOutcome::Committed(version) => format!("decided, to be version {version}"),
+        ChangeOutcome::Active(version) => format!("in force as version {version}"),
+        ChangeOutcome::Rejected(faults) => {
+            let lines: Vec<_> = faults.iter().map(|f| format!("{}: {}", f.member, f.message)).collect();
             format!("turned down: {}", lines.join("; "))
         }
-        Outcome::TakenBack => "taken back".to_owned(),
+        ChangeOutcome::Withdrawn => "taken back".to_owned(),
     }
 }
 
@@ -212,8 +213,8 @@
                 println!("{} {}", of.id, word(&outcome));
             }
             match outcome {
-                Outcome::InForce(_) => Ok(()),
-                Outcome::TurnedDown(_) | Outcome::TakenBack => {
+                ChangeOutcome::Active(_) => Ok(()),
+                ChangeOutcome::Rejected(_) | ChangeOutcome::Withdrawn => {
                     Err((NO, format!("{} was never in force", of.id)))
                 }
                 _ => Err((UNKNOWN, format!("{} is under way", of.id))),
@@ -246,9 +247,12 @@
         Ok(Answer::History(records)) => {
             for r in records {
                 if ask.json {
-                    println!("{}", json!({"change": r.id, "by": r.by, "outcome": word(&r.outcome)}));
+                    println!(
+                        "{}",
+                        json!({"change": r.id, "by": r.requested_by, "outcome": word(&r.outcome)})
+                    );
                 } else {
-                    println!("{} by {}: {}", r.id, r.by, word(&r.outcome));
+                    println!("{} by {}: {}", r.id, r.requested_by, word(&r.outcome));
                 }
             }
             Ok(())
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -10,10 +10,10 @@
 use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
 use beamgap_config::Problem;
 use beamgap_council::{Council, Settings};
+use beamgap_fleet_types::MemberId;
 use beamgap_policy::check::Known;
 use beamgap_policy::document::{Policy, FORM};
-use beamgap_policy::rollout::member::{Act, Hold};
-use beamgap_policy::rollout::{Fault, Plant, Version};
+use beamgap_policy::rollout::{InjectedBug, MemberAction, PolicyMember, ValidationError, Version};
 use beamgap_policy::rules::{Meter, No, Ruling, Terms};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
 /// The gate.
 pub struct Gate {
     council: Council,
-    hold: Hold,
+    hold: PolicyMember,
     here: Here,
     classes: Vec<String>,
     ruling: Rc<Ruling>,
@@ -112,7 +112,7 @@
         let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.trial);
         Ok(Gate {
             council,
-            hold: Hold::new(&fleet.member, life, FORM, fleet.trial.plant),
+            hold: PolicyMember::new(MemberId::new(fleet.member.clone(), life), FORM, fleet.trial.plant),
             here: Here { names, deadlines },
             ruling: Rc::new(Ruling::new(Policy::default(), &classes)),
             classes,
@@ -148,7 +148,7 @@
 
     /// How long until the council is to be asked again, in milliseconds.
     pub fn due_in(&self) -> f64 {
-        (self.hold.due() - self.now()).max(0.0)
+        (self.hold.next_poll_at() - self.now()).max(0.0)
     }
 
     /// Whether a request may come in now; with the time after which to come back, if not.
@@ -161,7 +161,8 @@
     ) -> Result<Admitted, f64> {
         // Read for this request: the process may have stood still since the loop's turn began.
         let machine = machine_clock();
-        let now = if self.trial.plant == Plant::StaleClock { self.turn } else { self.trial.taken(machine) };
+        let now =
+            if self.trial.plant == InjectedBug::StaleClock { self.turn } else { self.trial.taken(machine) };
         let admitted = match self.hold.admits(now) {
             None => Err(("right", NO_RIGHT_BACKOFF)),
             Some(version) => match self.meter.admit(now, &self.ruling, class, account, open) {
@@ -229,7 +230,7 @@
             let now = self.now();
             match answer.as_deref().and_then(decode::<Answer>) {
                 Some(Answer::Renewed(reply)) => {
-                    for act in self.hold.reply(now, reply) {
+                    for act in self.hold.handle_response(now, reply) {
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
@@ -238,7 +239,7 @@
                         self.tasks.reply(self.asked.1, leases);
                         self.shares.borrow_mut().reply(now, shares);
                     }
-                    for act in self.hold.reply(now, reply) {
+                    for act in self.hold.handle_response(now, reply) {
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
@@ -246,29 +247,29 @@
                     if round == self.asked.0 {
                         self.tasks.reply(self.asked.1, leases);
                     }
-                    for act in self.hold.reply(now, reply) {
+                    for act in self.hold.handle_response(now, reply) {
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
                 Some(Answer::Unreadable) => {
                     self.plain_until = now + PLAIN;
-                    self.hold.no_answer(now, round);
+                    self.hold.poll_failed(now, round);
                 }
-                _ => self.hold.no_answer(now, round),
+                _ => self.hold.poll_failed(now, round),
             }
         }
         let now = self.now();
         self.tasks.work(now);
         if self.tasks.hurries(now) {
-            self.hold.hasten(self.asked.1 + HURRY);
+            self.hold.poll_no_later_than(self.asked.1 + HURRY);
         }
         if let Some(soon) = self.shares.borrow().hurries(now) {
-            self.hold.hasten(self.asked.1 + soon);
+            self.hold.poll_no_later_than(self.asked.1 + soon);
         }
-        let due = self.hold.due() <= now;
+        let due = self.hold.next_poll_at() <= now;
         let note = || format!("admitted={} refused={}", self.counts.0, self.counts.1);
-        if let Some(ask) = due.then(note).and_then(|note| self.hold.ask(now, &note)) {
-            let round = ask.round;
+        if let Some(ask) = due.then(note).and_then(|note| self.hold.poll_request(now, &note)) {
+            let round = ask.sequence;
             self.asked = (round, now);
             let question = match now < self.plain_until {
                 true => Question::Renew(ask),
@@ -281,7 +282,7 @@
                 }
             };
             if !self.council.ask(round, encode(&question)) {
-                self.hold.no_answer(now, round);
+                self.hold.poll_failed(now, round);
             }
         }
         if !self.short.0.is_empty() && now - self.short.1 >= SHORT_TOLD {
@@ -289,10 +290,10 @@
             let told = std::mem::take(&mut self.short.0).into_iter();
             lines.extend(told.map(|(budget, n)| format!("fleet: budget {budget}: refused {n} lately")));
         }
-        let why_not = self.hold.why_not(self.now());
+        let why_not = self.hold.blocked_reason(self.now());
         if why_not.is_some() != self.was_shut {
             self.was_shut = why_not.is_some();
-            let version = self.hold.right().map_or(0, |right| right.version);
+            let version = self.hold.lease().map_or(0, |lease| lease.version);
             lines.push(match &why_not {
                 Some(why) => format!("fleet: admits nothing: {why}"),
                 None => format!("fleet: admits under version {version}"),
@@ -301,17 +302,17 @@
         (changed, lines)
     }
 
-    fn act(&mut self, act: Act, changed: &mut Vec<Member>, lines: &mut Vec<String>) {
+    fn act(&mut self, act: MemberAction, changed: &mut Vec<Member>, lines: &mut Vec<String>) {
         match act {
-            Act::Check(id, text) => {
-                let read = usable(FILE, &text, &self.here);
-                let member = self.hold.member().to_owned();
-                let fault = |p: &Problem| Fault { member: member.clone(), text: p.to_string() };
-                let faults: Vec<Fault> = read.err().iter().flatten().map(fault).collect();
-                lines.push(format!("fleet: checked change={id} faults={}", faults.len()));
-                self.hold.checked(self.now(), &id, faults);
+            MemberAction::Validate(change) => {
+                let read = usable(FILE, &change.policy_text, &self.here);
+                let member = self.hold.id().name.clone();
+                let fault = |p: &Problem| ValidationError { member: member.clone(), message: p.to_string() };
+                let faults: Vec<ValidationError> = read.err().iter().flatten().map(fault).collect();
+                lines.push(format!("fleet: checked change={} faults={}", change.id, faults.len()));
+                self.hold.validated(self.now(), &change.id, faults);
             }
-            Act::Use(version, text) => match usable(FILE, &text, &self.here) {
+            MemberAction::Activate { version, policy_text: text } => match usable(FILE, &text, &self.here) {
                 Ok(whole) => {
                     let ruling = Rc::new(Ruling::new(whole.read.policy, &self.classes));
                     let before = std::mem::replace(&mut self.ruling, ruling);
@@ -320,7 +321,7 @@
                     let other =
                         self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
                     changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
-                    self.hold.used(version, Ok(()));
+                    self.hold.activated(version);
                     lines.push(format!("fleet: policy version={version} in use"));
                     if self.trial.history {
                         let hash =
@@ -331,7 +332,7 @@
                 Err(problems) => {
                     let why = one_line(&problems);
                     lines.push(format!("fleet: policy version={version} can't be used: {why}"));
-                    self.hold.used(version, Err(why));
+                    self.hold.activation_failed(version, why);
                 }
             },
         }
@@ -351,7 +352,7 @@
 
     /// Why nothing is admitted now, if so.
     pub fn why_not(&self) -> Option<String> {
-        self.hold.why_not(self.now())
+        self.hold.blocked_reason(self.now())
     }
 }
 
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -5,22 +5,25 @@
 use beamgap_budgets::spec::Spec as Budget;
 use beamgap_budgets::{Plant as BudgetPlant, Times as BudgetTimes};
 use beamgap_council::Machine;
+use beamgap_fleet_types::MemberId;
 use beamgap_leases::lead::{self, Lead as LeaseLead};
 use beamgap_leases::state::{Command as TaskCommand, State as Tasks, Task};
 use beamgap_leases::{Clocks, Plant as LeasePlant, Token};
-use beamgap_policy::rollout::leader::Lead;
-use beamgap_policy::rollout::state::{Change, Command, Outcome, Record, State};
-use beamgap_policy::rollout::{Ask, Mark, Plant, Reply, Times, Version};
+use beamgap_policy::rollout::{
+    ChangeOutcome, ChangeRecord, ChangeRequest, Command, InjectedBug, LeaseKind, PolicyLeader, PolicyTimings,
+    PollRequest, PollResponse, RolloutState, Version, EMPTY_POLICY,
+};
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// What is asked of the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Question {
     /// A member renews its right.
-    Renew(Ask),
+    Renew(PollRequest),
     /// An operator proposes a change.
-    Propose(Change),
+    Propose(ChangeRequest),
     /// An operator takes one back.
     TakeBack(String),
     /// What became of a change?
@@ -32,7 +35,7 @@
     /// The text of a version; of the one in force if none is named.
     Text(Option<Version>),
     /// A member renews its right and all its leases, and has these commands agreed on.
-    Both(Ask, lead::Ask, Vec<TaskCommand>),
+    Both(PollRequest, lead::Ask, Vec<TaskCommand>),
     /// An operator has something agreed on of a task.
     Task(TaskCommand),
     /// An operator has a task's lease not be renewed any more.
@@ -40,7 +43,7 @@
     /// How tasks stand: all, without their records, or one with it.
     Tasks(Option<String>),
     /// As [`Question::Both`], where the policy in use has budgets.
-    All(Ask, lead::Ask, Vec<TaskCommand>, BudgetAsk),
+    All(PollRequest, lead::Ask, Vec<TaskCommand>, BudgetAsk),
     /// How budgets are divided.
     Budgets,
 }
@@ -49,25 +52,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     /// To a renewal.
-    Renewed(Reply),
+    Renewed(PollResponse),
     /// Taken: ask for its outcome.
     Taken,
     /// What became of a change, as far as it is known, and how many members still stand under the version before.
-    Outcome(Option<Outcome>, usize),
+    Outcome(Option<ChangeOutcome>, usize),
     /// How the fleet is.
     Status(Box<Status>),
     /// Changes, oldest first.
-    History(Vec<Record>),
+    History(Vec<ChangeRecord>),
     /// A version's text.
     Text(Option<(Version, String)>),
     /// The question can't be read: it comes from another program.
     Unreadable,
     /// To a renewal of both.
-    Both(Reply, lead::Reply),
+    Both(PollResponse, lead::Reply),
     /// Tasks, with the milliseconds since each one's lease was renewed.
     Tasks(Vec<(Task, Option<f64>)>),
     /// To a renewal of all.
-    All(Reply, lead::Reply, BudgetReply),
+    All(PollResponse, lead::Reply, BudgetReply),
     /// Budgets as they are divided.
     Budgets(Vec<Standing>),
 }
@@ -80,7 +83,7 @@
     /// The change under way: id, who asked, whether it is decided.
     pub pending: Option<(String, String, bool)>,
     /// Its figures of time.
-    pub times: Option<Times>,
+    pub times: Option<PolicyTimings>,
     /// Its members.
     pub members: Vec<Member>,
 }
@@ -95,7 +98,7 @@
     /// The version that it has.
     pub version: Option<Version>,
     /// What its right was worth when it last asked.
-    pub holds: Option<Mark>,
+    pub holds: Option<LeaseKind>,
     /// How long ago that was, in milliseconds; none if not since this leader leads.
     pub heard_ms: Option<f64>,
     /// Why it admits nothing, if so.
@@ -125,9 +128,9 @@
 /// The policy and the tasks, as the council's machine.
 #[derive(Debug)]
 pub struct FleetMachine {
-    state: State,
-    lead: Lead,
-    times: Times,
+    state: RolloutState,
+    lead: PolicyLeader,
+    times: PolicyTimings,
     tasks: Tasks,
     leases: LeaseLead,
     /// The budgets of a version, as its text says.
@@ -139,17 +142,17 @@
     /// One with nothing agreed on yet; `times` are those that a fleet is founded with.
     /// The seed is unlike that of any other life.
     pub fn new(
-        times: Times,
+        times: PolicyTimings,
         seed: u64,
-        plant: Plant,
+        plant: InjectedBug,
         leases: LeasePlant,
         budgets: BudgetPlant,
     ) -> FleetMachine {
-        let clocks = Clocks { drift: times.drift, ..Clocks::default() };
+        let clocks = Clocks { drift: times.max_drift, ..Clocks::default() };
         let leases = LeaseLead::new(clocks, leases);
-        let lead = Lead::planted(plant);
-        let division = BudgetLead::new(seed, BudgetTimes::of_right(times.right, times.drift), budgets);
-        let (state, tasks, budgets) = (State::default(), Tasks::default(), (None, Vec::new()));
+        let lead = PolicyLeader::with_injected_bug(plant);
+        let division = BudgetLead::new(seed, BudgetTimes::of_right(times.lease_ms, times.max_drift), budgets);
+        let (state, tasks, budgets) = (RolloutState::default(), Tasks::default(), (None, Vec::new()));
         FleetMachine { state, lead, times, tasks, leases, budgets, division }
     }
 
@@ -157,25 +160,30 @@
     fn read_budgets(&mut self) {
         let version = self.state.version();
         if self.budgets.0 != Some(version) {
-            let read = document::read("policy", self.state.text()).ok();
+            let read = document::read("policy", self.state.policy_text()).ok();
             self.budgets = (Some(version), read.map(|read| read.budgets).unwrap_or_default());
-            let times = self.state.times.unwrap_or(self.times);
-            self.division.timed(BudgetTimes::of_right(times.right, times.drift));
+            let times = self.state.timings.unwrap_or(self.times);
+            self.division.timed(BudgetTimes::of_right(times.lease_ms, times.max_drift));
         }
     }
 
-    fn renew(&mut self, now: f64, ask: &Ask, lease: &lead::Ask) -> (Reply, lead::Reply, Vec<Command>) {
-        let (reply, changes) = self.lead.answer(now, &self.state, ask);
+    fn renew(
+        &mut self,
+        now: f64,
+        ask: &PollRequest,
+        lease: &lead::Ask,
+    ) -> (PollResponse, lead::Reply, Vec<Command>) {
+        let (reply, changes) = self.lead.handle_poll(now, &self.state, ask);
         // Only members hold leases: who is none yet is told so by the policy's answer.
-        let joined =
-            lease.who == (ask.member.clone(), ask.life) && self.state.members.contains_key(&lease.who);
+        let joined = lease.who == (ask.member.name.clone(), ask.member.incarnation)
+            && self.state.members.contains_key(&ask.member);
         let told = if joined { self.leases.answer(now, &self.tasks, lease) } else { lead::Reply::default() };
         (reply, told, changes)
     }
 
     /// Holds back the tasks that the policy in force forbids; the same at all deciders, as the text is.
     fn forbid(&mut self) {
-        let read = document::read("policy", self.state.text()).ok();
+        let read = document::read("policy", self.state.policy_text()).ok();
         let names = read.map(|read| read.read.policy.forbidden.into_iter().collect()).unwrap_or_default();
         self.tasks.apply(&TaskCommand::Forbid(names));
     }
@@ -208,34 +216,45 @@
     }
 
     fn status(&self, now: f64) -> Status {
-        let member = |who: &(String, u64)| {
-            let heard = self.lead.heard().get(who);
+        let member = |who: &MemberId| {
+            let heard = self.lead.member_statuses().get(who);
             Member {
-                name: who.0.clone(),
-                life: who.1,
+                name: who.name.clone(),
+                life: who.incarnation,
                 version: heard.and_then(|h| h.version),
-                holds: heard.and_then(|h| h.holds.clone()),
-                heard_ms: heard.map(|h| now - h.at),
-                why_not: heard.and_then(|h| h.why_not.clone()),
+                holds: heard.and_then(|h| h.lease_kind.clone()),
+                heard_ms: heard.map(|h| now - h.polled_at),
+                why_not: heard.and_then(|h| h.blocked_reason.clone()),
                 note: heard.map(|h| h.note.clone()).unwrap_or_default(),
             }
         };
-        let pending = self.state.pending.as_ref().map(|p| (p.id.clone(), p.by.clone(), p.decided));
+        let pending =
+            self.state.pending.as_ref().map(|p| (p.id.clone(), p.requested_by.clone(), p.committed));
         let members = self.state.members.keys().map(member).collect();
-        Status { version: self.state.version(), pending, times: self.state.times, members }
+        Status { version: self.state.version(), pending, times: self.state.timings, members }
+    }
+
+    /// The members as the budgets name them.
+    fn members_by_name_and_life(&self) -> BTreeMap<(String, u64), u64> {
+        let members = self.state.members.iter();
+        members.map(|(member, format)| ((member.name.clone(), member.incarnation), *format)).collect()
     }
 
     /// Members heard of within a right's time that do not have the version in force yet.
     fn behind(&self, now: f64) -> usize {
-        let (version, right) = (Some(self.state.version()), self.state.times.map_or(0.0, |t| t.right));
-        let behind = self.lead.heard().values().filter(|h| h.version != version && now - h.at < right);
+        let (version, right) = (Some(self.state.version()), self.state.timings.map_or(0.0, |t| t.lease_ms));
+        let behind = self
+            .lead
+            .member_statuses()
+            .values()
+            .filter(|h| h.version != version && now - h.polled_at < right);
         behind.count()
     }
 }
 
 impl Machine for FleetMachine {
     fn blank(&mut self) {
-        (self.state, self.tasks, self.budgets.0) = (State::default(), Tasks::default(), None);
+        (self.state, self.tasks, self.budgets.0) = (RolloutState::default(), Tasks::default(), None);
     }
 
     fn apply(&mut self, command: &[u8]) {
@@ -280,7 +299,7 @@
     }
 
     fn role(&mut self, now: f64, leads: bool) {
-        self.lead.role(now, leads);
+        self.lead.set_leadership(now, leads);
         self.leases.role(now, leads);
         self.division.role(now, leads);
     }
@@ -290,7 +309,7 @@
         let mut more: Vec<TaskCommand> = Vec::new();
         let answer = match decode::<Question>(question) {
             Some(Question::Renew(ask)) => {
-                let (reply, more) = self.lead.answer(now, &self.state, &ask);
+                let (reply, more) = self.lead.handle_poll(now, &self.state, &ask);
                 commands = more;
                 Answer::Renewed(reply)
             }
@@ -305,17 +324,23 @@
                 let (reply, told, changes) = self.renew(now, &ask, &lease);
                 commands = changes;
                 self.read_budgets();
-                let own = budget.who == (ask.member, ask.life);
+                let own = budget.who == (ask.member.name, ask.member.incarnation);
                 let (version, specs) = (self.state.version(), &self.budgets.1);
+                let members = self.members_by_name_and_life();
                 let shares = match own {
-                    true => self.division.answer(now, version, specs, &self.state.members, &budget),
+                    true => self.division.answer(now, version, specs, &members, &budget),
                     false => BudgetReply::default(),
                 };
                 Answer::All(reply, told, shares)
             }
             Some(Question::Budgets) => {
                 self.read_budgets();
-                self.division.tick(now, self.state.version(), &self.budgets.1, &self.state.members);
+                self.division.tick(
+                    now,
+                    self.state.version(),
+                    &self.budgets.1,
+                    &self.members_by_name_and_life(),
+                );
                 Answer::Budgets(self.division.standings())
             }
             Some(Question::Task(command)) => {
@@ -333,7 +358,7 @@
                 Answer::Taken
             }
             Some(Question::TakeBack(id)) => {
-                commands.push(Command::TakeBack { id });
+                commands.push(Command::Withdraw { id });
                 Answer::Taken
             }
             Some(Question::Outcome(id)) => Answer::Outcome(self.state.outcome(&id), self.behind(now)),
@@ -341,9 +366,9 @@
             Some(Question::History) => Answer::History(self.state.history.iter().cloned().collect()),
             Some(Question::Text(version)) => {
                 let version = version.unwrap_or(self.state.version());
-                let kept = self.state.versions.iter().find(|(v, _)| *v == version);
-                let text = kept.map(|(v, text)| (*v, text.clone()));
-                let empty = (version == 0).then(|| (0, beamgap_policy::rollout::state::EMPTY.to_owned()));
+                let kept = self.state.revisions.iter().find(|revision| revision.version == version);
+                let text = kept.map(|revision| (revision.version, revision.policy_text.clone()));
+                let empty = (version == 0).then(|| (0, EMPTY_POLICY.to_owned()));
                 Answer::Text(text.or(empty))
             }
             None => Answer::Unreadable,
@@ -352,15 +377,15 @@
     }
 
     fn tick(&mut self, now: f64) -> Vec<Vec<u8>> {
-        if self.state.times.is_none() {
-            return vec![encode(&Command::Found(self.times))];
+        if self.state.timings.is_none() {
+            return vec![encode(&Command::Bootstrap(self.times))];
         }
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).ok();
         let minute = since_1970.map(|time| time.as_secs() / 60);
         let policy = self.lead.tick(now, &self.state);
         let tasks = self.leases.tick(now, minute, &self.tasks);
         self.read_budgets();
-        self.division.tick(now, self.state.version(), &self.budgets.1, &self.state.members);
+        self.division.tick(now, self.state.version(), &self.budgets.1, &self.members_by_name_and_life());
         policy.iter().map(encode).chain(tasks.iter().map(of_task)).collect()
     }
 }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -6,9 +6,9 @@
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_council::{Seat, SEATS};
+use beamgap_fleet_types::is_valid_name;
 use beamgap_leases::spec::Spec;
-use beamgap_policy::rollout::state::good_name;
-use beamgap_policy::rollout::Times;
+use beamgap_policy::rollout::PolicyTimings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
     /// Where it keeps what was agreed on, if it decides.
     pub folder: Option<PathBuf>,
     /// The fleet's figures, used when it is founded.
-    pub times: Times,
+    pub times: PolicyTimings,
     /// The tasks of its file, for `beamgap task apply`.
     pub tasks: Vec<Spec>,
     /// What a test has set.
@@ -83,11 +83,11 @@
         Some(Some(n)) if (least..=most).contains(&n) => Ok(n),
         Some(_) => wrong(key, format!("is not from {least} to {most}")),
     };
-    let Some(name) = text("name").filter(|name| good_name(name)) else {
+    let Some(name) = text("name").filter(|name| is_valid_name(name)) else {
         return wrong("name", "is not 1 to 64 letters, digits, dots and dashes");
     };
     let member = text("member").unwrap_or(node);
-    if !good_name(member) {
+    if !is_valid_name(member) {
         return wrong("member", format!("is '{member}', not 1 to 64 letters, digits, dots and dashes"));
     }
     let open = fleet.get("plaintext_beyond_loopback").and_then(|v| v.as_bool()).unwrap_or(false);
@@ -143,14 +143,14 @@
             Some(listen.map_or(Ok(*known), |text| address("listen", text))?)
         }
     };
-    let usual = Times::default();
-    let times = Times {
-        switch_bound: number("switch_ms", usual.switch_bound, 200.0, 60_000.0)?,
-        right: number("right_ms", usual.right, 1_000.0, 600_000.0)?,
-        check: number("check_ms", usual.check, 200.0, 60_000.0)?,
-        drift: number("drift", usual.drift, 0.0, 0.2)?,
+    let usual = PolicyTimings::default();
+    let times = PolicyTimings {
+        switch_bound_ms: number("switch_ms", usual.switch_bound_ms, 200.0, 60_000.0)?,
+        lease_ms: number("right_ms", usual.lease_ms, 1_000.0, 600_000.0)?,
+        validation_ms: number("check_ms", usual.validation_ms, 200.0, 60_000.0)?,
+        max_drift: number("drift", usual.max_drift, 0.0, 0.2)?,
     };
-    if times.right < 2.0 * times.switch_bound {
+    if times.lease_ms < 2.0 * times.switch_bound_ms {
         return wrong("right_ms", "is under twice the switch_bound: a leader's death would stop the fleet");
     }
     let trial = Trial::of(env).or_else(|e| wrong("trial", e))?;
--- a/src/fleet/trial.rs
+++ b/src/fleet/trial.rs
@@ -7,7 +7,7 @@
 use beamgap_council::disk::{Files, SharedDisk};
 use beamgap_council::{Clock, Plants};
 use beamgap_leases::Plant as LeasePlant;
-use beamgap_policy::rollout::Plant;
+use beamgap_policy::rollout::InjectedBug;
 use rustix::time::{clock_gettime, ClockId};
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     /// Whether a history is written to standard error.
     pub history: bool,
     /// A fault on purpose.
-    pub plant: Plant,
+    pub plant: InjectedBug,
     /// One in the leases.
     pub leases: LeasePlant,
     /// One in the budgets.
@@ -46,7 +46,7 @@
             leash: false,
             look: 0.0,
             history: false,
-            plant: Plant::None,
+            plant: InjectedBug::None,
             leases: LeasePlant::None,
             budgets: BudgetPlant::None,
         }
@@ -89,12 +89,12 @@
                 Some(("plant", "dead-is-over")) => trial.budgets = BudgetPlant::DeadIsOver,
                 Some(("plant", name)) => {
                     trial.plant = match name {
-                        "early-activation" => Plant::EarlyActivation,
-                        "unconfirmed-leader" => Plant::UnconfirmedLeader,
-                        "vote-before-sync" => Plant::VoteBeforeSync,
-                        "no-catch-up" => Plant::NoCatchUp,
-                        "no-wait" => Plant::NoWait,
-                        "stale-clock" => Plant::StaleClock,
+                        "early-activation" => InjectedBug::EarlyActivation,
+                        "unconfirmed-leader" => InjectedBug::UnconfirmedLeader,
+                        "vote-before-sync" => InjectedBug::VoteBeforeSync,
+                        "no-catch-up" => InjectedBug::NoCatchUp,
+                        "no-wait" => InjectedBug::NoWait,
+                        "stale-clock" => InjectedBug::StaleClock,
                         _ => return Err(format!("BEAMGAP_TRIAL: `{word}` is not known")),
                     }
                 }
@@ -153,8 +153,8 @@
     /// The council's part of what is planted.
     pub fn plants(&self) -> Plants {
         Plants {
-            unconfirmed: self.plant == Plant::UnconfirmedLeader,
-            unsynced: self.plant == Plant::VoteBeforeSync,
+            unconfirmed: self.plant == InjectedBug::UnconfirmedLeader,
+            unsynced: self.plant == InjectedBug::VoteBeforeSync,
         }
     }
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -45,7 +45,7 @@
     let fleet = config.fleet.unwrap();
     assert_eq!((fleet.name.as_str(), fleet.member.as_str(), fleet.seat), ("counter-fleet", "n1", Some(1)));
     assert_eq!(
-        (fleet.deciders.len(), fleet.times.right, fleet.listen),
+        (fleet.deciders.len(), fleet.times.lease_ms, fleet.listen),
         (3, 5_000.0, "127.0.0.1:7401".parse().ok())
     );
     let known = Known {
