--- a/crates/policy/src/diff.rs
+++ b/crates/policy/src/diff.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// One difference.
+/// One difference between two policies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Change {
+pub struct Difference {
     /// What it is about, such as `class "report"`.
     pub about: String,
     /// The key there; empty where the whole is meant.
@@ -17,7 +17,7 @@
     pub after: String,
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let gap = if self.key.is_empty() { "" } else { " " };
         write!(f, "{}{gap}{}: {} -> {}", self.about, self.key, self.before, self.after)
@@ -25,57 +25,103 @@
 }
 
 /// All differences, in order of what they are about.
-pub fn diff(before: &Policy, after: &Policy) -> Vec<Change> {
-    let mut all = Vec::new();
-    let mut put = |about: String, key: &str, a: String, b: String| {
-        if a != b {
-            all.push(Change { about, key: key.to_owned(), before: a, after: b });
+pub fn diff(before: &Policy, after: &Policy) -> Vec<Difference> {
+    let mut differences = Differences { before, after, found: Vec::new() };
+    differences.compare_engines();
+    differences.compare_tasks();
+    differences.compare_classes();
+    differences.compare_shares("account", "share", |policy| &policy.accounts);
+    differences.compare_shares("zone", "weight", |policy| &policy.zones);
+    differences.compare_admission();
+    differences.found.sort();
+    differences.found
+}
+
+struct Differences<'a> {
+    before: &'a Policy,
+    after: &'a Policy,
+    found: Vec<Difference>,
+}
+
+impl Differences<'_> {
+    fn compare_engines(&mut self) {
+        let word = |excluded: bool| if excluded { "left out" } else { "in use" };
+        for id in union(self.before.excluded_engines.iter(), self.after.excluded_engines.iter()) {
+            let before = word(self.before.excluded_engines.contains(id));
+            let after = word(self.after.excluded_engines.contains(id));
+            self.add(format!("engine \"{id}\""), "", before, after);
+        }
+    }
+
+    fn compare_tasks(&mut self) {
+        for name in union(self.before.forbidden_tasks.iter(), self.after.forbidden_tasks.iter()) {
+            let before = yes_or_no(self.before.forbidden_tasks.contains(name));
+            let after = yes_or_no(self.after.forbidden_tasks.contains(name));
+            self.add(format!("task \"{name}\""), "forbidden", before, after);
+        }
+    }
+
+    fn compare_classes(&mut self) {
+        let unrestricted = ClassRule::default();
+        for name in union(self.before.classes.keys(), self.after.classes.keys()) {
+            let before = self.before.classes.get(name).unwrap_or(&unrestricted);
+            let after = self.after.classes.get(name).unwrap_or(&unrestricted);
+            let about = format!("class \"{name}\"");
+            self.add(about.clone(), "refused", yes_or_no(before.rejected), yes_or_no(after.rejected));
+            let attempts = |rule: &ClassRule| limit(rule.max_attempts.map(f64::from), "");
+            self.add(about.clone(), "attempts", &attempts(before), &attempts(after));
+            let rate = |rule: &ClassRule| limit(rule.max_rate, " a second");
+            self.add(about.clone(), "rate", &rate(before), &rate(after));
+            let deadline = |rule: &ClassRule| limit(rule.deadline_ms, " ms");
+            self.add(about, "deadline", &deadline(before), &deadline(after));
         }
-    };
-    for id in union(before.left_out.iter(), after.left_out.iter()) {
-        let word = |p: &Policy| if p.left_out.contains(id) { "left out" } else { "in use" }.to_owned();
-        put(format!("engine \"{id}\""), "", word(before), word(after));
     }
-    for name in union(before.forbidden.iter(), after.forbidden.iter()) {
-        let word = |p: &Policy| if p.forbidden.contains(name) { "yes" } else { "no" }.to_owned();
-        put(format!("task \"{name}\""), "forbidden", word(before), word(after));
+
+    fn compare_shares(&mut self, kind: &str, key: &str, shares: impl Fn(&Policy) -> &BTreeMap<String, f64>) {
+        let (before, after) = (shares(self.before), shares(self.after));
+        for name in union(before.keys(), after.keys()) {
+            self.add(
+                format!("{kind} \"{name}\""),
+                key,
+                &percent(before.get(name)),
+                &percent(after.get(name)),
+            );
+        }
     }
-    for name in union(before.classes.keys(), after.classes.keys()) {
-        let none = ClassRule::default();
-        let a = before.classes.get(name).unwrap_or(&none);
-        let b = after.classes.get(name).unwrap_or(&none);
-        let about = || format!("class \"{name}\"");
-        let word = |r: &ClassRule| if r.refused { "yes" } else { "no" }.to_owned();
-        put(about(), "refused", word(a), word(b));
-        put(about(), "attempts", bound(a.attempts.map(f64::from), ""), bound(b.attempts.map(f64::from), ""));
-        put(about(), "rate", bound(a.rate, " a second"), bound(b.rate, " a second"));
-        put(about(), "deadline", bound(a.deadline_ms, " ms"), bound(b.deadline_ms, " ms"));
+
+    fn compare_admission(&mut self) {
+        let max_in_flight = |policy: &Policy| limit(policy.max_in_flight.map(|n| n as f64), "");
+        let (before, after) = (max_in_flight(self.before), max_in_flight(self.after));
+        self.add("admission".to_owned(), "open_most", &before, &after);
+    }
+
+    fn add(&mut self, about: String, key: &str, before: &str, after: &str) {
+        if before != after {
+            self.found.push(Difference {
+                about,
+                key: key.to_owned(),
+                before: before.to_owned(),
+                after: after.to_owned(),
+            });
+        }
     }
-    shares(&before.accounts, &after.accounts, "account", "share", &mut put);
-    shares(&before.zones, &after.zones, "zone", "weight", &mut put);
-    let open = |p: &Policy| bound(p.open_most.map(|n| n as f64), "");
-    put("admission".to_owned(), "open_most", open(before), open(after));
-    all.sort();
-    all
 }
 
-fn shares(
-    before: &BTreeMap<String, f64>,
-    after: &BTreeMap<String, f64>,
-    what: &str,
-    key: &str,
-    put: &mut impl FnMut(String, &str, String, String),
-) {
-    for name in union(before.keys(), after.keys()) {
-        let share = |map: &BTreeMap<String, f64>| {
-            let share = map.get(name).copied().unwrap_or(1.0) * 100.0;
-            format!("{}%", (share * 1000.0).round() / 1000.0)
-        };
-        put(format!("{what} \"{name}\""), key, share(before), share(after));
+fn yes_or_no(flag: bool) -> &'static str {
+    if flag {
+        "yes"
+    } else {
+        "no"
     }
 }
 
-fn bound(value: Option<f64>, unit: &str) -> String {
+/// A share as percent, rounded to a thousandth of it; all where there is none.
+fn percent(share: Option<&f64>) -> String {
+    let share = share.copied().unwrap_or(1.0) * 100.0;
+    format!("{}%", (share * 1000.0).round() / 1000.0)
+}
+
+fn limit(value: Option<f64>, unit: &str) -> String {
     value.map_or("unbounded".to_owned(), |value| format!("{value}{unit}"))
 }
 
--- a/crates/policy/tests/common/encoding.rs
+++ b/crates/policy/tests/common/encoding.rs
@@ -1,7 +1,8 @@
 //! The output of a step as bytes.
 
 use beamgap_policy::rollout::{MemberAction, PolicyLeader, PolicyMember};
-use beamgap_policy::rules::{No, Terms};
+
+use beamgap_policy::rules::{Rejection, RequestLimits};
 use serde::Serialize;
 
 /// Bytes of one step.
@@ -49,13 +50,13 @@
     }
 
     /// Appends whether a request came in.
-    pub fn put_admission(&mut self, admission: &Result<Terms, No>) {
+    pub fn put_admission(&mut self, admission: &Result<RequestLimits, Rejection>) {
         match admission {
-            Ok(terms) => self.put(0x30, &(terms.attempts, terms.deadline_ms)),
-            Err(No::Class) => self.put(0x31, &()),
-            Err(No::Rate) => self.put(0x32, &()),
-            Err(No::Share) => self.put(0x33, &()),
-            Err(No::Open) => self.put(0x34, &()),
+            Ok(limits) => self.put(0x30, &(limits.max_attempts, limits.deadline_ms)),
+            Err(Rejection::ClassRejected) => self.put(0x31, &()),
+            Err(Rejection::RateExceeded) => self.put(0x32, &()),
+            Err(Rejection::AccountShareExceeded) => self.put(0x33, &()),
+            Err(Rejection::TooManyInFlight) => self.put(0x34, &()),
         }
     }
 
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -3,12 +3,12 @@
 use super::encoding::Encoding;
 use super::random::Random;
 use beamgap_fleet_types::MemberId;
-use beamgap_policy::document::{read, MAX_TEXT_LENGTH};
+use beamgap_policy::document::{parse, MAX_TEXT_LENGTH};
 use beamgap_policy::rollout::{
     ChangeOutcome, ChangeRequest, Command, InjectedBug, MemberAction, PolicyLeader, PolicyMember,
     PolicyTimings, PollRequest, PollResponse, RolloutState, ValidationError,
 };
-use beamgap_policy::rules::{Meter, Ruling};
+use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy};
 
 const MEMBERS: usize = 5;
 const CLASSES: [&str; 3] = ["lookup", "report", "batch"];
@@ -55,8 +55,8 @@
     uncommitted: Vec<Command>,
     proposed: usize,
     steps: usize,
-    meter: Meter,
-    ruling: Ruling,
+    meter: AdmissionMeter,
+    policy: CompiledPolicy,
     pub counts: Counts,
 }
 
@@ -80,7 +80,7 @@
         });
         let members = members.collect();
         let classes: Vec<String> = CLASSES.iter().map(|class| (*class).to_owned()).collect();
-        let ruling = Ruling::new(read("policy", RULES).expect("a policy").policy, &classes);
+        let policy = CompiledPolicy::new(parse("policy", RULES).expect("a policy").policy, &classes);
         World {
             random,
             now: 0.0,
@@ -93,8 +93,8 @@
             uncommitted: Vec::new(),
             proposed: 0,
             steps: 0,
-            meter: Meter::default(),
-            ruling,
+            meter: AdmissionMeter::default(),
+            policy,
             counts: Counts::default(),
         }
     }
@@ -382,13 +382,13 @@
             let class = self.random.below(CLASSES.len() + 1);
             let account = ACCOUNTS.get(self.random.below(ACCOUNTS.len() + 1)).copied();
             let open = self.random.below(42);
-            let admission = self.meter.admit(self.now, &self.ruling, class, account, open);
+            let admission = self.meter.admit(self.now, &self.policy, class, account, open);
             self.counts.admitted += usize::from(admission.is_ok());
             self.counts.refused += usize::from(admission.is_err());
             out.put_admission(&admission);
         }
         let engine = format!("e-{}", self.random.below(50));
-        out.put(0x70, &(self.ruling.leaves_out(&engine, "a"), self.ruling.leaves_out(&engine, "b")));
+        out.put(0x70, &(self.policy.excludes(&engine, "a"), self.policy.excludes(&engine, "b")));
     }
 
     fn observe(&mut self, out: &mut Encoding) {
--- a/crates/policy/tests/document.rs
+++ b/crates/policy/tests/document.rs
@@ -1,18 +1,22 @@
 //! Policies as documents: read, checked, compared, and what they say of a request.
 
-use beamgap_policy::check::{usable, Known};
 use beamgap_policy::diff::diff;
-use beamgap_policy::document::{read, Policy};
-use beamgap_policy::rules::{Meter, No, Ruling};
+use beamgap_policy::document::{parse, Policy};
+use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy, Rejection};
+use beamgap_policy::validation::{parse_and_validate, KnownNames};
 use proptest::prelude::*;
 
-fn known() -> Known {
-    let names = |list: &[&str]| list.iter().map(|n| n.to_string()).collect();
-    Known { classes: names(&["lookup", "report"]), accounts: names(&["leinster"]), zones: names(&["a", "b"]) }
+fn known() -> KnownNames {
+    let names = |list: &[&str]| list.iter().copied().map(str::to_owned).collect();
+    KnownNames {
+        classes: names(&["lookup", "report"]),
+        accounts: names(&["leinster"]),
+        zones: names(&["a", "b"]),
+    }
 }
 
 fn policy(text: &str) -> Policy {
-    read("p.hcl", text).unwrap_or_else(|e| panic!("{e:?}")).policy
+    parse("p.hcl", text).unwrap_or_else(|e| panic!("{e:?}")).policy
 }
 
 #[test]
@@ -53,11 +57,11 @@
             "leave one zone",
         ),
     ] {
-        let faults = usable("p.hcl", text, &known()).expect_err(text);
+        let faults = parse_and_validate("p.hcl", text, &known()).expect_err(text);
         let told = faults[0].to_string();
         assert!(told.starts_with(place) && told.contains(key) && told.contains(says), "{text}: {told}");
     }
-    assert!(read("p.hcl", &"#".repeat(70_000)).is_err(), "too long");
+    assert!(parse("p.hcl", &"#".repeat(70_000)).is_err(), "too long");
 }
 
 #[test]
@@ -73,25 +77,29 @@
 #[test]
 fn a_request_is_narrowed_by_class_rate_share_and_what_is_open() {
     let text = "form = 1\nadmission {\n  open_most = 5\n}\nclass \"report\" {\n  refused = true\n}\nclass \"lookup\" {\n  rate = 10\n  attempts = 2\n  deadline = \"1 s\"\n}\n";
-    let ruling = Ruling::new(policy(text), &known().classes);
-    let mut meter = Meter::default();
-    assert_eq!(meter.admit(0.0, &ruling, 1, None, 0), Err(No::Class));
-    assert_eq!(meter.admit(0.0, &ruling, 0, None, 5), Err(No::Open));
-    let within = (0..100).filter(|i| meter.admit(f64::from(*i) * 50.0, &ruling, 0, None, 0).is_ok()).count();
+    let policy_in_use = CompiledPolicy::new(policy(text), &known().classes);
+    let mut meter = AdmissionMeter::default();
+    assert_eq!(meter.admit(0.0, &policy_in_use, 1, None, 0), Err(Rejection::ClassRejected));
+    assert_eq!(meter.admit(0.0, &policy_in_use, 0, None, 5), Err(Rejection::TooManyInFlight));
+    let within =
+        (0..100).filter(|i| meter.admit(f64::from(*i) * 50.0, &policy_in_use, 0, None, 0).is_ok()).count();
     assert!(
         (55..=62).contains(&within),
         "{within} of 100 in five seconds at ten a second, with a second's worth at once"
     );
-    let terms = meter.admit(9000.0, &ruling, 0, None, 0).unwrap();
-    assert_eq!((terms.attempts, terms.deadline_ms), (Some(2), Some(1000.0)));
-    let ruling =
-        Ruling::new(policy("form = 1\naccount \"leinster\" {\n  share = \"25%\"\n}\n"), &known().classes);
+    let limits = meter.admit(9000.0, &policy_in_use, 0, None, 0).unwrap();
+    assert_eq!((limits.max_attempts, limits.deadline_ms), (Some(2), Some(1000.0)));
+    let policy_in_use = CompiledPolicy::new(
+        policy("form = 1\naccount \"leinster\" {\n  share = \"25%\"\n}\n"),
+        &known().classes,
+    );
     for (others, share) in [(3, 0.25f64), (1, 0.5), (0, 1.0)] {
-        let (mut meter, mut own) = (Meter::default(), 0);
+        let (mut meter, mut own) = (AdmissionMeter::default(), 0);
         for i in 0..400 {
             let now = f64::from(i) * 10.0;
-            own += usize::from(meter.admit(now, &ruling, 0, Some("leinster"), 0).is_ok());
-            (0..others).for_each(|_| assert!(meter.admit(now, &ruling, 0, Some("munster"), 0).is_ok()));
+            own += usize::from(meter.admit(now, &policy_in_use, 0, Some("leinster"), 0).is_ok());
+            (0..others)
+                .for_each(|_| assert!(meter.admit(now, &policy_in_use, 0, Some("munster"), 0).is_ok()));
         }
         // A quarter of all that asks, whatever part of that it is itself.
         let least: f64 = 0.25 / share;
@@ -110,8 +118,8 @@
         let high = (low + more).min(100);
         let of = |weight: u32| {
             let text = format!("form = 1\nzone \"a\" {{\n  weight = \"{weight}%\"\n}}\n");
-            let ruling = Ruling::new(policy(&text), &[]);
-            (0..400).filter(|i| !ruling.leaves_out(&format!("s-{i:08x}"), "a")).collect::<std::collections::BTreeSet<_>>()
+            let policy_in_use = CompiledPolicy::new(policy(&text), &[]);
+            (0..400).filter(|i| !policy_in_use.excludes(&format!("s-{i:08x}"), "a")).collect::<std::collections::BTreeSet<_>>()
         };
         let (kept, all) = (of(low), of(high));
         prop_assert!(kept.is_subset(&all));
@@ -121,8 +129,8 @@
     /// No text brings the reader down, and what it reads it compares as equal to itself.
     #[test]
     fn any_text_is_read_or_refused(text in "(form = [0-9]{1,3}\n)?(class|engine|zone|account|admission)? ?(\"[a-z]{0,5}\")? ?\\{?[ -~\n]{0,80}\\}?") {
-        if let Ok(read) = read("p", &text) {
-            prop_assert!(diff(&read.policy, &read.policy).is_empty());
+        if let Ok(parsed) = parse("p", &text) {
+            prop_assert!(diff(&parsed.policy, &parsed.policy).is_empty());
         }
     }
 }
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -76,7 +76,7 @@
                     match action {
                         MemberAction::Activate { version, .. } => self.members[m].activated(version),
                         MemberAction::Validate(change) => {
-                            self.members[m].validated(own, &change.id, Vec::new())
+                            self.members[m].validated(own, &change.id, Vec::new());
                         }
                     }
                 }
--- a/examples/fleet_policy.rs
+++ b/examples/fleet_policy.rs
@@ -6,8 +6,8 @@
 //! per request and memory of one front end before 6, 60 and 80 engines, two programs in turn.
 
 use beamgap::fleet::trial::machine_clock;
-use beamgap_policy::document::read;
-use beamgap_policy::rules::{Meter, Ruling};
+use beamgap_policy::document::parse;
+use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy};
 use beamgap_rig::history::What;
 use beamgap_rig::now;
 use beamgap_rig::world::{Options, World};
@@ -189,8 +189,10 @@
 /// What a request costs at the gate: the reading of the clock, the right, the policy's rules.
 fn look() -> Done {
     let text = "form = 1\nclass \"lookup\" {\n  attempts = 1\n  rate = 1000000\n}\naccount \"leinster\" {\n  share = \"90%\"\n}\n";
-    let ruling =
-        Ruling::new(read("look", text).map_err(|e| format!("{e:?}"))?.policy, &["lookup".to_owned()]);
+    let policy = CompiledPolicy::new(
+        parse("look", text).map_err(|e| format!("{e:?}"))?.policy,
+        &["lookup".to_owned()],
+    );
     const MANY: usize = 2_000_000;
     let mut clocks = Vec::new();
     let mut looks = Vec::new();
@@ -201,12 +203,12 @@
             sum += machine_clock();
         }
         clocks.push(from.elapsed().as_secs_f64() * 1e9 / MANY as f64);
-        let (mut meter, mut admitted) = (Meter::default(), 0usize);
+        let (mut meter, mut admitted) = (AdmissionMeter::default(), 0usize);
         let from = Instant::now();
         for i in 0..MANY {
             let now = machine_clock();
             let account = Some(if i % 2 == 0 { "leinster" } else { "munster" });
-            admitted += usize::from(meter.admit(now, &ruling, 0, account, 10).is_ok());
+            admitted += usize::from(meter.admit(now, &policy, 0, account, 10).is_ok());
         }
         looks.push(from.elapsed().as_secs_f64() * 1e9 / MANY as f64);
         assert!(sum > 0.0 && admitted > 0);
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -1,27 +1,42 @@
-//! `beamgap policy`.
+//! `beamgap policy`: validate, compare, propose, withdraw and show policies.
 
 use super::{text_of, unusable, Asker, End, NO, UNKNOWN, UNUSABLE};
 use crate::cli::{Ask, Follow, Outcome as OutcomeOf, Policy, PolicyCheck, PolicyDiff, Propose, Show};
-use beamgap::fleet::document::{self, usable, Here};
+use beamgap::fleet::document::{self, FleetPolicy, ValidationContext};
 use beamgap::fleet::machine::{Answer, Question};
 use beamgap::fleet::trial::machine_clock;
 use beamgap::node::config::Config;
-use beamgap_policy::check::Known;
-use beamgap_policy::rollout::{ChangeOutcome, ChangeRequest};
-use serde_json::json;
+use beamgap_config::Problem;
+use beamgap_policy::rollout::{ChangeOutcome, ChangeRequest, ValidationError, Version};
+use beamgap_policy::validation::KnownNames;
+use serde_json::{json, Value};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const STEP: Duration = Duration::from_millis(800); // for one question to the leader
+/// Time for one request to the leader while a change is followed.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time for the one request of a command that only shows something.
+const SHOW_TIMEOUT: Duration = Duration::from_secs(5);
+/// A change is proposed again after this time: the proposal may have been lost.
+const PROPOSE_AGAIN_AFTER: Duration = Duration::from_secs(1);
+/// Pause between two requests for a change's outcome, in milliseconds.
+const OUTCOME_POLL_MS: u64 = 20;
+/// How long a withdrawal is tried.
+const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause before a withdrawal is tried again, in milliseconds.
+const WITHDRAW_RETRY_MS: u64 = 50;
 
-/// Does what is asked.
+/// Runs a subcommand.
+///
+/// # Errors
+/// The exit code and why the command was not done.
 pub fn run(policy: Policy) -> Result<(), End> {
     match policy {
         Policy::Check(check) => self::check(&check),
-        Policy::Diff(two) => self::compare(&two),
+        Policy::Diff(files) => self::diff(&files),
         Policy::Propose(propose) => self::propose(propose),
         Policy::Rollback(follow) => change(None, follow),
-        Policy::TakeBack(of) => self::take_back(&of),
+        Policy::TakeBack(of) => self::withdraw(&of),
         Policy::Outcome(of) => self::outcome(&of),
         Policy::Show(show) => self::show(&show),
         Policy::History(ask) => self::history(&ask),
@@ -29,205 +44,293 @@
     }
 }
 
-fn read(path: &Path) -> Result<document::Whole, End> {
+fn parse(path: &Path) -> Result<FleetPolicy, End> {
     let text = text_of(path)?;
-    document::read(&path.display().to_string(), &text).map_err(|problems| {
-        (UNUSABLE, problems.iter().map(|p| p.to_string()).collect::<Vec<_>>().join("\n  "))
-    })
+    document::parse(&path.display().to_string(), &text).map_err(problems_end)
+}
+
+fn problems_end(problems: Vec<Problem>) -> End {
+    let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
+    (UNUSABLE, lines.join("\n  "))
 }
 
 fn check(check: &PolicyCheck) -> Result<(), End> {
     let name = check.file.display().to_string();
     match &check.config {
-        None => drop(read(&check.file)?),
+        None => drop(parse(&check.file)?),
         Some(config) => {
-            // Where it listens is of no matter here.
-            let anywhere = |name: &str| (name == "NODE_LISTEN").then(|| "127.0.0.1:0".to_owned());
-            let env = |name: &str| std::env::var(name).ok().or_else(|| anywhere(name));
-            let config = Config::read(text_of(config)?.into_bytes(), &env).map_err(unusable)?;
-            let names = Known {
-                classes: config.settings.classes.iter().map(|c| c.name.clone()).collect(),
-                accounts: config.settings.tenants.iter().map(|t| t.name.clone()).collect(),
-                zones: config.zones,
-            };
-            let deadlines = config.settings.classes.iter().map(|c| c.deadline.as_millis()).collect();
-            usable(&name, &text_of(&check.file)?, &Here { names, deadlines }).map_err(|problems| {
-                (UNUSABLE, problems.iter().map(|p| p.to_string()).collect::<Vec<_>>().join("\n  "))
-            })?;
+            let context = validation_context(config)?;
+            let text = text_of(&check.file)?;
+            document::parse_and_validate(&name, &text, &context).map_err(problems_end)?;
         }
     }
     println!("{name}: good");
     Ok(())
 }
 
-fn compare(two: &PolicyDiff) -> Result<(), End> {
-    let changes = document::compare(&read(&two.before)?, &read(&two.after)?);
-    if two.json {
-        let rows = changes
+/// What the front end with this configuration validates policies against.
+fn validation_context(config: &Path) -> Result<ValidationContext, End> {
+    // The address on which it listens does not matter here.
+    let any_address = |name: &str| (name == "NODE_LISTEN").then(|| "127.0.0.1:0".to_owned());
+    let env = |name: &str| std::env::var(name).ok().or_else(|| any_address(name));
+    let config = Config::read(text_of(config)?.into_bytes(), &env).map_err(unusable)?;
+    let settings = &config.settings;
+    let names = KnownNames {
+        classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
+        accounts: settings.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+        zones: config.zones,
+    };
+    let class_deadlines_ms = settings.classes.iter().map(|class| class.deadline.as_millis()).collect();
+    Ok(ValidationContext { names, class_deadlines_ms })
+}
+
+fn diff(files: &PolicyDiff) -> Result<(), End> {
+    let differences = document::diff(&parse(&files.before)?, &parse(&files.after)?);
+    if files.json {
+        let rows = differences
             .iter()
-            .map(|c| json!({"about": c.about, "key": c.key, "before": c.before, "after": c.after}));
-        println!("{}", serde_json::Value::from_iter(rows));
+            .map(|d| json!({"about": d.about, "key": d.key, "before": d.before, "after": d.after}));
+        println!("{}", Value::from_iter(rows));
     } else {
-        changes.iter().for_each(|change| println!("{change}"));
+        for difference in differences {
+            println!("{difference}");
+        }
     }
     Ok(())
 }
 
-fn fresh_id() -> String {
+fn new_change_id() -> String {
     format!("c-{:x}-{:x}", machine_clock().to_bits() & 0xffff_ffff_ffff, std::process::id())
 }
 
 fn propose(propose: Propose) -> Result<(), End> {
-    // What can't be read by anybody need not travel.
-    read(&propose.file)?;
+    // A text with problems is not sent.
+    parse(&propose.file)?;
     let text = text_of(&propose.file)?;
     change(Some(text), propose.follow)
 }
 
-/// Sends a change and follows it to its outcome. Sent again under its id as often as need be: it is one change.
-fn change(text: Option<String>, follow: Follow) -> Result<(), End> {
+/// Proposes a change, or a rollback where there is no text, and follows it to its outcome.
+fn change(policy_text: Option<String>, follow: Follow) -> Result<(), End> {
     let Follow { id, by, wait, ask } = follow;
-    let mut asker = Asker::new(&ask.operator)?;
-    let id = id.unwrap_or_else(fresh_id);
-    let say = |word: &str, more: serde_json::Value| {
-        if ask.json {
-            println!("{}", json!({"change": id, "state": word, "more": more}));
-        } else {
-            let more = match &more {
-                serde_json::Value::Null => String::new(),
-                serde_json::Value::String(text) => format!(": {text}"),
-                serde_json::Value::Array(lines) => {
-                    lines.iter().filter_map(|l| l.as_str()).map(|l| format!("\n  {l}")).collect()
-                }
-                other => format!(": {other}"),
-            };
-            println!("{id} {word}{more}");
-        }
-    };
-    let until = Instant::now() + Duration::from_secs(wait);
-    let unknown = |why: &str| {
-        let how = format!("beamgap policy outcome {id} --operator {}", ask.operator.display());
-        (UNKNOWN, format!("the outcome of {id} is not known yet ({why}); ask again: {how}"))
-    };
-    // Made from what is in force now: if that changes before, it is turned down.
-    let base = loop {
-        match asker.ask(&Question::Text(None), STEP) {
-            Ok(Answer::Text(Some((version, _)))) => break version,
-            Ok(_) => return Err(unknown("another answer")),
-            Err(why) if Instant::now() >= until => return Err(unknown(&why)),
-            Err(_) => {}
+    let id = id.unwrap_or_else(new_change_id);
+    let mut follower = ChangeFollower::new(id.clone(), Duration::from_secs(wait), &ask)?;
+    // Made from what is active now: if that changes before, the change is rejected.
+    let base_version = Some(follower.active_version()?);
+    follower.follow(&ChangeRequest { id, requested_by: by, policy_text, base_version })
+}
+
+/// Follows a change to its outcome. It is proposed under one id as often as need be: that is one change.
+struct ChangeFollower<'a> {
+    asker: Asker,
+    progress: Progress<'a>,
+    ask: &'a Ask,
+    deadline: Instant,
+    proposed_at: Option<Instant>,
+    /// When it was first seen to be active.
+    active_since: Option<Instant>,
+}
+
+impl<'a> ChangeFollower<'a> {
+    fn new(id: String, wait: Duration, ask: &'a Ask) -> Result<ChangeFollower<'a>, End> {
+        Ok(ChangeFollower {
+            asker: Asker::new(&ask.operator)?,
+            progress: Progress { id, ask, last_state: String::new() },
+            ask,
+            deadline: Instant::now() + wait,
+            proposed_at: None,
+            active_since: None,
+        })
+    }
+
+    fn active_version(&mut self) -> Result<Version, End> {
+        loop {
+            match self.asker.ask(&Question::Text(None), REQUEST_TIMEOUT) {
+                Ok(Answer::Text(Some((version, _)))) => return Ok(version),
+                Ok(_) => return Err(self.not_known_yet("another answer")),
+                Err(why) if Instant::now() >= self.deadline => return Err(self.not_known_yet(&why)),
+                Err(_) => {}
+            }
         }
-    };
-    let change =
-        ChangeRequest { id: id.clone(), requested_by: by, policy_text: text, base_version: Some(base) };
-    let (mut said, mut sent, mut why) = (String::new(), None::<Instant>, String::new());
-    let mut in_force = None::<Instant>;
-    while Instant::now() < until {
-        if in_force.is_none() && sent.is_none_or(|at| at.elapsed() > Duration::from_secs(1)) {
-            sent = Some(Instant::now());
-            if let Err(e) = asker.ask(&Question::Propose(change.clone()), STEP) {
-                why = e;
+    }
+
+    fn follow(&mut self, request: &ChangeRequest) -> Result<(), End> {
+        let mut last_error = None;
+        while Instant::now() < self.deadline {
+            if let Err(error) = self.propose_if_due(request) {
+                last_error = Some(error);
                 continue;
             }
+            match self.asker.ask(&Question::Outcome(request.id.clone()), REQUEST_TIMEOUT) {
+                Ok(Answer::Outcome(Some(outcome), members_behind)) => {
+                    if let Some(end) = self.report(&outcome, members_behind) {
+                        return end;
+                    }
+                }
+                Ok(_) => self.progress.state("is on its way"),
+                Err(error) => last_error = Some(error),
+            }
+            self.asker.sleep(OUTCOME_POLL_MS);
+        }
+        Err(self.not_known_yet(last_error.as_deref().unwrap_or("time is up")))
+    }
+
+    fn propose_if_due(&mut self, request: &ChangeRequest) -> Result<(), String> {
+        let is_recent = self.proposed_at.is_some_and(|at| at.elapsed() <= PROPOSE_AGAIN_AFTER);
+        if self.active_since.is_some() || is_recent {
+            return Ok(());
         }
-        let mut tell = |word: &str| {
-            if said != word {
-                said = word.to_owned();
-                say(word, serde_json::Value::Null);
+        self.proposed_at = Some(Instant::now());
+        self.asker.ask(&Question::Propose(request.clone()), REQUEST_TIMEOUT).map(drop)
+    }
+
+    /// Shows how far the change is; gives how the command ends, if the outcome is final.
+    fn report(&mut self, outcome: &ChangeOutcome, members_behind: usize) -> Option<Result<(), End>> {
+        let id = &self.progress.id;
+        match outcome {
+            ChangeOutcome::Validating => self.progress.state("is checked by the members"),
+            ChangeOutcome::Committed(_) => {
+                self.progress.state("is decided; rights under the old version end")
             }
-        };
-        match asker.ask(&Question::Outcome(id.clone()), STEP) {
-            Ok(Answer::Outcome(Some(ChangeOutcome::Active(version)), behind)) => {
-                let since = *in_force.get_or_insert_with(Instant::now);
-                let bound = Duration::from_secs_f64(asker.fleet.times.switch_bound_ms / 1000.0);
-                // Who is behind has stopped admitting by then, wherever it is.
-                if behind == 0 || since.elapsed() >= bound {
-                    say("done", json!(format!("version {version} is in force everywhere")));
-                    return Ok(());
+            ChangeOutcome::Active(version) => {
+                if self.is_active_everywhere(members_behind) {
+                    let text = format!("version {version} is in force everywhere");
+                    self.progress.show("done", &json!(text));
+                    return Some(Ok(()));
                 }
             }
-            Ok(Answer::Outcome(Some(ChangeOutcome::Rejected(faults)), _)) => {
-                let lines: Vec<_> = faults.iter().map(|f| format!("{}: {}", f.member, f.message)).collect();
-                say("turned down", json!(lines));
-                return Err((NO, format!("{id} was turned down; it was never in force")));
-            }
-            Ok(Answer::Outcome(Some(ChangeOutcome::Withdrawn), _)) => {
-                say("taken back", serde_json::Value::Null);
-                return Err((NO, format!("{id} was taken back; it was never in force")));
+            ChangeOutcome::Rejected(errors) => {
+                self.progress.show("turned down", &json!(error_lines(errors)));
+                return Some(Err((NO, format!("{id} was turned down; it was never in force"))));
             }
-            Ok(Answer::Outcome(Some(ChangeOutcome::Validating), _)) => tell("is checked by the members"),
-            Ok(Answer::Outcome(Some(ChangeOutcome::Committed(_)), _)) => {
-                tell("is decided; rights under the old version end")
+            ChangeOutcome::Withdrawn => {
+                self.progress.show("taken back", &Value::Null);
+                return Some(Err((NO, format!("{id} was taken back; it was never in force"))));
             }
-            Ok(_) => tell("is on its way"),
-            Err(e) => why = e,
         }
-        asker.sleep(20);
+        None
+    }
+
+    /// Whether no member admits requests under an older version. Members that are behind have stopped admitting after
+    /// the switch bound, wherever they are.
+    fn is_active_everywhere(&mut self, members_behind: usize) -> bool {
+        let since = *self.active_since.get_or_insert_with(Instant::now);
+        let switch_bound = Duration::from_secs_f64(self.asker.fleet.times.switch_bound_ms / 1000.0);
+        members_behind == 0 || since.elapsed() >= switch_bound
+    }
+
+    fn not_known_yet(&self, why: &str) -> End {
+        let id = &self.progress.id;
+        let how = format!("beamgap policy outcome {id} --operator {}", self.ask.operator.display());
+        (UNKNOWN, format!("the outcome of {id} is not known yet ({why}); ask again: {how}"))
+    }
+}
+
+/// Shows the states of a change as lines of text or JSON.
+struct Progress<'a> {
+    id: String,
+    ask: &'a Ask,
+    last_state: String,
+}
+
+impl Progress<'_> {
+    /// Shows a state that is not final, once.
+    fn state(&mut self, state: &str) {
+        if self.last_state != state {
+            state.clone_into(&mut self.last_state);
+            self.show(state, &Value::Null);
+        }
+    }
+
+    fn show(&self, state: &str, details: &Value) {
+        let id = &self.id;
+        if self.ask.json {
+            println!("{}", json!({"change": id, "state": state, "more": details}));
+            return;
+        }
+        let details = match details {
+            Value::Null => String::new(),
+            Value::String(text) => format!(": {text}"),
+            Value::Array(lines) => {
+                lines.iter().filter_map(Value::as_str).map(|line| format!("\n  {line}")).collect()
+            }
+            other => format!(": {other}"),
+        };
+        println!("{id} {state}{details}");
     }
-    Err(unknown(if why.is_empty() { "time is up" } else { &why }))
 }
 
-fn take_back(of: &OutcomeOf) -> Result<(), End> {
+fn withdraw(of: &OutcomeOf) -> Result<(), End> {
     let mut asker = Asker::new(&of.ask.operator)?;
-    let deadline = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + WITHDRAW_TIMEOUT;
     while Instant::now() < deadline {
         // Where this is lost, the outcome tells so and it is sent again.
-        let _ = asker.ask(&Question::TakeBack(of.id.clone()), STEP);
-        match asker.ask(&Question::Outcome(of.id.clone()), STEP) {
+        let _ = asker.ask(&Question::TakeBack(of.id.clone()), REQUEST_TIMEOUT);
+        match asker.ask(&Question::Outcome(of.id.clone()), REQUEST_TIMEOUT) {
             Ok(Answer::Outcome(Some(ChangeOutcome::Withdrawn), _)) => {
                 println!("{} taken back", of.id);
                 return Ok(());
             }
             Ok(Answer::Outcome(Some(outcome), _)) if outcome != ChangeOutcome::Validating => {
-                return Err((NO, format!("too late: {} is {}", of.id, word(&outcome))));
+                return Err((NO, format!("too late: {} is {}", of.id, outcome_text(&outcome))));
             }
-            _ => asker.sleep(50),
+            _ => asker.sleep(WITHDRAW_RETRY_MS),
         }
     }
     Err((UNKNOWN, format!("whether {} was taken back is not known yet; ask for its outcome", of.id)))
 }
 
-fn word(outcome: &ChangeOutcome) -> String {
+fn error_lines(errors: &[ValidationError]) -> Vec<String> {
+    errors.iter().map(|error| format!("{}: {}", error.member, error.message)).collect()
+}
+
+/// An outcome in the words of the commands' output.
+fn outcome_text(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::Validating => "checked by the members".to_owned(),
         ChangeOutcome::Committed(version) => format!("decided, to be version {version}"),
         ChangeOutcome::Active(version) => format!("in force as version {version}"),
-        ChangeOutcome::Rejected(faults) => {
-            let lines: Vec<_> = faults.iter().map(|f| format!("{}: {}", f.member, f.message)).collect();
-            format!("turned down: {}", lines.join("; "))
-        }
+        ChangeOutcome::Rejected(errors) => format!("turned down: {}", error_lines(errors).join("; ")),
         ChangeOutcome::Withdrawn => "taken back".to_owned(),
     }
 }
 
 fn outcome(of: &OutcomeOf) -> Result<(), End> {
     let mut asker = Asker::new(&of.ask.operator)?;
-    match asker.ask(&Question::Outcome(of.id.clone()), Duration::from_secs(5)) {
+    match asker.ask(&Question::Outcome(of.id.clone()), SHOW_TIMEOUT) {
         Ok(Answer::Outcome(Some(outcome), _)) => {
-            if of.ask.json {
-                println!(
-                    "{}",
-                    json!({"change": of.id, "outcome": word(&outcome), "final": outcome.is_final()})
-                );
-            } else {
-                println!("{} {}", of.id, word(&outcome));
-            }
-            match outcome {
-                ChangeOutcome::Active(_) => Ok(()),
-                ChangeOutcome::Rejected(_) | ChangeOutcome::Withdrawn => {
-                    Err((NO, format!("{} was never in force", of.id)))
-                }
-                _ => Err((UNKNOWN, format!("{} is under way", of.id))),
-            }
+            show_outcome(of, &outcome);
+            outcome_end(&of.id, &outcome)
         }
         Ok(_) => Err((UNKNOWN, format!("no change {} is known; it may still be on its way", of.id))),
         Err(why) => Err((UNKNOWN, why)),
     }
 }
 
+fn show_outcome(of: &OutcomeOf, outcome: &ChangeOutcome) {
+    let text = outcome_text(outcome);
+    if of.ask.json {
+        println!("{}", json!({"change": of.id, "outcome": text, "final": outcome.is_final()}));
+    } else {
+        println!("{} {text}", of.id);
+    }
+}
+
+fn outcome_end(id: &str, outcome: &ChangeOutcome) -> Result<(), End> {
+    match outcome {
+        ChangeOutcome::Active(_) => Ok(()),
+        ChangeOutcome::Rejected(_) | ChangeOutcome::Withdrawn => {
+            Err((NO, format!("{id} was never in force")))
+        }
+        ChangeOutcome::Validating | ChangeOutcome::Committed(_) => {
+            Err((UNKNOWN, format!("{id} is under way")))
+        }
+    }
+}
+
 fn show(show: &Show) -> Result<(), End> {
     let mut asker = Asker::new(&show.ask.operator)?;
-    match asker.ask(&Question::Text(show.version), Duration::from_secs(5)) {
+    match asker.ask(&Question::Text(show.version), SHOW_TIMEOUT) {
         Ok(Answer::Text(Some((version, text)))) => {
             if show.ask.json {
                 println!("{}", json!({"version": version, "text": text}));
@@ -243,16 +346,14 @@
 
 fn history(ask: &Ask) -> Result<(), End> {
     let mut asker = Asker::new(&ask.operator)?;
-    match asker.ask(&Question::History, Duration::from_secs(5)) {
+    match asker.ask(&Question::History, SHOW_TIMEOUT) {
         Ok(Answer::History(records)) => {
-            for r in records {
+            for record in records {
+                let (id, by, outcome) = (record.id, record.requested_by, outcome_text(&record.outcome));
                 if ask.json {
-                    println!(
-                        "{}",
-                        json!({"change": r.id, "by": r.requested_by, "outcome": word(&r.outcome)})
-                    );
+                    println!("{}", json!({"change": id, "by": by, "outcome": outcome}));
                 } else {
-                    println!("{} by {}: {}", r.id, r.requested_by, word(&r.outcome));
+                    println!("{id} by {by}: {outcome}");
                 }
             }
             Ok(())
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -2,7 +2,7 @@
 //! list of engines. It holds the front end's right to admit, and asks the council for it.
 
 use super::budgets::{Further, Held, Shares};
-use super::document::{usable, Here};
+use super::document::{parse_and_validate, ValidationContext};
 use super::machine::{decode, encode, Answer, FleetMachine, Question};
 use super::settings::Fleet;
 use super::tasks::Keeper;
@@ -11,10 +11,10 @@
 use beamgap_config::Problem;
 use beamgap_council::{Council, Settings};
 use beamgap_fleet_types::MemberId;
-use beamgap_policy::check::Known;
-use beamgap_policy::document::{Policy, FORM};
+use beamgap_policy::document::{Policy, FORMAT_VERSION};
 use beamgap_policy::rollout::{InjectedBug, MemberAction, PolicyMember, ValidationError, Version};
-use beamgap_policy::rules::{Meter, No, Ruling, Terms};
+use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy, Rejection, RequestLimits};
+use beamgap_policy::validation::KnownNames;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -36,9 +36,9 @@
     /// The version.
     pub version: Version,
     /// What binds it.
-    pub terms: Terms,
+    pub limits: RequestLimits,
     /// What the version says of engines.
-    pub ruling: Rc<Ruling>,
+    pub policy: Rc<CompiledPolicy>,
     /// What it holds of the fleet's stocks until it is over.
     pub held: Rc<Held>,
     /// Its leave for further attempts, where a budget bounds them.
@@ -49,10 +49,10 @@
 pub struct Gate {
     council: Council,
     hold: PolicyMember,
-    here: Here,
+    here: ValidationContext,
     classes: Vec<String>,
-    ruling: Rc<Ruling>,
-    meter: Meter,
+    ruling: Rc<CompiledPolicy>,
+    meter: AdmissionMeter,
     tasks: Keeper,
     shares: Rc<RefCell<Shares>>,
     /// The question that is out: its round, and when it was asked.
@@ -108,15 +108,19 @@
         let classes: Vec<String> = module.classes.iter().map(|c| c.name.clone()).collect();
         let accounts = module.tenants.iter().map(|t| t.name.clone()).collect();
         let deadlines = module.classes.iter().map(|c| c.deadline.as_millis()).collect();
-        let names = Known { classes: classes.clone(), accounts, zones: zones.to_vec() };
+        let names = KnownNames { classes: classes.clone(), accounts, zones: zones.to_vec() };
         let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.trial);
         Ok(Gate {
             council,
-            hold: PolicyMember::new(MemberId::new(fleet.member.clone(), life), FORM, fleet.trial.plant),
-            here: Here { names, deadlines },
-            ruling: Rc::new(Ruling::new(Policy::default(), &classes)),
+            hold: PolicyMember::new(
+                MemberId::new(fleet.member.clone(), life),
+                FORMAT_VERSION,
+                fleet.trial.plant,
+            ),
+            here: ValidationContext { names, class_deadlines_ms: deadlines },
+            ruling: Rc::new(CompiledPolicy::new(Policy::default(), &classes)),
             classes,
-            meter: Meter::default(),
+            meter: AdmissionMeter::default(),
             tasks,
             shares: Rc::new(RefCell::new(shares)),
             asked: (0, 0.0),
@@ -166,20 +170,20 @@
         let admitted = match self.hold.admits(now) {
             None => Err(("right", NO_RIGHT_BACKOFF)),
             Some(version) => match self.meter.admit(now, &self.ruling, class, account, open) {
-                Ok(terms) => match Shares::admit(&self.shares, now, class, account) {
+                Ok(limits) => match Shares::admit(&self.shares, now, class, account) {
                     Ok((held, further)) => {
-                        let (ruling, held) = (self.ruling.clone(), Rc::new(held));
-                        Ok(Admitted { version, terms, ruling, held, further })
+                        let (policy, held) = (self.ruling.clone(), Rc::new(held));
+                        Ok(Admitted { version, limits, policy, held, further })
                     }
                     Err(budget) => {
                         *self.short.0.entry(budget).or_default() += 1;
                         Err(("budget", BUDGET_BACKOFF))
                     }
                 },
-                Err(No::Class) => Err(("class", RULE_BACKOFF)),
-                Err(No::Rate) => Err(("rate", RULE_BACKOFF)),
-                Err(No::Share) => Err(("share", RULE_BACKOFF)),
-                Err(No::Open) => Err(("open", RULE_BACKOFF)),
+                Err(Rejection::ClassRejected) => Err(("class", RULE_BACKOFF)),
+                Err(Rejection::RateExceeded) => Err(("rate", RULE_BACKOFF)),
+                Err(Rejection::AccountShareExceeded) => Err(("share", RULE_BACKOFF)),
+                Err(Rejection::TooManyInFlight) => Err(("open", RULE_BACKOFF)),
             },
         };
         if self.trial.history {
@@ -305,36 +309,39 @@
     fn act(&mut self, act: MemberAction, changed: &mut Vec<Member>, lines: &mut Vec<String>) {
         match act {
             MemberAction::Validate(change) => {
-                let read = usable(FILE, &change.policy_text, &self.here);
+                let read = parse_and_validate(FILE, &change.policy_text, &self.here);
                 let member = self.hold.id().name.clone();
                 let fault = |p: &Problem| ValidationError { member: member.clone(), message: p.to_string() };
                 let faults: Vec<ValidationError> = read.err().iter().flatten().map(fault).collect();
                 lines.push(format!("fleet: checked change={} faults={}", change.id, faults.len()));
                 self.hold.validated(self.now(), &change.id, faults);
             }
-            MemberAction::Activate { version, policy_text: text } => match usable(FILE, &text, &self.here) {
-                Ok(whole) => {
-                    let ruling = Rc::new(Ruling::new(whole.read.policy, &self.classes));
-                    let before = std::mem::replace(&mut self.ruling, ruling);
-                    self.shares.borrow_mut().uses(self.now(), version, whole.budgets);
-                    let offered = |ruling: &Ruling, m: &Member| narrowed(ruling, m.clone()).state;
-                    let other =
-                        self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
-                    changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
-                    self.hold.activated(version);
-                    lines.push(format!("fleet: policy version={version} in use"));
-                    if self.trial.history {
-                        let hash =
-                            text.bytes().fold(0u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-                        eprintln!("history use t={:.3} v={version} hash={hash:x}", machine_clock());
+            MemberAction::Activate { version, policy_text: text } => {
+                match parse_and_validate(FILE, &text, &self.here) {
+                    Ok(whole) => {
+                        let ruling = Rc::new(CompiledPolicy::new(whole.parsed.policy, &self.classes));
+                        let before = std::mem::replace(&mut self.ruling, ruling);
+                        self.shares.borrow_mut().uses(self.now(), version, whole.budgets);
+                        let offered = |ruling: &CompiledPolicy, m: &Member| narrowed(ruling, m.clone()).state;
+                        let other =
+                            self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
+                        changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
+                        self.hold.activated(version);
+                        lines.push(format!("fleet: policy version={version} in use"));
+                        if self.trial.history {
+                            let hash = text
+                                .bytes()
+                                .fold(0u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+                            eprintln!("history use t={:.3} v={version} hash={hash:x}", machine_clock());
+                        }
+                    }
+                    Err(problems) => {
+                        let why = one_line(&problems);
+                        lines.push(format!("fleet: policy version={version} can't be used: {why}"));
+                        self.hold.activation_failed(version, why);
                     }
                 }
-                Err(problems) => {
-                    let why = one_line(&problems);
-                    lines.push(format!("fleet: policy version={version} can't be used: {why}"));
-                    self.hold.activation_failed(version, why);
-                }
-            },
+            }
         }
     }
 
@@ -357,7 +364,7 @@
 }
 
 /// An engine as the policy has it offered: one that it leaves out takes nothing new, and ends what it has.
-fn narrowed(ruling: &Ruling, member: Member) -> Member {
-    let out = member.state == MemberState::Serving && ruling.leaves_out(&member.engine.0, &member.zone);
+fn narrowed(ruling: &CompiledPolicy, member: Member) -> Member {
+    let out = member.state == MemberState::Serving && ruling.excludes(&member.engine.0, &member.zone);
     Member { state: if out { MemberState::Draining } else { member.state }, ..member }
 }
--- a/src/fleet/document.rs
+++ b/src/fleet/document.rs
@@ -1,71 +1,98 @@
-//! A policy's text with all that stands in it: what `crates/policy` reads, and the blocks of the parts that the program
-//! joins to it.
+//! A fleet's policy document with all of its blocks: those that `crates/policy` reads, and the budgets.
 
 use beamgap_budgets::spec::{self, Amount, Of, Spec};
 use beamgap_config::{Place, Problem};
-use beamgap_policy::check::{self, Known};
-use beamgap_policy::diff::{self, Change};
-use beamgap_policy::document::{self, Read};
+use beamgap_policy::diff::{self, Difference};
+use beamgap_policy::document::{self, ParsedPolicy};
+use beamgap_policy::validation::{self, KnownNames};
 use std::collections::BTreeMap;
 
-/// A policy and what goes with it.
+/// A parsed policy document with its budgets.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct FleetPolicy {
     /// The policy, with the places of all keys.
-    pub read: Read,
+    pub parsed: ParsedPolicy,
     /// The fleet's budgets, by name.
     pub budgets: Vec<Spec>,
 }
 
-/// What a front end knows that a policy may name.
+/// What a front end validates a policy against.
 #[derive(Clone, Debug, Default)]
-pub struct Here {
-    /// Names.
-    pub names: Known,
-    /// The longest deadline of a class, in milliseconds, in the order of the classes' names.
-    pub deadlines: Vec<f64>,
+pub struct ValidationContext {
+    /// Names that a policy may use.
+    pub names: KnownNames,
+    /// The longest deadline of each class, in milliseconds, in the order of the classes' names.
+    pub class_deadlines_ms: Vec<f64>,
 }
 
-/// Reads a text. All faults are told.
-pub fn read(file: &str, text: &str) -> Result<Whole, Vec<Problem>> {
-    let read = document::read_with(file, text, vec![spec::schema()])?;
-    let budgets = spec::read(&read.document)?;
-    Ok(Whole { read, budgets })
+/// Parses a document.
+///
+/// # Errors
+/// All problems, each with its place, key and fix.
+pub fn parse(file: &str, text: &str) -> Result<FleetPolicy, Vec<Problem>> {
+    let parsed = document::parse_with_blocks(file, text, vec![spec::schema()])?;
+    let budgets = spec::read(&parsed.document)?;
+    Ok(FleetPolicy { parsed, budgets })
 }
 
-/// Reads a text and checks that it can be used by a front end.
-pub fn usable(file: &str, text: &str, here: &Here) -> Result<Whole, Vec<Problem>> {
-    let whole = read(file, text)?;
-    let mut problems = check::faults(&whole.read, &here.names);
-    for budget in &whole.budgets {
-        let place = place(&whole.read, &budget.name);
-        let names = [
-            ("class", &budget.class, &here.names.classes),
-            ("account", &budget.account, &here.names.accounts),
-        ];
-        for (what, name, known) in names {
-            problems.extend(name.iter().filter_map(|name| check::unknown(file, place, what, name, known)));
-        }
-        problems.extend(too_short(file, place, budget, here));
+/// Parses a document and validates that a front end can use it.
+///
+/// # Errors
+/// All problems in the order of their places.
+pub fn parse_and_validate(
+    file: &str,
+    text: &str,
+    context: &ValidationContext,
+) -> Result<FleetPolicy, Vec<Problem>> {
+    let policy = parse(file, text)?;
+    let mut problems = validation::validate(&policy.parsed, &context.names);
+    for budget in &policy.budgets {
+        problems.extend(budget_problems(file, &policy.parsed, budget, context));
     }
     if problems.is_empty() {
-        Ok(whole)
-    } else {
-        problems.sort_by_key(|p| p.place);
-        Err(problems)
+        return Ok(policy);
     }
+    problems.sort_by_key(|problem| problem.place);
+    Err(problems)
+}
+
+fn budget_problems(
+    file: &str,
+    parsed: &ParsedPolicy,
+    budget: &Spec,
+    context: &ValidationContext,
+) -> Vec<Problem> {
+    let place = parsed.place_of_block("budgets", "name", &budget.name);
+    let unknown = |kind: &str, name: &Option<String>, known: &[String]| {
+        name.as_ref().and_then(|name| validation::unknown_name(file, place, kind, name, known))
+    };
+    let mut problems = Vec::new();
+    problems.extend(unknown("class", &budget.class, &context.names.classes));
+    problems.extend(unknown("account", &budget.account, &context.names.accounts));
+    problems.extend(too_short_a_holding_time(file, place, budget, context));
+    problems
 }
 
-/// What is held at once must be told to last as long as it may: what a dead front end has out counts for so long.
-fn too_short(file: &str, place: Place, budget: &Spec, here: &Here) -> Option<Problem> {
+/// A budget of requests in flight must name a holding time of at least the longest deadline: for so long what a dead
+/// front end holds counts.
+fn too_short_a_holding_time(
+    file: &str,
+    place: Place,
+    budget: &Spec,
+    context: &ValidationContext,
+) -> Option<Problem> {
     let Amount::Stock { longest, .. } = budget.amount else { return None };
     if budget.of != Of::Open {
         return None;
     }
-    let classes = here.names.classes.iter().zip(&here.deadlines);
-    let bound = classes.filter(|(name, _)| budget.class.as_ref().is_none_or(|class| class == *name));
-    let needed = bound.map(|(_, deadline)| *deadline).fold(0.0, f64::max);
-    (longest < needed).then(|| Problem {
+    let applies_to = |class: &String| budget.class.as_ref().is_none_or(|only| only == class);
+    let classes = context.names.classes.iter().zip(&context.class_deadlines_ms);
+    let deadlines = classes.filter(|(class, _)| applies_to(class)).map(|(_, deadline_ms)| *deadline_ms);
+    let needed = deadlines.fold(0.0, f64::max);
+    if longest >= needed {
+        return None;
+    }
+    Some(Problem {
         file: file.to_owned(),
         place,
         key: format!("budget \"{}\" longest", budget.name),
@@ -74,35 +101,33 @@
     })
 }
 
-fn place(read: &Read, name: &str) -> Place {
-    use beamgap_config::Value;
-    let none = Place { line: 1, column: 1 };
-    let Value::Map(root) = &read.document.root else { return none };
-    let Some(Value::List(blocks)) = root.get("budgets") else { return none };
-    let named = |block: &Value| matches!(block, Value::Map(m) if m.get("name") == Some(&Value::Text(name.to_owned())));
-    let at = blocks.iter().position(named);
-    at.and_then(|i| read.document.place(&format!("budgets[{i}]"))).unwrap_or(none)
+/// Two policies compared by what they mean.
+pub fn diff(before: &FleetPolicy, after: &FleetPolicy) -> Vec<Difference> {
+    let mut differences = diff::diff(&before.parsed.policy, &after.parsed.policy);
+    differences.extend(budget_differences(before, after));
+    differences.sort();
+    differences
 }
 
-/// Two policies compared by what they mean.
-pub fn compare(before: &Whole, after: &Whole) -> Vec<Change> {
-    let mut changes = diff::diff(&before.read.policy, &after.read.policy);
-    let told = |whole: &Whole| -> BTreeMap<String, String> {
-        whole.budgets.iter().map(|b| (b.name.clone(), b.told())).collect()
-    };
-    let (before, after) = (told(before), told(after));
+fn budget_differences(before: &FleetPolicy, after: &FleetPolicy) -> Vec<Difference> {
+    let (before, after) = (budgets_as_text(before), budgets_as_text(after));
+    let none = "none".to_owned();
+    let mut differences = Vec::new();
     for name in before.keys().chain(after.keys().filter(|name| !before.contains_key(*name))) {
-        let word = |of: &BTreeMap<String, String>| of.get(name).cloned().unwrap_or("none".to_owned());
-        let (a, b) = (word(&before), word(&after));
-        if a != b {
-            changes.push(Change {
+        let old = before.get(name).unwrap_or(&none);
+        let new = after.get(name).unwrap_or(&none);
+        if old != new {
+            differences.push(Difference {
                 about: format!("budget \"{name}\""),
                 key: String::new(),
-                before: a,
-                after: b,
+                before: old.clone(),
+                after: new.clone(),
             });
         }
     }
-    changes.sort();
-    changes
+    differences
+}
+
+fn budgets_as_text(policy: &FleetPolicy) -> BTreeMap<String, String> {
+    policy.budgets.iter().map(|budget| (budget.name.clone(), budget.told())).collect()
 }
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -160,7 +160,7 @@
     fn read_budgets(&mut self) {
         let version = self.state.version();
         if self.budgets.0 != Some(version) {
-            let read = document::read("policy", self.state.policy_text()).ok();
+            let read = document::parse("policy", self.state.policy_text()).ok();
             self.budgets = (Some(version), read.map(|read| read.budgets).unwrap_or_default());
             let times = self.state.timings.unwrap_or(self.times);
             self.division.timed(BudgetTimes::of_right(times.lease_ms, times.max_drift));
@@ -183,8 +183,9 @@
 
     /// Holds back the tasks that the policy in force forbids; the same at all deciders, as the text is.
     fn forbid(&mut self) {
-        let read = document::read("policy", self.state.policy_text()).ok();
-        let names = read.map(|read| read.read.policy.forbidden.into_iter().collect()).unwrap_or_default();
+        let read = document::parse("policy", self.state.policy_text()).ok();
+        let names =
+            read.map(|read| read.parsed.policy.forbidden_tasks.into_iter().collect()).unwrap_or_default();
         self.tasks.apply(&TaskCommand::Forbid(names));
     }
 
--- a/src/node/exchange/mod.rs
+++ b/src/node/exchange/mod.rs
@@ -61,7 +61,7 @@
 impl Open {
     /// Whether it has had all the attempts that its policy allows.
     fn is_spent(&self) -> bool {
-        let most = self.ask.admitted.as_ref().and_then(|a| a.terms.attempts);
+        let most = self.ask.admitted.as_ref().and_then(|a| a.limits.max_attempts);
         self.asker.is_some() && most.is_some_and(|most| self.sent >= most)
     }
 }
--- a/src/node/exchange/module.rs
+++ b/src/node/exchange/module.rs
@@ -115,7 +115,7 @@
         // An engine that the request's own version leaves out is not for it, whatever the version of now says.
         let barred = open.ask.admitted.as_ref().is_some_and(|a| {
             let zone = self.zones.as_ref().and_then(|zones| zones.get(&engine)).map_or("", String::as_str);
-            a.ruling.leaves_out(&engine.0, zone)
+            a.policy.excludes(&engine.0, zone)
         });
         // Guards: never two attempts out, nothing after the end, nothing without time left.
         if open.out.is_some() || open.asker.is_none() || max_ms < 1.0 || barred {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -210,7 +210,7 @@
         let (class, account, open) = (ask.class.0, ask.tenant.as_deref(), self.exchange.open_requests());
         match gate.admit(&ask.name, class, account, open) {
             Ok(admitted) => {
-                ask.budget = admitted.terms.deadline_ms.map_or(ask.budget, |most| ask.budget.min(most));
+                ask.budget = admitted.limits.deadline_ms.map_or(ask.budget, |most| ask.budget.min(most));
                 ask.admitted = Some(admitted);
                 Some(Heard::Asked(ask))
             }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's file and the command line.
 
-use beamgap::fleet::document::{compare, usable, Here};
+use beamgap::fleet::document::{diff, parse_and_validate, ValidationContext};
 use beamgap::node::config::Config;
-use beamgap_policy::check::Known;
+use beamgap_policy::validation::KnownNames;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::process::{Child, Command, Output, Stdio};
@@ -48,28 +48,38 @@
         (fleet.deciders.len(), fleet.times.lease_ms, fleet.listen),
         (3, 5_000.0, "127.0.0.1:7401".parse().ok())
     );
-    let known = Known {
+    let known = KnownNames {
         classes: config.settings.classes.iter().map(|c| c.name.clone()).collect(),
         accounts: config.settings.tenants.iter().map(|t| t.name.clone()).collect(),
         zones: config.zones,
     };
-    let here = |longest: f64| Here { names: known.clone(), deadlines: vec![longest; known.classes.len()] };
+    let here = |longest: f64| ValidationContext {
+        names: known.clone(),
+        class_deadlines_ms: vec![longest; known.classes.len()],
+    };
     let text = include_str!("../deploy/policy.hcl");
-    let whole = usable("policy.hcl", text, &here(20_000.0)).unwrap();
+    let whole = parse_and_validate("policy.hcl", text, &here(20_000.0)).unwrap();
     assert_eq!(whole.budgets.iter().map(|b| b.name.as_str()).collect::<Vec<_>>(), ["munster", "reports"]);
-    let told = |text: &str, here: &Here| {
-        usable("policy.hcl", text, here).unwrap_err().iter().map(ToString::to_string).collect::<String>()
+    let told = |text: &str, here: &ValidationContext| {
+        parse_and_validate("policy.hcl", text, here)
+            .unwrap_err()
+            .iter()
+            .map(ToString::to_string)
+            .collect::<String>()
     };
     let short = told(text, &here(40_000.0));
     assert!(short.contains("reports\" longest") && short.contains("at least \"40000 ms\""), "{short}");
     let strange = told(&text.replace("account = \"munster\"", "account = \"munsta\""), &here(20_000.0));
     assert!(strange.contains("did you mean `munster`?"), "{strange}");
     let other = text.replace("rate    = 400", "rate    = 500");
-    let changes = compare(&whole, &usable("policy.hcl", &other, &here(20_000.0)).unwrap());
+    let changes = diff(&whole, &parse_and_validate("policy.hcl", &other, &here(20_000.0)).unwrap());
     assert_eq!(changes.len(), 1, "{changes:?}");
     assert!(changes[0].to_string().contains("400 a second, 200 at once -> "), "{}", changes[0]);
-    let policy = whole.read.policy;
-    assert_eq!((policy.left_out.len(), policy.classes.len(), policy.open_most), (1, 2, Some(2000)));
+    let policy = whole.parsed.policy;
+    assert_eq!(
+        (policy.excluded_engines.len(), policy.classes.len(), policy.max_in_flight),
+        (1, 2, Some(2000))
+    );
     assert!(Config::read(json.into(), &env).unwrap().fleet.is_none());
     for (from, to, told) in [
         (
