--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -2,7 +2,7 @@
 //! list of engines. It holds the front end's right to admit, and asks the council for it.
 
 use super::budgets::{Further, Held, Shares};
-use super::document::{usable, Here};
+use super::document::{parse_and_validate, ValidationContext};
 use super::message::{decode, encode, FleetRequest, FleetResponse};
 use super::settings::FleetSettings;
 use super::state_machine::FleetStateMachine;
@@ -12,11 +12,11 @@
 use beamgap_config::Problem;
 use beamgap_consensus::node::TaggedResponse;
 use beamgap_consensus::{ConsensusNode, Settings};
-use beamgap_policy::check::Known;
-use beamgap_policy::document::{Policy, FORM};
-use beamgap_policy::rollout::member::{Act, Hold};
-use beamgap_policy::rollout::{Fault, Plant, Version};
-use beamgap_policy::rules::{Meter, No, Ruling, Terms};
+use beamgap_fleet_types::MemberId;
+use beamgap_policy::document::{Policy, FORMAT_VERSION};
+use beamgap_policy::rollout::{InjectedBug, MemberAction, PolicyMember, ValidationError, Version};
+use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy, Rejection, RequestLimits};
+use beamgap_policy::validation::KnownNames;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -38,9 +38,9 @@
     /// The version.
     pub version: Version,
     /// What binds it.
-    pub terms: Terms,
+    pub limits: RequestLimits,
     /// What the version says of engines.
-    pub ruling: Rc<Ruling>,
+    pub policy: Rc<CompiledPolicy>,
     /// What it holds of the fleet's stocks until it is over.
     pub held: Rc<Held>,
     /// Its leave for further attempts, where a budget bounds them.
@@ -50,11 +50,11 @@
 /// The gate.
 pub struct Gate {
     consensus: ConsensusNode,
-    hold: Hold,
-    here: Here,
+    hold: PolicyMember,
+    here: ValidationContext,
     classes: Vec<String>,
-    ruling: Rc<Ruling>,
-    meter: Meter,
+    ruling: Rc<CompiledPolicy>,
+    meter: AdmissionMeter,
     tasks: Keeper,
     shares: Rc<RefCell<Shares>>,
     /// The question that is out: its round, and when it was asked.
@@ -110,15 +110,19 @@
         let classes: Vec<String> = module.classes.iter().map(|c| c.name.clone()).collect();
         let accounts = module.tenants.iter().map(|t| t.name.clone()).collect();
         let deadlines = module.classes.iter().map(|c| c.deadline.as_millis()).collect();
-        let names = Known { classes: classes.clone(), accounts, zones: zones.to_vec() };
+        let names = KnownNames { classes: classes.clone(), accounts, zones: zones.to_vec() };
         let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.test_hooks);
         Ok(Gate {
             consensus,
-            hold: Hold::new(&fleet.member, life, FORM, fleet.test_hooks.policy_bug),
-            here: Here { names, deadlines },
-            ruling: Rc::new(Ruling::new(Policy::default(), &classes)),
+            hold: PolicyMember::new(
+                MemberId::new(fleet.member.clone(), life),
+                FORMAT_VERSION,
+                fleet.test_hooks.policy_bug,
+            ),
+            here: ValidationContext { names, class_deadlines_ms: deadlines },
+            ruling: Rc::new(CompiledPolicy::new(Policy::default(), &classes)),
             classes,
-            meter: Meter::default(),
+            meter: AdmissionMeter::default(),
             tasks,
             shares: Rc::new(RefCell::new(shares)),
             asked: (0, 0.0),
@@ -150,7 +154,7 @@
 
     /// How long until the council is to be asked again, in milliseconds.
     pub fn due_in(&self) -> f64 {
-        (self.hold.due() - self.now()).max(0.0)
+        (self.hold.next_poll_at() - self.now()).max(0.0)
     }
 
     /// Whether a request may come in now; with the time after which to come back, if not.
@@ -163,28 +167,25 @@
     ) -> Result<Admitted, f64> {
         // Read for this request: the process may have stood still since the loop's turn began.
         let machine = machine_clock();
-        let now = if self.hooks.policy_bug == Plant::StaleClock {
-            self.turn
-        } else {
-            self.hooks.member_time(machine)
-        };
+        let now =
+            if self.hooks.policy_bug == InjectedBug::StaleClock { self.turn } else { self.hooks.member_time(machine) };
         let admitted = match self.hold.admits(now) {
             None => Err(("right", NO_RIGHT_BACKOFF)),
             Some(version) => match self.meter.admit(now, &self.ruling, class, account, open) {
-                Ok(terms) => match Shares::admit(&self.shares, now, class, account) {
+                Ok(limits) => match Shares::admit(&self.shares, now, class, account) {
                     Ok((held, further)) => {
-                        let (ruling, held) = (self.ruling.clone(), Rc::new(held));
-                        Ok(Admitted { version, terms, ruling, held, further })
+                        let (policy, held) = (self.ruling.clone(), Rc::new(held));
+                        Ok(Admitted { version, limits, policy, held, further })
                     }
                     Err(budget) => {
                         *self.short.0.entry(budget).or_default() += 1;
                         Err(("budget", BUDGET_BACKOFF))
                     }
                 },
-                Err(No::Class) => Err(("class", RULE_BACKOFF)),
-                Err(No::Rate) => Err(("rate", RULE_BACKOFF)),
-                Err(No::Share) => Err(("share", RULE_BACKOFF)),
-                Err(No::Open) => Err(("open", RULE_BACKOFF)),
+                Err(Rejection::ClassRejected) => Err(("class", RULE_BACKOFF)),
+                Err(Rejection::RateExceeded) => Err(("rate", RULE_BACKOFF)),
+                Err(Rejection::AccountShareExceeded) => Err(("share", RULE_BACKOFF)),
+                Err(Rejection::TooManyInFlight) => Err(("open", RULE_BACKOFF)),
             },
         };
         if self.hooks.write_history {
@@ -235,7 +236,7 @@
             let now = self.now();
             match answer.as_deref().and_then(decode::<FleetResponse>) {
                 Some(FleetResponse::Policy(reply)) => {
-                    for act in self.hold.reply(now, reply) {
+                    for act in self.hold.handle_response(now, reply) {
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
@@ -244,7 +245,7 @@
                         self.tasks.reply(self.asked.1, leases);
                         self.shares.borrow_mut().reply(now, shares);
                     }
-                    for act in self.hold.reply(now, reply) {
+                    for act in self.hold.handle_response(now, reply) {
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
@@ -252,29 +253,29 @@
                     if round == self.asked.0 {
                         self.tasks.reply(self.asked.1, leases);
                     }
-                    for act in self.hold.reply(now, reply) {
+                    for act in self.hold.handle_response(now, reply) {
                         self.act(act, &mut changed, &mut lines);
                     }
                 }
                 Some(FleetResponse::Unreadable) => {
                     self.plain_until = now + PLAIN;
-                    self.hold.no_answer(now, round);
+                    self.hold.poll_failed(now, round);
                 }
-                _ => self.hold.no_answer(now, round),
+                _ => self.hold.poll_failed(now, round),
             }
         }
         let now = self.now();
         self.tasks.work(now);
         if self.tasks.hurries(now) {
-            self.hold.hasten(self.asked.1 + HURRY);
+            self.hold.poll_no_later_than(self.asked.1 + HURRY);
         }
         if let Some(soon) = self.shares.borrow().hurries(now) {
-            self.hold.hasten(self.asked.1 + soon);
+            self.hold.poll_no_later_than(self.asked.1 + soon);
         }
-        let due = self.hold.due() <= now;
+        let due = self.hold.next_poll_at() <= now;
         let note = || format!("admitted={} refused={}", self.counts.0, self.counts.1);
-        if let Some(ask) = due.then(note).and_then(|note| self.hold.ask(now, &note)) {
-            let round = ask.round;
+        if let Some(ask) = due.then(note).and_then(|note| self.hold.poll_request(now, &note)) {
+            let round = ask.sequence;
             self.asked = (round, now);
             let question = match now < self.plain_until {
                 true => FleetRequest::PollPolicy(ask),
@@ -287,7 +288,7 @@
                 }
             };
             if !self.consensus.submit(round, encode(&question)) {
-                self.hold.no_answer(now, round);
+                self.hold.poll_failed(now, round);
             }
         }
         if !self.short.0.is_empty() && now - self.short.1 >= SHORT_TOLD {
@@ -295,10 +296,10 @@
             let told = std::mem::take(&mut self.short.0).into_iter();
             lines.extend(told.map(|(budget, n)| format!("fleet: budget {budget}: refused {n} lately")));
         }
-        let why_not = self.hold.why_not(self.now());
+        let why_not = self.hold.blocked_reason(self.now());
         if why_not.is_some() != self.was_shut {
             self.was_shut = why_not.is_some();
-            let version = self.hold.right().map_or(0, |right| right.version);
+            let version = self.hold.lease().map_or(0, |lease| lease.version);
             lines.push(match &why_not {
                 Some(why) => format!("fleet: admits nothing: {why}"),
                 None => format!("fleet: admits under version {version}"),
@@ -307,39 +308,42 @@
         (changed, lines)
     }
 
-    fn act(&mut self, act: Act, changed: &mut Vec<EngineEntry>, lines: &mut Vec<String>) {
+    fn act(&mut self, act: MemberAction, changed: &mut Vec<EngineEntry>, lines: &mut Vec<String>) {
         match act {
-            Act::Check(id, text) => {
-                let read = usable(FILE, &text, &self.here);
-                let member = self.hold.member().to_owned();
-                let fault = |p: &Problem| Fault { member: member.clone(), text: p.to_string() };
-                let faults: Vec<Fault> = read.err().iter().flatten().map(fault).collect();
-                lines.push(format!("fleet: checked change={id} faults={}", faults.len()));
-                self.hold.checked(self.now(), &id, faults);
+            MemberAction::Validate(change) => {
+                let read = parse_and_validate(FILE, &change.policy_text, &self.here);
+                let member = self.hold.id().name.clone();
+                let fault = |p: &Problem| ValidationError { member: member.clone(), message: p.to_string() };
+                let faults: Vec<ValidationError> = read.err().iter().flatten().map(fault).collect();
+                lines.push(format!("fleet: checked change={} faults={}", change.id, faults.len()));
+                self.hold.validated(self.now(), &change.id, faults);
             }
-            Act::Use(version, text) => match usable(FILE, &text, &self.here) {
-                Ok(whole) => {
-                    let ruling = Rc::new(Ruling::new(whole.read.policy, &self.classes));
-                    let before = std::mem::replace(&mut self.ruling, ruling);
-                    self.shares.borrow_mut().uses(self.now(), version, whole.budgets);
-                    let offered = |ruling: &Ruling, m: &EngineEntry| narrowed(ruling, m.clone()).state;
-                    let other =
-                        self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
-                    changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
-                    self.hold.used(version, Ok(()));
-                    lines.push(format!("fleet: policy version={version} in use"));
-                    if self.hooks.write_history {
-                        let hash =
-                            text.bytes().fold(0u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-                        eprintln!("history use t={:.3} v={version} hash={hash:x}", machine_clock());
+            MemberAction::Activate { version, policy_text: text } => {
+                match parse_and_validate(FILE, &text, &self.here) {
+                    Ok(whole) => {
+                        let ruling = Rc::new(CompiledPolicy::new(whole.parsed.policy, &self.classes));
+                        let before = std::mem::replace(&mut self.ruling, ruling);
+                        self.shares.borrow_mut().uses(self.now(), version, whole.budgets);
+                        let offered = |ruling: &CompiledPolicy, m: &EngineEntry| narrowed(ruling, m.clone()).state;
+                        let other =
+                            self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
+                        changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
+                        self.hold.activated(version);
+                        lines.push(format!("fleet: policy version={version} in use"));
+                        if self.hooks.write_history {
+                            let hash = text
+                                .bytes()
+                                .fold(0u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+                            eprintln!("history use t={:.3} v={version} hash={hash:x}", machine_clock());
+                        }
+                    }
+                    Err(problems) => {
+                        let why = one_line(&problems);
+                        lines.push(format!("fleet: policy version={version} can't be used: {why}"));
+                        self.hold.activation_failed(version, why);
                     }
                 }
-                Err(problems) => {
-                    let why = one_line(&problems);
-                    lines.push(format!("fleet: policy version={version} can't be used: {why}"));
-                    self.hold.used(version, Err(why));
-                }
-            },
+            }
         }
     }
 
@@ -357,12 +361,12 @@
 
     /// Why nothing is admitted now, if so.
     pub fn why_not(&self) -> Option<String> {
-        self.hold.why_not(self.now())
+        self.hold.blocked_reason(self.now())
     }
 }
 
 /// An engine as the policy has it offered: one that it leaves out takes nothing new, and ends what it has.
-fn narrowed(ruling: &Ruling, member: EngineEntry) -> EngineEntry {
-    let out = member.state == EngineState::Serving && ruling.leaves_out(&member.engine.0, &member.zone);
+fn narrowed(ruling: &CompiledPolicy, member: EngineEntry) -> EngineEntry {
+    let out = member.state == EngineState::Serving && ruling.excludes(&member.engine.0, &member.zone);
     EngineEntry { state: if out { EngineState::Draining } else { member.state }, ..member }
 }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -7,11 +7,9 @@
 };
 use beamgap_leases::leader::{Ask as LeasePollRequest, Reply as LeasePollResponse};
 use beamgap_leases::state::{Command as TaskCommand, Task};
-use beamgap_policy::rollout::state::{
-    Change as ChangeRequest, Command as PolicyCommand, Outcome as ChangeOutcome, Record as ChangeRecord,
-};
 use beamgap_policy::rollout::{
-    Ask as PolicyPollRequest, Mark as LeaseKind, Reply as PolicyPollResponse, Times as PolicyTimings, Version,
+    ChangeOutcome, ChangeRecord, ChangeRequest, Command as PolicyCommand, LeaseKind, PolicyTimings,
+    PollRequest as PolicyPollRequest, PollResponse as PolicyPollResponse, Version,
 };
 use serde::{Deserialize, Serialize};
 
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -7,8 +7,8 @@
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_consensus::{VoterSlot, SLOT_STRIDE};
 use beamgap_leases::spec::Spec;
-use beamgap_policy::rollout::state::good_name;
-use beamgap_policy::rollout::Times;
+use beamgap_fleet_types::is_valid_name;
+use beamgap_policy::rollout::PolicyTimings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -83,11 +83,11 @@
         Some(Some(n)) if (least..=most).contains(&n) => Ok(n),
         Some(_) => wrong(key, format!("is not from {least} to {most}")),
     };
-    let Some(name) = text("name").filter(|name| good_name(name)) else {
+    let Some(name) = text("name").filter(|name| is_valid_name(name)) else {
         return wrong("name", "is not 1 to 64 letters, digits, dots and dashes");
     };
     let member = text("member").unwrap_or(node);
-    if !good_name(member) {
+    if !is_valid_name(member) {
         return wrong("member", format!("is '{member}', not 1 to 64 letters, digits, dots and dashes"));
     }
     let open = fleet.get("plaintext_beyond_loopback").and_then(|v| v.as_bool()).unwrap_or(false);
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -15,13 +15,13 @@
 use beamgap_budgets::spec::Spec as BudgetSpec;
 use beamgap_budgets::Times as BudgetTimings;
 use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
+use beamgap_fleet_types::MemberId;
 use beamgap_leases::leader::{Ask as LeasePollRequest, Lead as LeaseLeader, Reply as LeasePollResponse};
 use beamgap_leases::state::{Command as TaskCommand, State as TaskState, Task};
 use beamgap_leases::{Clocks as ClockBounds, Token as FencingToken};
-use beamgap_policy::rollout::leader::Lead as PolicyLeader;
-use beamgap_policy::rollout::state::{Command as PolicyCommand, State as PolicyState, EMPTY as EMPTY_POLICY};
 use beamgap_policy::rollout::{
-    Ask as PolicyPollRequest, Reply as PolicyPollResponse, Times as PolicyTimings, Version,
+    Command as PolicyCommand, PolicyLeader, PolicyTimings, PollRequest as PolicyPollRequest,
+    PollResponse as PolicyPollResponse, RolloutState, Version, EMPTY_POLICY,
 };
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -39,7 +39,7 @@
 /// The fleet's state machine.
 #[derive(Debug)]
 pub struct FleetStateMachine {
-    policy: PolicyState,
+    policy: RolloutState,
     policy_leader: PolicyLeader,
     /// The timings that a new fleet gets.
     initial_timings: PolicyTimings,
@@ -79,11 +79,11 @@
 impl FleetStateMachine {
     /// An empty one. A new fleet gets `timings`; `seed` differs for each incarnation of the member.
     pub fn new(timings: PolicyTimings, seed: u64, hooks: &TestHooks) -> FleetStateMachine {
-        let clock_bounds = ClockBounds { drift: timings.drift, ..ClockBounds::default() };
-        let budget_timings = BudgetTimings::of_right(timings.right, timings.drift);
+        let clock_bounds = ClockBounds { drift: timings.max_drift, ..ClockBounds::default() };
+        let budget_timings = BudgetTimings::of_right(timings.lease_ms, timings.max_drift);
         FleetStateMachine {
-            policy: PolicyState::default(),
-            policy_leader: PolicyLeader::planted(hooks.policy_bug),
+            policy: RolloutState::default(),
+            policy_leader: PolicyLeader::with_injected_bug(hooks.policy_bug),
             initial_timings: timings,
             tasks: TaskState::default(),
             lease_leader: LeaseLeader::new(clock_bounds, hooks.lease_bug),
@@ -98,22 +98,22 @@
         if self.budgets.version == Some(version) {
             return;
         }
-        let read = document::read(POLICY_FILE, self.policy.text()).ok();
+        let read = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
         let specs = read.map(|read| read.budgets).unwrap_or_default();
         self.budgets = VersionBudgets { version: Some(version), specs };
-        let timings = self.policy.times.unwrap_or(self.initial_timings);
-        self.budget_leader.timed(BudgetTimings::of_right(timings.right, timings.drift));
+        let timings = self.policy.timings.unwrap_or(self.initial_timings);
+        self.budget_leader.timed(BudgetTimings::of_right(timings.lease_ms, timings.max_drift));
     }
 
     /// Tells the tasks which of them the active policy forbids.
     fn forbid_tasks(&mut self) {
-        let read = document::read(POLICY_FILE, self.policy.text()).ok();
-        let names = read.map(|read| read.read.policy.forbidden.into_iter().collect()).unwrap_or_default();
+        let read = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
+        let names = read.map(|read| read.parsed.policy.forbidden_tasks.into_iter().collect()).unwrap_or_default();
         self.tasks.apply(&TaskCommand::Forbid(names));
     }
 
     fn poll_policy(&mut self, now: f64, request: &PolicyPollRequest) -> Handled {
-        let (response, commands) = self.policy_leader.answer(now, &self.policy, request);
+        let (response, commands) = self.policy_leader.handle_poll(now, &self.policy, request);
         let commands = policy_commands(commands).collect();
         Handled { response: FleetResponse::Policy(response), commands }
     }
@@ -129,10 +129,10 @@
             .into_iter()
             .filter(|command| self.is_of_own_lease(lease_request, command))
             .collect();
-        let (policy, commands) = self.policy_leader.answer(now, &self.policy, policy_request);
+        let (policy, commands) = self.policy_leader.handle_poll(now, &self.policy, policy_request);
         // Only members hold leases. One that is not a member yet learns it from the policy's response.
-        let is_member = lease_request.who == (policy_request.member.clone(), policy_request.life)
-            && self.policy.members.contains_key(&lease_request.who);
+        let is_member = lease_request.member == policy_request.member
+            && self.policy.members.contains_key(&lease_request.member);
         let leases = if is_member {
             self.lease_leader.answer(now, &self.tasks, lease_request)
         } else {
@@ -149,7 +149,7 @@
         budget_request: &BudgetPollRequest,
     ) -> BudgetPollResponse {
         self.read_budgets();
-        if budget_request.who != (policy_request.member, policy_request.life) {
+        if budget_request.member != policy_request.member {
             return BudgetPollResponse::default();
         }
         let version = self.policy.version();
@@ -161,7 +161,7 @@
     fn is_of_own_lease(&self, request: &LeasePollRequest, command: &TaskCommand) -> bool {
         let holds = |task: &str, token: FencingToken| {
             let lease = self.tasks.tasks.get(task).and_then(|task| task.lease.as_ref());
-            lease.is_some_and(|lease| lease.token == token && lease.who == request.who)
+            lease.is_some_and(|lease| lease.token == token && lease.holder == request.member)
         };
         match command {
             TaskCommand::Begin { task, token, .. }
@@ -201,31 +201,28 @@
     fn status(&self, now: f64) -> FleetStatus {
         let pending = self.policy.pending.as_ref().map(|pending| PendingSummary {
             id: pending.id.clone(),
-            by: pending.by.clone(),
-            committed: pending.decided,
-        });
-        let members = self.policy.members.keys().map(|(name, incarnation)| {
-            let member = (name.clone(), *incarnation);
-            self.member_summary(now, &member)
+            by: pending.requested_by.clone(),
+            committed: pending.committed,
         });
+        let members = self.policy.members.keys().map(|member| self.member_summary(now, member));
         FleetStatus {
             version: self.policy.version(),
             pending,
-            timings: self.policy.times,
+            timings: self.policy.timings,
             members: members.collect(),
         }
     }
 
-    fn member_summary(&self, now: f64, member: &(String, u64)) -> MemberSummary {
-        let (name, incarnation) = member.clone();
-        match self.policy_leader.heard().get(member) {
+    fn member_summary(&self, now: f64, member: &MemberId) -> MemberSummary {
+        let MemberId { name, incarnation } = member.clone();
+        match self.policy_leader.member_statuses().get(member) {
             Some(last) => MemberSummary {
                 name,
                 incarnation,
                 version: last.version,
-                lease: last.holds.clone(),
-                polled_ms_ago: Some(now - last.at),
-                blocked_reason: last.why_not.clone(),
+                lease: last.lease_kind.clone(),
+                polled_ms_ago: Some(now - last.polled_at),
+                blocked_reason: last.blocked_reason.clone(),
                 note: last.note.clone(),
             },
             None => MemberSummary { name, incarnation, ..MemberSummary::default() },
@@ -239,16 +236,16 @@
     /// Members that polled within the length of a long lease, and do not have the active version yet.
     fn members_behind(&self, now: f64) -> usize {
         let active = Some(self.policy.version());
-        let lease_length = self.policy.times.map_or(0.0, |times| times.right);
-        let statuses = self.policy_leader.heard().values();
-        statuses.filter(|last| last.version != active && now - last.at < lease_length).count()
+        let lease_length = self.policy.timings.map_or(0.0, |timings| timings.lease_ms);
+        let statuses = self.policy_leader.member_statuses().values();
+        statuses.filter(|last| last.version != active && now - last.polled_at < lease_length).count()
     }
 
     fn policy_text(&self, version: Option<Version>) -> Option<PolicyText> {
         let version = version.unwrap_or(self.policy.version());
-        let kept = self.policy.versions.iter().find(|(kept, _)| *kept == version);
+        let kept = self.policy.revisions.iter().find(|revision| revision.version == version);
         match kept {
-            Some((version, text)) => Some(PolicyText { version: *version, text: text.clone() }),
+            Some(revision) => Some(PolicyText { version, text: revision.policy_text.clone() }),
             None if version == 0 => Some(PolicyText { version: 0, text: EMPTY_POLICY.to_owned() }),
             None => None,
         }
@@ -284,7 +281,7 @@
                 Handled::accepted(LogCommand::Policy(PolicyCommand::Propose(change)))
             }
             FleetRequest::Withdraw(id) => {
-                Handled::accepted(LogCommand::Policy(PolicyCommand::TakeBack { id }))
+                Handled::accepted(LogCommand::Policy(PolicyCommand::Withdraw { id }))
             }
             FleetRequest::ReleaseLease(task) => {
                 self.release_lease(now, &task);
@@ -310,7 +307,7 @@
 
 impl StateMachine for FleetStateMachine {
     fn reset(&mut self) {
-        self.policy = PolicyState::default();
+        self.policy = RolloutState::default();
         self.tasks = TaskState::default();
         self.budgets.version = None;
     }
@@ -356,7 +353,7 @@
     }
 
     fn set_leadership(&mut self, now: f64, is_leader: bool) {
-        self.policy_leader.role(now, is_leader);
+        self.policy_leader.set_leadership(now, is_leader);
         self.lease_leader.role(now, is_leader);
         self.budget_leader.role(now, is_leader);
     }
@@ -373,8 +370,8 @@
     }
 
     fn tick(&mut self, now: f64) -> Vec<Vec<u8>> {
-        if self.policy.times.is_none() {
-            let bootstrap = LogCommand::Policy(PolicyCommand::Found(self.initial_timings));
+        if self.policy.timings.is_none() {
+            let bootstrap = LogCommand::Policy(PolicyCommand::Bootstrap(self.initial_timings));
             return vec![bootstrap.encode()];
         }
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).ok();
--- a/src/fleet/test_hooks.rs
+++ b/src/fleet/test_hooks.rs
@@ -9,7 +9,7 @@
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::{Clock, InjectedBugs};
 use beamgap_leases::Plant as LeaseBug;
-use beamgap_policy::rollout::Plant as PolicyBug;
+use beamgap_policy::rollout::InjectedBug as PolicyBug;
 use rustix::time::{clock_gettime, ClockId};
 use std::sync::Arc;
 use std::time::Duration;
