--- /dev/null
+++ b/crates/rig/tests/operations.rs
@@ -0,0 +1,75 @@
+//! The history checker of tasks on made-up histories: good ones pass, and each kind of violation is seen.
+
+use beamgap_rig::acts::{judge_acts, TaskLaw};
+use beamgap_rig::history::{Event, What};
+
+fn began(at: f64, step: u64, token: u64) -> Event {
+    Event { at, what: What::Began { task: "feed".to_owned(), run: 1, step, token } }
+}
+
+fn ended(at: f64, step: u64, token: u64) -> Event {
+    Event { at, what: What::Ended { task: "feed".to_owned(), run: 1, step, token } }
+}
+
+fn stale(at: f64, step: u64, token: u64) -> Event {
+    Event { at, what: What::Stale { task: "feed".to_owned(), run: 1, step, token } }
+}
+
+fn key(step: u64) -> (String, u64, u64) {
+    ("feed".to_owned(), 1, step)
+}
+
+#[test]
+fn a_history_without_violations_is_summed_up() {
+    let events = [
+        began(10.0, 0, 1),
+        ended(30.0, 0, 1),
+        began(100.0, 1, 2),
+        ended(120.0, 1, 2),
+        stale(130.0, 1, 1),
+        began(300.0, 3, 2),
+        ended(310.0, 3, 2),
+    ];
+    let mut law = TaskLaw::default();
+    law.unknown.insert(key(2));
+    law.done.insert(key(3));
+    let acts = judge_acts(&events, &law).expect("no promise is broken");
+    assert_eq!((acts.ran, acts.stale, acts.tokens, acts.gap), (3, 1, 2, 180.0));
+}
+
+#[test]
+fn each_violation_is_seen_with_its_promise_its_text_and_its_events() {
+    let first = || began(10.0, 0, 2);
+    let first_ended = || ended(20.0, 0, 2);
+    for (promise, excerpt, text, events) in [
+        (1, 2, "two holders act on feed at once", vec![first(), began(15.0, 1, 3)]),
+        (1, 2, "token 1 acts on feed after 2", vec![first(), first_ended(), began(30.0, 1, 1)]),
+        (4, 2, "step 0 of run 1 of feed ran twice", vec![first(), first_ended(), began(30.0, 0, 2)]),
+        (
+            4,
+            1,
+            "step 2 of run 1 of feed ran, and the one before it never did",
+            vec![first(), first_ended(), began(30.0, 2, 2)],
+        ),
+    ] {
+        let found = judge_acts(&events, &TaskLaw::default()).expect_err("a violation");
+        assert_eq!((found.promise, found.excerpt.len(), found.text.as_str()), (promise, excerpt, text));
+    }
+}
+
+#[test]
+fn a_step_that_is_recorded_as_done_and_never_ran_is_a_violation() {
+    let mut law = TaskLaw::default();
+    law.done.insert(key(0));
+    let found = judge_acts(&[], &law).expect_err("a violation");
+    assert_eq!((found.promise, found.excerpt.len()), (4, 0));
+    assert_eq!(found.text, "step 0 of run 1 of feed is told as done and never ran");
+}
+
+#[test]
+fn a_repeatable_task_may_run_a_step_twice() {
+    let mut law = TaskLaw::default();
+    law.repeatable.insert("feed".to_owned());
+    let events = [began(10.0, 0, 1), ended(20.0, 0, 1), began(30.0, 0, 1)];
+    assert_eq!(judge_acts(&events, &law).expect("no promise is broken").ran, 2);
+}
