--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -2,9 +2,8 @@
 //! seed, and a pure checker that judges what was written down. For tests and for trying out; nothing that serves uses it.
 //!
 //! Start at [`world::World`]; faults are in [`faults`], the judge in [`checker`], that of
-//! tasks in [`acts`], that of budgets in [`shared`].
+//! tasks in [`operations`], that of budgets in [`shared`].
 
-pub mod acts;
 pub mod breaks;
 pub mod case;
 pub mod checker;
@@ -12,6 +11,7 @@
 pub mod engine;
 pub mod faults;
 pub mod history;
+pub mod operations;
 pub mod process;
 pub mod relay;
 pub mod shared;
--- a/crates/rig/src/world/mod.rs
+++ b/crates/rig/src/world/mod.rs
@@ -8,7 +8,6 @@
 
 pub use seeds::{play_seed, play_shared_seed};
 
-use crate::acts::{judge_acts, Acts, TaskLaw};
 use crate::breaks::Break;
 use crate::checker::{judge, Law, Summary, Version};
 use crate::client::Client;
@@ -16,6 +15,7 @@
 use crate::faults::{plan, plan_shared, Fault, Step};
 use crate::history::{History, What};
 use crate::now;
+use crate::operations::{judge_acts, Acts, TaskLaw};
 use crate::process::Process;
 use crate::relay::{Relay, Way};
 use crate::target::Target;
