--- a/crates/rig/src/checker.rs
+++ b/crates/rig/src/checker.rs
@@ -48,7 +48,7 @@
     /// The longest time in which nothing was admitted anywhere, from the first to the last admission.
     pub gap: f64,
     /// What the fleet's tasks came to.
-    pub acts: crate::operations::Acts,
+    pub operations: crate::operations::OperationSummary,
     /// What came of the fleet's budgets, where the world has some.
     pub shared: Vec<crate::shared::Seen>,
 }
--- a/crates/rig/src/operations.rs
+++ b/crates/rig/src/operations.rs
@@ -1,96 +1,171 @@
-//! The judge of acts: what the targets saw, against the promises of `docs/leases.md`, by their numbers. Pure.
+//! The history checker of tasks: what the targets saw, against the promises of `docs/leases.md`, by their numbers. Pure.
 
 use crate::breaks::{broken, Break};
 use crate::history::{Event, What};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the judge goes by.
+/// Promise 1: no two members act on a task at once, and tokens grow.
+const ONE_HOLDER: u8 = 1;
+/// Promise 4: steps run once each and in order.
+const STEPS_RUN_ONCE: u8 = 4;
+
+/// A step of a task's run.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct StepKey {
+    /// The task.
+    pub task: String,
+    /// The number of the run.
+    pub run: u64,
+    /// The step, from 0.
+    pub step: u64,
+}
+
+/// What the fleet's own record says of its tasks.
 #[derive(Clone, Debug, Default)]
-pub struct TaskLaw {
-    /// Steps that the record tells as unknown: task, run, step. They may have run or not.
-    pub unknown: BTreeSet<(String, u64, u64)>,
-    /// Steps that the record tells as done.
-    pub done: BTreeSet<(String, u64, u64)>,
-    /// Tasks that may be repeated.
+pub struct TaskRules {
+    /// Steps that are recorded as unknown: they may have run or not.
+    pub unknown: BTreeSet<StepKey>,
+    /// Steps that are recorded as done.
+    pub done: BTreeSet<StepKey>,
+    /// Tasks whose steps may be repeated.
     pub repeatable: BTreeSet<String>,
 }
 
 /// What was seen.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Acts {
-    /// Steps that ran.
-    pub ran: usize,
-    /// Acts that the target refused for their token.
-    pub stale: usize,
-    /// Tokens that acted.
+pub struct OperationSummary {
+    /// Number of steps that ran.
+    pub executed: usize,
+    /// Number of operations that a target refused for their token.
+    pub refused_as_stale: usize,
+    /// Number of tokens under which a step ran.
     pub tokens: usize,
-    /// The longest time between two acts of a task, in milliseconds.
-    pub gap: f64,
+    /// The longest time between two operations on a task, in milliseconds.
+    pub longest_gap_ms: f64,
 }
 
-/// Judges a history; events in order of time.
-pub fn judge_acts(events: &[Event], law: &TaskLaw) -> Result<Acts, Break> {
-    let mut acts = Acts::default();
-    // By task: acts that have begun and not ended, the highest token that acted, and the last act's end.
-    let mut open: BTreeMap<&str, Vec<(&Event, u64)>> = BTreeMap::new();
-    let mut highest: BTreeMap<&str, (&Event, u64)> = BTreeMap::new();
-    let mut last: BTreeMap<&str, f64> = BTreeMap::new();
-    let mut ran: BTreeMap<(String, u64, u64), &Event> = BTreeMap::new();
-    let mut tokens = BTreeSet::new();
+/// Checks a history, whose events must be in order of time.
+///
+/// # Errors
+///
+/// The first violation of a promise, with the events that show it.
+pub fn check_operations(events: &[Event], rules: &TaskRules) -> Result<OperationSummary, Break> {
+    let mut checker = Checker::new(rules);
     for event in events {
+        checker.observe(event)?;
+    }
+    checker.finish()
+}
+
+/// An operation that a target saw begin.
+#[derive(Clone, Copy)]
+struct Operation<'a> {
+    event: &'a Event,
+    token: u64,
+}
+
+struct Checker<'a> {
+    rules: &'a TaskRules,
+    /// Operations that have begun and not ended, by task.
+    in_progress: BTreeMap<&'a str, Vec<Operation<'a>>>,
+    /// The operation with the highest token, by task.
+    newest: BTreeMap<&'a str, Operation<'a>>,
+    /// When the last operation ended, by task.
+    last_end: BTreeMap<&'a str, f64>,
+    executed: BTreeMap<StepKey, &'a Event>,
+    tokens: BTreeSet<u64>,
+    summary: OperationSummary,
+}
+
+impl<'a> Checker<'a> {
+    fn new(rules: &'a TaskRules) -> Checker<'a> {
+        Checker {
+            rules,
+            in_progress: BTreeMap::new(),
+            newest: BTreeMap::new(),
+            last_end: BTreeMap::new(),
+            executed: BTreeMap::new(),
+            tokens: BTreeSet::new(),
+            summary: OperationSummary::default(),
+        }
+    }
+
+    fn observe(&mut self, event: &'a Event) -> Result<(), Break> {
         match &event.what {
             What::Began { task, run, step, token } => {
-                let now = open.entry(task).or_default();
-                if let Some((other, _)) = now.iter().find(|(_, other)| other != token) {
-                    return broken(1, format!("two holders act on {task} at once"), &[other, event]);
-                }
-                now.push((event, *token));
-                match highest.get(task.as_str()) {
-                    Some((before, most)) if token < most => {
-                        let text = format!("token {token} acts on {task} after {most}");
-                        return broken(1, text, &[before, event]);
-                    }
-                    _ => {
-                        highest.insert(task, (event, *token));
-                    }
-                }
-                let key = (task.clone(), *run, *step);
-                if let Some(before) = ran.get(&key).filter(|_| !law.repeatable.contains(task)) {
-                    return broken(
-                        4,
-                        format!("step {step} of run {run} of {task} ran twice"),
-                        &[before, event],
-                    );
-                }
-                // What comes before it is done, or known to be unknown.
-                if let Some(before) = step.checked_sub(1) {
-                    let before = (task.clone(), *run, before);
-                    if !ran.contains_key(&before) && !law.unknown.contains(&before) {
-                        let text = format!(
-                            "step {step} of run {run} of {task} ran, and the one before it never did"
-                        );
-                        return broken(4, text, &[event]);
-                    }
-                }
-                ran.insert(key, event);
-                tokens.insert(*token);
-                acts.ran += 1;
-                if let Some(before) = last.get(task.as_str()) {
-                    acts.gap = acts.gap.max(event.at - before);
-                }
+                let operation = Operation { event, token: *token };
+                self.check_one_holder(task, operation)?;
+                self.check_token_order(task, operation)?;
+                self.check_step(event, StepKey { task: task.clone(), run: *run, step: *step })?;
+                self.count(task, operation);
             }
             What::Ended { task, token, .. } => {
-                let now = open.entry(task).or_default();
-                now.retain(|(_, other)| other != token);
-                last.insert(task, event.at);
+                let in_progress = self.in_progress.entry(task).or_default();
+                in_progress.retain(|operation| operation.token != *token);
+                self.last_end.insert(task, event.at);
             }
-            What::Stale { .. } => acts.stale += 1,
+            What::Stale { .. } => self.summary.refused_as_stale += 1,
             _ => {}
         }
+        Ok(())
+    }
+
+    fn check_one_holder(&mut self, task: &'a str, operation: Operation<'a>) -> Result<(), Break> {
+        let in_progress = self.in_progress.entry(task).or_default();
+        if let Some(other) = in_progress.iter().find(|other| other.token != operation.token) {
+            let text = format!("two holders act on {task} at once");
+            return broken(ONE_HOLDER, text, &[other.event, operation.event]);
+        }
+        in_progress.push(operation);
+        Ok(())
+    }
+
+    fn check_token_order(&mut self, task: &'a str, operation: Operation<'a>) -> Result<(), Break> {
+        if let Some(newest) = self.newest.get(task).filter(|newest| operation.token < newest.token) {
+            let text = format!("token {} acts on {task} after {}", operation.token, newest.token);
+            return broken(ONE_HOLDER, text, &[newest.event, operation.event]);
+        }
+        self.newest.insert(task, operation);
+        Ok(())
+    }
+
+    fn check_step(&mut self, event: &'a Event, key: StepKey) -> Result<(), Break> {
+        let StepKey { task, run, step } = &key;
+        let is_repeatable = self.rules.repeatable.contains(task);
+        if let Some(before) = self.executed.get(&key).filter(|_| !is_repeatable) {
+            let text = format!("step {step} of run {run} of {task} ran twice");
+            return broken(STEPS_RUN_ONCE, text, &[before, event]);
+        }
+        if !self.may_follow(&key) {
+            let text = format!("step {step} of run {run} of {task} ran, and the one before it never did");
+            return broken(STEPS_RUN_ONCE, text, &[event]);
+        }
+        self.executed.insert(key, event);
+        Ok(())
     }
-    if let Some((task, run, step)) = law.done.iter().find(|key| !ran.contains_key(*key)) {
-        return broken(4, format!("step {step} of run {run} of {task} is told as done and never ran"), &[]);
+
+    /// Whether the step before this one ran, or is recorded as unknown.
+    fn may_follow(&self, key: &StepKey) -> bool {
+        let Some(step) = key.step.checked_sub(1) else { return true };
+        let previous = StepKey { step, ..key.clone() };
+        self.executed.contains_key(&previous) || self.rules.unknown.contains(&previous)
+    }
+
+    fn count(&mut self, task: &str, operation: Operation<'_>) {
+        self.tokens.insert(operation.token);
+        self.summary.executed += 1;
+        if let Some(last_end) = self.last_end.get(task) {
+            let gap_ms = operation.event.at - last_end;
+            self.summary.longest_gap_ms = self.summary.longest_gap_ms.max(gap_ms);
+        }
+    }
+
+    fn finish(self) -> Result<OperationSummary, Break> {
+        let never_ran = self.rules.done.iter().find(|key| !self.executed.contains_key(*key));
+        if let Some(StepKey { task, run, step }) = never_ran {
+            let text = format!("step {step} of run {run} of {task} is told as done and never ran");
+            return broken(STEPS_RUN_ONCE, text, &[]);
+        }
+        Ok(OperationSummary { tokens: self.tokens.len(), ..self.summary })
     }
-    acts.tokens = tokens.len();
-    Ok(acts)
 }
--- a/crates/rig/src/world/mod.rs
+++ b/crates/rig/src/world/mod.rs
@@ -15,7 +15,7 @@
 use crate::faults::{plan, plan_shared, Fault, Step};
 use crate::history::{History, What};
 use crate::now;
-use crate::operations::{judge_acts, Acts, TaskLaw};
+use crate::operations::{check_operations, OperationSummary, StepKey, TaskRules};
 use crate::process::Process;
 use crate::relay::{Relay, Way};
 use crate::target::Target;
--- a/crates/rig/src/world/seeds.rs
+++ b/crates/rig/src/world/seeds.rs
@@ -114,9 +114,9 @@
             // What the target saw says more than that something takes too long.
             ends.or_else(|late| world.judge_tasks(&names, &["again"]).and(Err(late)))?;
         }
-        let acts = world.judge_tasks(&names, &["again"])?;
+        let operations = world.judge_tasks(&names, &["again"])?;
         let law = world.law()?;
-        let summary = Summary { acts, ..world.judge()? };
+        let summary = Summary { operations, ..world.judge()? };
         let shared = match shared {
             true => judge_shared(&world.history.all(), &bounds(&law)).map_err(|b: Break| b.to_string())?,
             false => Vec::new(),
--- a/crates/rig/src/world/verdict.rs
+++ b/crates/rig/src/world/verdict.rs
@@ -83,24 +83,24 @@
     }
 
     /// Judges what was acted on for these tasks, by the record that the fleet keeps of them.
-    pub fn judge_tasks(&self, names: &[&str], repeatable: &[&str]) -> Result<Acts, String> {
-        let mut law = TaskLaw::default();
-        law.repeatable.extend(repeatable.iter().map(|name| (*name).to_owned()));
+    pub fn judge_tasks(&self, names: &[&str], repeatable: &[&str]) -> Result<OperationSummary, String> {
+        let mut rules = TaskRules::default();
+        rules.repeatable.extend(repeatable.iter().map(|name| (*name).to_owned()));
         for name in names {
             // A leader may be on its way.
             self.wait("the task is told", Duration::from_secs(15), |w| w.task(name)["record"].is_array())?;
             let task = self.task(name);
             for step in task["record"].as_array().ok_or(format!("{name} is not told: {task}"))? {
                 let number = |key: &str| step[key].as_u64().unwrap_or_default();
-                let key = ((*name).to_owned(), number("run"), number("step"));
+                let key = StepKey { task: (*name).to_owned(), run: number("run"), step: number("step") };
                 match step["outcome"].as_str() {
-                    Some("done") => law.done.insert(key),
-                    Some("unknown") => law.unknown.insert(key),
+                    Some("done") => rules.done.insert(key),
+                    Some("unknown") => rules.unknown.insert(key),
                     _ => false,
                 };
             }
         }
-        judge_acts(&self.history.all(), &law).map_err(|b: Break| b.to_string())
+        check_operations(&self.history.all(), &rules).map_err(|b: Break| b.to_string())
     }
 
     /// Served, and sent, by all clients.
--- a/crates/rig/tests/operations.rs
+++ b/crates/rig/tests/operations.rs
@@ -1,7 +1,7 @@
 //! The history checker of tasks on made-up histories: good ones pass, and each kind of violation is seen.
 
 use beamgap_rig::history::{Event, What};
-use beamgap_rig::operations::{judge_acts, TaskLaw};
+use beamgap_rig::operations::{check_operations, StepKey, TaskRules};
 
 fn began(at: f64, step: u64, token: u64) -> Event {
     Event { at, what: What::Began { task: "feed".to_owned(), run: 1, step, token } }
@@ -15,8 +15,8 @@
     Event { at, what: What::Stale { task: "feed".to_owned(), run: 1, step, token } }
 }
 
-fn key(step: u64) -> (String, u64, u64) {
-    ("feed".to_owned(), 1, step)
+fn key(step: u64) -> StepKey {
+    StepKey { task: "feed".to_owned(), run: 1, step }
 }
 
 #[test]
@@ -30,11 +30,14 @@
         began(300.0, 3, 2),
         ended(310.0, 3, 2),
     ];
-    let mut law = TaskLaw::default();
-    law.unknown.insert(key(2));
-    law.done.insert(key(3));
-    let acts = judge_acts(&events, &law).expect("no promise is broken");
-    assert_eq!((acts.ran, acts.stale, acts.tokens, acts.gap), (3, 1, 2, 180.0));
+    let mut rules = TaskRules::default();
+    rules.unknown.insert(key(2));
+    rules.done.insert(key(3));
+    let summary = check_operations(&events, &rules).expect("no promise is broken");
+    assert_eq!(
+        (summary.executed, summary.refused_as_stale, summary.tokens, summary.longest_gap_ms),
+        (3, 1, 2, 180.0)
+    );
 }
 
 #[test]
@@ -52,24 +55,24 @@
             vec![first(), first_ended(), began(30.0, 2, 2)],
         ),
     ] {
-        let found = judge_acts(&events, &TaskLaw::default()).expect_err("a violation");
+        let found = check_operations(&events, &TaskRules::default()).expect_err("a violation");
         assert_eq!((found.promise, found.excerpt.len(), found.text.as_str()), (promise, excerpt, text));
     }
 }
 
 #[test]
 fn a_step_that_is_recorded_as_done_and_never_ran_is_a_violation() {
-    let mut law = TaskLaw::default();
-    law.done.insert(key(0));
-    let found = judge_acts(&[], &law).expect_err("a violation");
+    let mut rules = TaskRules::default();
+    rules.done.insert(key(0));
+    let found = check_operations(&[], &rules).expect_err("a violation");
     assert_eq!((found.promise, found.excerpt.len()), (4, 0));
     assert_eq!(found.text, "step 0 of run 1 of feed is told as done and never ran");
 }
 
 #[test]
 fn a_repeatable_task_may_run_a_step_twice() {
-    let mut law = TaskLaw::default();
-    law.repeatable.insert("feed".to_owned());
+    let mut rules = TaskRules::default();
+    rules.repeatable.insert("feed".to_owned());
     let events = [began(10.0, 0, 1), ended(20.0, 0, 1), began(30.0, 0, 1)];
-    assert_eq!(judge_acts(&events, &law).expect("no promise is broken").ran, 2);
+    assert_eq!(check_operations(&events, &rules).expect("no promise is broken").executed, 2);
 }
--- a/tests/fleet_seeds.rs
+++ b/tests/fleet_seeds.rs
@@ -56,16 +56,16 @@
     let sent: usize = good.iter().map(|s| s.sent).sum();
     let admitted: usize = good.iter().map(|s| s.admitted).sum();
     let overlap = good.iter().map(|s| s.overlap).fold(0.0, f64::max);
-    let mut gaps: Vec<f64> = good.iter().map(|s| s.acts.gap).collect();
+    let mut gaps: Vec<f64> = good.iter().map(|s| s.operations.longest_gap_ms).collect();
     gaps.sort_by(f64::total_cmp);
     let gap = |part: f64| {
         gaps.get((gaps.len().max(1) as f64 * part) as usize).or(gaps.last()).copied().unwrap_or(0.0)
     };
     println!(
         "tasks: {} steps ran, {} refused for their token, {} tokens acted; longest time without an act by seed: p50 {:.0} p99 {:.0} max {:.0} ms",
-        good.iter().map(|s| s.acts.ran).sum::<usize>(),
-        good.iter().map(|s| s.acts.stale).sum::<usize>(),
-        good.iter().map(|s| s.acts.tokens).sum::<usize>(),
+        good.iter().map(|s| s.operations.executed).sum::<usize>(),
+        good.iter().map(|s| s.operations.refused_as_stale).sum::<usize>(),
+        good.iter().map(|s| s.operations.tokens).sum::<usize>(),
         gap(0.5),
         gap(0.99),
         gap(1.0)
--- a/tests/fleet_tasks.rs
+++ b/tests/fleet_tasks.rs
@@ -64,8 +64,8 @@
     let w = world("run", 12, "", "");
     let task = over(&w);
     assert_eq!((outcomes(&task, "done"), steps_of(&w)), (12, 12), "{task}");
-    let acts = w.judge_tasks(&["feed"], &[]).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((acts.ran, acts.stale, acts.tokens), (12, 0, 1));
+    let operations = w.judge_tasks(&["feed"], &[]).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!((operations.executed, operations.refused_as_stale, operations.tokens), (12, 0, 1));
 }
 
 #[test]
@@ -119,8 +119,8 @@
     w.wait("its act is refused", SOON, refused).unwrap();
     let task = over(&w);
     assert!(outcomes(&task, "unknown") >= 1, "{task}");
-    let acts = w.judge_tasks(&["feed"], &[]).unwrap_or_else(|e| panic!("{e}"));
-    assert!(acts.stale >= 1 && acts.tokens >= 2, "{acts:?}");
+    let operations = w.judge_tasks(&["feed"], &[]).unwrap_or_else(|e| panic!("{e}"));
+    assert!(operations.refused_as_stale >= 1 && operations.tokens >= 2, "{operations:?}");
 }
 
 #[test]
@@ -150,8 +150,8 @@
         acts_again(&w, at, token);
     }
     over(&w);
-    let acts = w.judge_tasks(&["feed"], &["feed"]).unwrap_or_else(|e| panic!("{e}"));
-    assert!(acts.tokens >= 3, "{acts:?}");
+    let operations = w.judge_tasks(&["feed"], &["feed"]).unwrap_or_else(|e| panic!("{e}"));
+    assert!(operations.tokens >= 3, "{operations:?}");
 }
 
 #[test]
