--- a/crates/leases/src/clock_bounds.rs
+++ b/crates/leases/src/clock_bounds.rs
@@ -14,7 +14,10 @@
 
 impl Default for ClockBounds {
     fn default() -> ClockBounds {
-        ClockBounds { max_drift: 0.05, safety_margin: 0.05 }
+        ClockBounds {
+            max_drift: 0.05,
+            safety_margin: 0.05,
+        }
     }
 }
 
--- a/crates/leases/src/held_lease.rs
+++ b/crates/leases/src/held_lease.rs
@@ -46,7 +46,11 @@
 
     /// The same lease as the leader sees it now. Something has changed, so the next command may be sent at once.
     pub(crate) fn updated(self, view: LeaseView) -> HeldLease {
-        HeldLease { view, proposed_at: None, ..self }
+        HeldLease {
+            view,
+            proposed_at: None,
+            ..self
+        }
     }
 
     /// Extends the lease; it never becomes shorter.
@@ -67,7 +71,9 @@
         is_busy: bool,
         injected_bug: InjectedBug,
     ) -> Option<Command> {
-        let was_sent_lately = self.proposed_at.is_some_and(|at| now - at < RETRY_INTERVAL_MS);
+        let was_sent_lately = self
+            .proposed_at
+            .is_some_and(|at| now - at < RETRY_INTERVAL_MS);
         if was_sent_lately || (!self.is_active(now) && !self.given_up) {
             return None;
         }
@@ -91,7 +97,10 @@
             self.given_up = true;
             self.valid_until = f64::NEG_INFINITY;
         }
-        Command::EndLease { task: self.view.task.clone(), token: self.view.token }
+        Command::EndLease {
+            task: self.view.task.clone(),
+            token: self.view.token,
+        }
     }
 
     /// Begins the next step if it fits into what is left of the lease and no pause is to be kept.
@@ -107,13 +116,23 @@
                 return None;
             }
         }
-        Some(Command::BeginStep { task: self.view.task.clone(), token: self.view.token, run: number, step })
+        Some(Command::BeginStep {
+            task: self.view.task.clone(),
+            token: self.view.token,
+            run: number,
+            step,
+        })
     }
 
     fn set_retry_pause(&mut self, now: f64, attempts: u32) {
-        let is_set = self.retry_pause.is_some_and(|pause| pause.attempts == attempts);
+        let is_set = self
+            .retry_pause
+            .is_some_and(|pause| pause.attempts == attempts);
         if !is_set {
-            self.retry_pause = Some(RetryPause { attempts, until: now + self.view.pause_ms });
+            self.retry_pause = Some(RetryPause {
+                attempts,
+                until: now + self.view.pause_ms,
+            });
         }
     }
 
@@ -132,7 +151,10 @@
 
     /// Whether a step may be acted on as soon as there is a permit.
     pub(crate) fn is_step_ready(&self, injected_bug: InjectedBug) -> bool {
-        self.view.run.as_ref().is_some_and(|run| self.may_act(run, injected_bug))
+        self.view
+            .run
+            .as_ref()
+            .is_some_and(|run| self.may_act(run, injected_bug))
     }
 
     /// Whether the beginning of the step is committed, and no permit was given for it.
@@ -162,7 +184,12 @@
             self.permitted_step = step;
         }
         let valid_until = self.valid_until - duration_ms;
-        Ok(ActionPermit::new(&self.view.task, self.view.token, step, valid_until))
+        Ok(ActionPermit::new(
+            &self.view.task,
+            self.view.token,
+            step,
+            valid_until,
+        ))
     }
 
     /// Closes a begun step for which no permit was given: the command that records its outcome.
@@ -174,6 +201,11 @@
             return None;
         }
         self.permitted_step = Some(step);
-        Some(Command::RecordOutcome { task: self.view.task.clone(), token, step, outcome })
+        Some(Command::RecordOutcome {
+            task: self.view.task.clone(),
+            token,
+            step,
+            outcome,
+        })
     }
 }
--- a/crates/leases/src/leader.rs
+++ b/crates/leases/src/leader.rs
@@ -63,7 +63,11 @@
 impl LeaseLeader {
     /// One that does not lead yet.
     pub fn new(clock_bounds: ClockBounds, injected_bug: InjectedBug) -> LeaseLeader {
-        LeaseLeader { clock_bounds, injected_bug, ..LeaseLeader::default() }
+        LeaseLeader {
+            clock_bounds,
+            injected_bug,
+            ..LeaseLeader::default()
+        }
     }
 
     /// Tells whether this process leads from now on. With a change of that, everything is forgotten.
@@ -89,14 +93,22 @@
 
     /// Answers a member and renews its leases. Must be called only after a majority has confirmed this leader, later
     /// than the request came in.
-    pub fn handle_request(&mut self, now: f64, state: &State, request: &PollRequest) -> PollResponse {
+    pub fn handle_request(
+        &mut self,
+        now: f64,
+        state: &State,
+        request: &PollRequest,
+    ) -> PollResponse {
         self.track_new_leases(now, state);
         self.confirmed = true;
         self.note_member(now, request);
         let mut leases = Vec::new();
         let mut ending = Vec::new();
         let held = state.tasks.values().filter_map(|task| {
-            let lease = task.lease.as_ref().filter(|lease| lease.holder == request.member)?;
+            let lease = task
+                .lease
+                .as_ref()
+                .filter(|lease| lease.holder == request.member)?;
             Some((task, lease.token))
         });
         for (task, token) in held.take(MAX_LEASES_PER_RESPONSE) {
@@ -104,7 +116,13 @@
                 ending.push(token);
                 continue;
             }
-            self.renewals.insert(token, Renewal { at: now, announced: true });
+            self.renewals.insert(
+                token,
+                Renewal {
+                    at: now,
+                    announced: true,
+                },
+            );
             leases.push(LeaseView::new(task, token));
         }
         let is_up_to_date = request.known_change_count == Some(state.change_count);
@@ -121,7 +139,9 @@
     /// `minute` is the wall clock's count of minutes since 1970, if it is known. It decides when daily runs are due, and
     /// nothing else.
     pub fn tick(&mut self, now: f64, minute: Option<u64>, state: &State) -> Vec<Command> {
-        let Some(leading_since) = self.leading_since else { return Vec::new() };
+        let Some(leading_since) = self.leading_since else {
+            return Vec::new();
+        };
         self.track_new_leases(now, state);
         self.forget_what_is_over(now, state);
         let may_grant = now - leading_since >= GRANT_DELAY_MS;
@@ -152,34 +172,45 @@
         let skips_wait = announced && self.injected_bug == InjectedBug::NoWait;
         let at = if skips_wait { f64::NEG_INFINITY } else { now };
         for lease in state.tasks.values().filter_map(|task| task.lease.as_ref()) {
-            self.renewals.entry(lease.token).or_insert(Renewal { at, announced });
+            self.renewals
+                .entry(lease.token)
+                .or_insert(Renewal { at, announced });
         }
     }
 
     fn note_member(&mut self, now: f64, request: &PollRequest) {
-        let status = self.members.entry(request.member.clone()).or_insert_with(|| MemberStatus {
-            first_heard_at: now,
-            last_heard_at: now,
-            zone: String::new(),
-            draining: false,
-        });
+        let status = self
+            .members
+            .entry(request.member.clone())
+            .or_insert_with(|| MemberStatus {
+                first_heard_at: now,
+                last_heard_at: now,
+                zone: String::new(),
+                draining: false,
+            });
         status.last_heard_at = now;
         status.draining = request.draining;
         status.zone.clone_from(&request.zone);
     }
 
     fn forget_what_is_over(&mut self, now: f64, state: &State) {
-        let is_granted = |token: &FencingToken| state.tasks.values().any(|task| task.is_held_under(*token));
+        let is_granted =
+            |token: &FencingToken| state.tasks.values().any(|task| task.is_held_under(*token));
         self.renewals.retain(|token, _| is_granted(token));
         self.ending.retain(|token, _| is_granted(token));
-        self.members.retain(|_, status| now - status.last_heard_at < FORGET_MEMBER_AFTER_MS);
-        self.proposals.retain(|task, _| state.tasks.contains_key(task));
-        self.run_started_at.retain(|task, _| state.tasks.contains_key(task));
+        self.members
+            .retain(|_, status| now - status.last_heard_at < FORGET_MEMBER_AFTER_MS);
+        self.proposals
+            .retain(|task, _| state.tasks.contains_key(task));
+        self.run_started_at
+            .retain(|task, _| state.tasks.contains_key(task));
     }
 
     /// Whether a command was proposed for the task a short time ago and the task is as it was then.
     fn is_proposal_pending(&self, now: f64, task: &Task) -> bool {
-        let Some(proposal) = self.proposals.get(&task.spec.name) else { return false };
+        let Some(proposal) = self.proposals.get(&task.spec.name) else {
+            return false;
+        };
         let lease = task.lease.as_ref().map(|lease| lease.token);
         let is_unchanged = proposal.lease == lease && proposal.runs == task.runs;
         is_unchanged && now - proposal.at < RETRY_INTERVAL_MS
@@ -187,7 +218,11 @@
 
     fn note_proposal(&mut self, now: f64, task: &Task) {
         let lease = task.lease.as_ref().map(|lease| lease.token);
-        let proposal = Proposal { lease, runs: task.runs, at: now };
+        let proposal = Proposal {
+            lease,
+            runs: task.runs,
+            at: now,
+        };
         self.proposals.insert(task.spec.name.clone(), proposal);
     }
 
@@ -206,13 +241,24 @@
             return None;
         }
         self.ending.insert(token, now);
-        Some(Command::EndLease { task: task.spec.name.clone(), token })
+        Some(Command::EndLease {
+            task: task.spec.name.clone(),
+            token,
+        })
     }
 
-    fn grant(&self, now: f64, task: &Task, lease_counts: &mut BTreeMap<MemberId, usize>) -> Option<Command> {
+    fn grant(
+        &self,
+        now: f64,
+        task: &Task,
+        lease_counts: &mut BTreeMap<MemberId, usize>,
+    ) -> Option<Command> {
         let holder = choose_holder(now, task, &self.members, lease_counts)?;
         *lease_counts.entry(holder.clone()).or_default() += 1;
-        Some(Command::GrantLease { task: task.spec.name.clone(), holder })
+        Some(Command::GrantLease {
+            task: task.spec.name.clone(),
+            holder,
+        })
     }
 
     /// Starts a run that is due. A leader that does not know when the last run was started counts from when it first
@@ -225,13 +271,20 @@
         let last_started_at = *self.run_started_at.entry(name.clone()).or_insert(now);
         let day = match task.spec.schedule {
             Schedule::Every(interval_ms) if now - last_started_at >= interval_ms => 0,
-            Schedule::Daily { minute: start, window } => {
+            Schedule::Daily {
+                minute: start,
+                window,
+            } => {
                 day_of_due_run(minute?, start, window).filter(|day| *day > task.last_started_day)?
             }
             Schedule::Every(_) | Schedule::Always | Schedule::OnDemand => return None,
         };
         self.run_started_at.insert(name.clone(), now);
-        Some(Command::StartRun { task: name.clone(), run: task.runs + 1, day })
+        Some(Command::StartRun {
+            task: name.clone(),
+            run: task.runs + 1,
+            day,
+        })
     }
 }
 
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -81,7 +81,9 @@
 pub use message::{LeaseView, PollRequest, PollResponse};
 pub use permit::{ActionPermit, ExpiredAction, PermitDenied, PermittedAction};
 pub use placement::SETTLING_TIME_MS;
-pub use spec::{InvalidTask, OnUnknownOutcome, Schedule, TaskSpec, MAX_NAME_LENGTH, MAX_STEPS, MAX_TASKS};
+pub use spec::{
+    InvalidTask, OnUnknownOutcome, Schedule, TaskSpec, MAX_NAME_LENGTH, MAX_STEPS, MAX_TASKS,
+};
 pub use state::State;
 pub use task::{Lease, Outcome, Run, StepRecord, Task, MAX_HISTORY};
 pub use token::FencingToken;
--- a/crates/leases/src/member.rs
+++ b/crates/leases/src/member.rs
@@ -74,7 +74,10 @@
 
     /// Takes in the response to a request that was sent at `sent_at`. Leases are renewed from that time on.
     pub fn handle_response(&mut self, sent_at: f64, response: PollResponse) {
-        if self.known_change_count.is_some_and(|known| known > response.change_count) {
+        if self
+            .known_change_count
+            .is_some_and(|known| known > response.change_count)
+        {
             return; // The response to an older request.
         }
         if let Some(leases) = response.leases {
@@ -100,7 +103,9 @@
     fn replace_leases(&mut self, leases: Vec<LeaseView>) {
         let mut before = std::mem::take(&mut self.held);
         for view in leases {
-            let known = before.remove(&view.task).filter(|held| held.view.token == view.token);
+            let known = before
+                .remove(&view.task)
+                .filter(|held| held.view.token == view.token);
             let held = match known {
                 Some(known) => known.updated(view),
                 None => HeldLease::new(view),
@@ -112,7 +117,10 @@
     /// The leases that have not expired at this time.
     pub fn active_leases(&self, now: f64) -> impl Iterator<Item = ActiveLease<'_>> + '_ {
         let active = self.held.values().filter(move |held| held.is_active(now));
-        active.map(move |held| ActiveLease { view: &held.view, remaining_ms: held.valid_until - now })
+        active.map(move |held| ActiveLease {
+            view: &held.view,
+            remaining_ms: held.valid_until - now,
+        })
     }
 
     /// What the member was notified of for a task that it holds.
@@ -146,14 +154,21 @@
     /// # Errors
     ///
     /// Why the member must not act now.
-    pub fn permit(&mut self, task: &str, now: f64, duration_ms: f64) -> Result<ActionPermit, PermitDenied> {
+    pub fn permit(
+        &mut self,
+        task: &str,
+        now: f64,
+        duration_ms: f64,
+    ) -> Result<ActionPermit, PermitDenied> {
         let held = self.held.get_mut(task).ok_or(PermitDenied::NotHeld)?;
         held.permit(now, duration_ms, self.injected_bug)
     }
 
     /// Queues the outcome of a step that was begun, but whose action was not started for lack of a permit.
     pub fn record_not_run(&mut self, task: &str, outcome: Outcome) {
-        let Some(held) = self.held.get_mut(task) else { return };
+        let Some(held) = self.held.get_mut(task) else {
+            return;
+        };
         if let Some(command) = held.close_unused_step(outcome) {
             self.outcomes.push(command);
         }
@@ -166,9 +181,15 @@
 
     /// Steps whose beginning is committed and for which no permit was given yet.
     pub fn ready_steps(&self) -> Vec<ReadyStep> {
-        let ready = self.held.values().filter(|held| held.is_step_ready(self.injected_bug));
+        let ready = self
+            .held
+            .values()
+            .filter(|held| held.is_step_ready(self.injected_bug));
         ready
-            .map(|held| ReadyStep { task: held.view.task.clone(), max_step_ms: held.view.max_step_ms })
+            .map(|held| ReadyStep {
+                task: held.view.task.clone(),
+                max_step_ms: held.view.max_step_ms,
+            })
             .collect()
     }
 }
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -79,7 +79,9 @@
 
     /// Whether a step is begun and not over.
     pub(crate) fn has_open_step(&self) -> bool {
-        self.run.as_ref().is_some_and(|run| run.open_token.is_some())
+        self.run
+            .as_ref()
+            .is_some_and(|run| run.open_token.is_some())
     }
 }
 
--- a/crates/leases/src/permit.rs
+++ b/crates/leases/src/permit.rs
@@ -54,8 +54,18 @@
 
 impl ActionPermit {
     /// A permit for a task or one of its steps, valid until a time of the holder's clock.
-    pub(crate) fn new(task: &str, token: FencingToken, step: Option<u32>, valid_until: f64) -> ActionPermit {
-        ActionPermit { task: task.to_owned(), token, step, valid_until }
+    pub(crate) fn new(
+        task: &str,
+        token: FencingToken,
+        step: Option<u32>,
+        valid_until: f64,
+    ) -> ActionPermit {
+        ActionPermit {
+            task: task.to_owned(),
+            token,
+            step,
+            valid_until,
+        }
     }
 
     /// The task.
@@ -75,7 +85,11 @@
     /// Too little is left of the lease: the action must not be started.
     pub fn start(self, now: f64) -> Result<PermittedAction, ExpiredAction> {
         let in_time = now < self.valid_until;
-        let action = PermittedAction { task: self.task, token: self.token, step: self.step };
+        let action = PermittedAction {
+            task: self.task,
+            token: self.token,
+            step: self.step,
+        };
         if in_time {
             Ok(action)
         } else {
@@ -102,7 +116,12 @@
     /// The command that records the outcome; none for a task without steps.
     pub fn record(self, outcome: Outcome) -> Option<Command> {
         let step = self.step?;
-        Some(Command::RecordOutcome { task: self.task, token: self.token, step, outcome })
+        Some(Command::RecordOutcome {
+            task: self.task,
+            token: self.token,
+            step,
+            outcome,
+        })
     }
 }
 
--- a/crates/leases/src/placement.rs
+++ b/crates/leases/src/placement.rs
@@ -39,10 +39,16 @@
     members: &BTreeMap<MemberId, MemberStatus>,
     held: &BTreeMap<MemberId, usize>,
 ) -> Option<MemberId> {
-    let candidates = members.iter().filter(|(member, status)| status.may_hold(now, member, task));
+    let candidates = members
+        .iter()
+        .filter(|(member, status)| status.may_hold(now, member, task));
     let chosen = candidates.min_by_key(|(member, status)| {
         let lease_count = held.get(*member).copied().unwrap_or(0);
-        (status.is_settling(now), lease_count, tie_break_hash(&task.spec.name, &member.name))
+        (
+            status.is_settling(now),
+            lease_count,
+            tie_break_hash(&task.spec.name, &member.name),
+        )
     });
     chosen.map(|(member, _)| member.clone())
 }
@@ -53,6 +59,8 @@
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
     const FINAL_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
     let bytes = task.bytes().chain([0]).chain(member.bytes());
-    let hash = bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
+    let hash = bytes.fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    });
     (hash ^ (hash >> 29)).wrapping_mul(FINAL_MULTIPLIER)
 }
--- a/crates/leases/src/spec.rs
+++ b/crates/leases/src/spec.rs
@@ -192,8 +192,9 @@
 
     /// Whether a member of this name and zone may hold the task.
     pub fn allows(&self, member: &str, zone: &str) -> bool {
-        let is_listed =
-            |list: &[String], name: &str| list.is_empty() || list.iter().any(|listed| listed == name);
+        let is_listed = |list: &[String], name: &str| {
+            list.is_empty() || list.iter().any(|listed| listed == name)
+        };
         is_listed(&self.members, member) && is_listed(&self.zones, zone)
     }
 }
--- a/crates/leases/src/state.rs
+++ b/crates/leases/src/state.rs
@@ -27,10 +27,18 @@
             Command::GrantLease { task, holder } => self.grant_lease(task, holder),
             Command::EndLease { task, token } => self.end_lease(task, *token),
             Command::StartRun { task, run, day } => self.start_run(task, *run, *day),
-            Command::BeginStep { task, token, run, step } => self.begin_step(task, *token, *run, *step),
-            Command::RecordOutcome { task, token, step, outcome } => {
-                self.record_outcome(task, *token, *step, outcome)
-            }
+            Command::BeginStep {
+                task,
+                token,
+                run,
+                step,
+            } => self.begin_step(task, *token, *run, *step),
+            Command::RecordOutcome {
+                task,
+                token,
+                step,
+                outcome,
+            } => self.record_outcome(task, *token, *step, outcome),
             Command::SetPaused { task, paused } => self.set_paused(task, *paused),
             Command::SetForbidden(names) => self.set_forbidden(names),
         };
@@ -42,13 +50,18 @@
     // Each of the following says whether the command fitted.
 
     fn define_tasks(&mut self, specs: &[TaskSpec]) -> bool {
-        let valid = specs.iter().filter(|spec| spec.validate().is_ok()).take(MAX_TASKS);
-        let specs: BTreeMap<&str, &TaskSpec> = valid.map(|spec| (spec.name.as_str(), spec)).collect();
+        let valid = specs
+            .iter()
+            .filter(|spec| spec.validate().is_ok())
+            .take(MAX_TASKS);
+        let specs: BTreeMap<&str, &TaskSpec> =
+            valid.map(|spec| (spec.name.as_str(), spec)).collect();
         // The holder of a removed task may act until it hears of that: the name is not free before the lease has ended.
         for (name, task) in &mut self.tasks {
             task.removed = !specs.contains_key(name.as_str());
         }
-        self.tasks.retain(|_, task| !task.removed || task.lease.is_some());
+        self.tasks
+            .retain(|_, task| !task.removed || task.lease.is_some());
         for (name, spec) in specs {
             match self.tasks.get_mut(name) {
                 // A run in progress goes on with the new definition.
@@ -62,17 +75,24 @@
     }
 
     fn grant_lease(&mut self, name: &str, holder: &MemberId) -> bool {
-        let Some(task) = self.tasks.get_mut(name) else { return false };
+        let Some(task) = self.tasks.get_mut(name) else {
+            return false;
+        };
         if task.lease.is_some() || !task.runnable() {
             return false;
         }
         self.last_token = self.last_token.next();
-        task.lease = Some(Lease { holder: holder.clone(), token: self.last_token });
+        task.lease = Some(Lease {
+            holder: holder.clone(),
+            token: self.last_token,
+        });
         true
     }
 
     fn end_lease(&mut self, name: &str, token: FencingToken) -> bool {
-        let Some(task) = self.tasks.get_mut(name) else { return false };
+        let Some(task) = self.tasks.get_mut(name) else {
+            return false;
+        };
         let ends = task.is_held_under(token);
         if ends {
             if task.has_open_step() {
@@ -87,7 +107,9 @@
     }
 
     fn start_run(&mut self, name: &str, run: u64, day: u64) -> bool {
-        let Some(task) = self.tasks.get_mut(name) else { return false };
+        let Some(task) = self.tasks.get_mut(name) else {
+            return false;
+        };
         let is_next = task.run.is_none() && task.runs + 1 == run;
         if !is_next || task.spec.schedule == Schedule::Always {
             return false;
@@ -99,11 +121,15 @@
     }
 
     fn begin_step(&mut self, name: &str, token: FencingToken, number: u64, step: u32) -> bool {
-        let Some(task) = self.tasks.get_mut(name) else { return false };
+        let Some(task) = self.tasks.get_mut(name) else {
+            return false;
+        };
         if !task.is_held_under(token) || !task.runnable() {
             return false;
         }
-        let Some(run) = &mut task.run else { return false };
+        let Some(run) = &mut task.run else {
+            return false;
+        };
         let is_next = run.number == number && run.next_step == step && run.open_token.is_none();
         if is_next {
             run.open_token = Some(token);
@@ -111,10 +137,20 @@
         is_next
     }
 
-    fn record_outcome(&mut self, name: &str, token: FencingToken, step: u32, outcome: &Outcome) -> bool {
-        let Some(task) = self.tasks.get_mut(name) else { return false };
-        let is_open =
-            task.run.as_ref().is_some_and(|run| run.next_step == step && run.open_token == Some(token));
+    fn record_outcome(
+        &mut self,
+        name: &str,
+        token: FencingToken,
+        step: u32,
+        outcome: &Outcome,
+    ) -> bool {
+        let Some(task) = self.tasks.get_mut(name) else {
+            return false;
+        };
+        let is_open = task
+            .run
+            .as_ref()
+            .is_some_and(|run| run.next_step == step && run.open_token == Some(token));
         if is_open && task.is_held_under(token) {
             task.finish_step(outcome.truncated());
         }
@@ -122,7 +158,9 @@
     }
 
     fn set_paused(&mut self, name: &str, paused: bool) -> bool {
-        let Some(task) = self.tasks.get_mut(name) else { return false };
+        let Some(task) = self.tasks.get_mut(name) else {
+            return false;
+        };
         task.paused = paused;
         if paused {
             return true;
--- a/crates/leases/src/task.rs
+++ b/crates/leases/src/task.rs
@@ -115,7 +115,10 @@
     /// Whether the task is to have a holder.
     pub fn runnable(&self) -> bool {
         let is_blocked = self.paused || self.forbidden || self.removed;
-        let run_goes_on = self.run.as_ref().is_some_and(|run| run.halted_reason.is_none());
+        let run_goes_on = self
+            .run
+            .as_ref()
+            .is_some_and(|run| run.halted_reason.is_none());
         !is_blocked && (self.spec.schedule == Schedule::Always || run_goes_on)
     }
 
@@ -141,20 +144,36 @@
 
     /// Whether the lease of this token is the one that is granted.
     pub(crate) fn is_held_under(&self, token: FencingToken) -> bool {
-        self.lease.as_ref().is_some_and(|lease| lease.token == token)
+        self.lease
+            .as_ref()
+            .is_some_and(|lease| lease.token == token)
     }
 
     /// Whether a step is begun and not over.
     pub(crate) fn has_open_step(&self) -> bool {
-        self.run.as_ref().is_some_and(|run| run.open_token.is_some())
+        self.run
+            .as_ref()
+            .is_some_and(|run| run.open_token.is_some())
     }
 
     /// Ends the open step with this outcome, adds it to the history, and moves the run on or halts it.
     pub(crate) fn finish_step(&mut self, outcome: Outcome) {
         let Some(run) = self.run.as_mut() else { return };
-        let Some(token) = run.open_token.take() else { return };
-        let member = self.lease.as_ref().map(|lease| lease.holder.name.clone()).unwrap_or_default();
-        let record = StepRecord { run: run.number, step: run.next_step, token, member, outcome };
+        let Some(token) = run.open_token.take() else {
+            return;
+        };
+        let member = self
+            .lease
+            .as_ref()
+            .map(|lease| lease.holder.name.clone())
+            .unwrap_or_default();
+        let record = StepRecord {
+            run: run.number,
+            step: run.next_step,
+            token,
+            member,
+            outcome,
+        };
         run.advance(&record, &self.spec);
         if run.next_step >= self.spec.step_count && run.halted_reason.is_none() {
             self.run = None;
@@ -169,13 +188,18 @@
 impl Run {
     /// The run of this number, before its first step.
     pub(crate) fn new(number: u64) -> Run {
-        Run { number, ..Run::default() }
+        Run {
+            number,
+            ..Run::default()
+        }
     }
 
     /// What follows from a step that is over.
     fn advance(&mut self, record: &StepRecord, spec: &TaskSpec) {
         match (&record.outcome, spec.on_unknown) {
-            (Outcome::Done, _) | (Outcome::Unknown(_), OnUnknownOutcome::Skip) => self.go_to_next_step(),
+            (Outcome::Done, _) | (Outcome::Unknown(_), OnUnknownOutcome::Skip) => {
+                self.go_to_next_step()
+            }
             (Outcome::Unknown(_), OnUnknownOutcome::Repeat) => {}
             (Outcome::Unknown(reason), OnUnknownOutcome::Halt) => {
                 // An operator who resumes the run has decided about this step: it goes on behind it.
@@ -186,7 +210,10 @@
                 self.attempts += 1;
                 if self.attempts >= spec.max_attempts {
                     self.attempts = 0;
-                    self.halt(record, &format!("never ran in {} tries ({reason})", spec.max_attempts));
+                    self.halt(
+                        record,
+                        &format!("never ran in {} tries ({reason})", spec.max_attempts),
+                    );
                 }
             }
         }
@@ -198,6 +225,9 @@
     }
 
     fn halt(&mut self, record: &StepRecord, reason: &str) {
-        self.halted_reason = Some(format!("step {} of run {}: {reason}", record.step, record.run));
+        self.halted_reason = Some(format!(
+            "step {} of run {}: {reason}",
+            record.step, record.run
+        ));
     }
 }
--- a/crates/leases/src/token.rs
+++ b/crates/leases/src/token.rs
@@ -9,7 +9,9 @@
 /// between its last look at the clock and its action. The default, 0, is the token of no lease.
 ///
 /// The serialized form is the bare number.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(transparent)]
 pub struct FencingToken(u64);
 
--- a/crates/leases/tests/commands.rs
+++ b/crates/leases/tests/commands.rs
@@ -2,12 +2,17 @@
 
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
-    Command, FencingToken, OnUnknownOutcome, Outcome, Run, Schedule, State, StepRecord, Task, TaskSpec,
+    Command, FencingToken, OnUnknownOutcome, Outcome, Run, Schedule, State, StepRecord, Task,
+    TaskSpec,
 };
 use proptest::prelude::*;
 
 fn any_task() -> impl Strategy<Value = String> {
-    prop_oneof![Just("a".to_owned()), Just("b".to_owned()), Just("none".to_owned())]
+    prop_oneof![
+        Just("a".to_owned()),
+        Just("b".to_owned()),
+        Just("none".to_owned())
+    ]
 }
 
 fn any_token() -> impl Strategy<Value = FencingToken> {
@@ -25,22 +30,38 @@
 fn any_command() -> impl Strategy<Value = Command> {
     prop_oneof![
         (any_task(), 0..3u64).prop_map(|(task, incarnation)| {
-            Command::GrantLease { task, holder: MemberId::new("m", incarnation) }
+            Command::GrantLease {
+                task,
+                holder: MemberId::new("m", incarnation),
+            }
         }),
         (any_task(), any_token()).prop_map(|(task, token)| Command::EndLease { task, token }),
         (any_task(), 0..4u64).prop_map(|(task, run)| Command::StartRun { task, run, day: 0 }),
-        (any_task(), any_token(), 0..4u64, 0..3u32).prop_map(|(task, token, run, step)| Command::BeginStep {
-            task,
-            token,
-            run,
-            step
-        }),
-        (any_task(), any_token(), 0..3u32, any_outcome()).prop_map(|(task, token, step, outcome)| {
-            Command::RecordOutcome { task, token, step, outcome }
+        (any_task(), any_token(), 0..4u64, 0..3u32).prop_map(|(task, token, run, step)| {
+            Command::BeginStep {
+                task,
+                token,
+                run,
+                step,
+            }
         }),
+        (any_task(), any_token(), 0..3u32, any_outcome()).prop_map(
+            |(task, token, step, outcome)| {
+                Command::RecordOutcome {
+                    task,
+                    token,
+                    step,
+                    outcome,
+                }
+            }
+        ),
         (any_task(), any::<bool>()).prop_map(|(task, paused)| Command::SetPaused { task, paused }),
         any::<bool>().prop_map(|forbids| {
-            let names = if forbids { vec!["a".to_owned()] } else { Vec::new() };
+            let names = if forbids {
+                vec!["a".to_owned()]
+            } else {
+                Vec::new()
+            };
             Command::SetForbidden(names)
         }),
     ]
@@ -48,9 +69,14 @@
 
 /// Promise 1: a lease is granted only where none is, with a token that is new.
 fn check_lease(before: &Task, now: &Task, last_token: FencingToken) -> Result<(), TestCaseError> {
-    let Some(lease) = &now.lease else { return Ok(()) };
+    let Some(lease) = &now.lease else {
+        return Ok(());
+    };
     if now.lease != before.lease {
-        prop_assert!(before.lease.is_none(), "no lease is replaced before it has ended");
+        prop_assert!(
+            before.lease.is_none(),
+            "no lease is replaced before it has ended"
+        );
         prop_assert_eq!(lease.token, last_token);
     }
     let open_token = now.run.as_ref().and_then(|run| run.open_token);
@@ -62,9 +88,12 @@
 fn check_run(before: &Run, now: &Run, task: &Task) -> Result<(), TestCaseError> {
     prop_assert!(now.number != before.number || now.next_step >= before.next_step);
     let was_begun = now.open_token.is_some() && before.open_token.is_none();
-    let of_this_step = |record: &&StepRecord| record.run == now.number && record.step == now.next_step;
+    let of_this_step =
+        |record: &&StepRecord| record.run == now.number && record.step == now.next_step;
     let last = task.history.iter().rev().find(of_this_step);
-    prop_assert!(!was_begun || last.is_none_or(|record| matches!(record.outcome, Outcome::NotRun(_))));
+    prop_assert!(
+        !was_begun || last.is_none_or(|record| matches!(record.outcome, Outcome::NotRun(_)))
+    );
     Ok(())
 }
 
--- a/crates/leases/tests/common/encoding.rs
+++ b/crates/leases/tests/common/encoding.rs
@@ -13,7 +13,8 @@
     /// Adds a tag and a value in its serialized form.
     pub fn value<T: Serialize>(&mut self, tag: u8, value: &T) {
         self.bytes.push(tag);
-        self.bytes.extend(postcard::to_stdvec(value).expect("a plain value has a serialized form"));
+        self.bytes
+            .extend(postcard::to_stdvec(value).expect("a plain value has a serialized form"));
     }
 
     /// Adds whether a permit was given, or why not.
--- a/crates/leases/tests/common/member.rs
+++ b/crates/leases/tests/common/member.rs
@@ -6,8 +6,8 @@
 use super::world::Coverage;
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
-    ActionPermit, Command, InjectedBug, LeaseHolder, Outcome, PermitDenied, PermittedAction, PollRequest,
-    PollResponse,
+    ActionPermit, Command, InjectedBug, LeaseHolder, Outcome, PermitDenied, PermittedAction,
+    PollRequest, PollResponse,
 };
 
 /// A permit in use: the action starts at `start_at`.
@@ -64,7 +64,11 @@
 
 fn new_holder(index: usize, incarnation: u64, injected_bug: InjectedBug) -> LeaseHolder {
     let zone = ["east", "west"][index % 2];
-    LeaseHolder::new(MemberId::new(format!("m{index}"), incarnation), zone, injected_bug)
+    LeaseHolder::new(
+        MemberId::new(format!("m{index}"), incarnation),
+        zone,
+        injected_bug,
+    )
 }
 
 impl Member {
@@ -115,7 +119,8 @@
     /// Takes a response in.
     pub fn receive(&mut self, response: Response) {
         if response.incarnation == self.incarnation {
-            self.holder.handle_response(response.sent_at, response.response);
+            self.holder
+                .handle_response(response.sent_at, response.response);
         }
     }
 
@@ -132,16 +137,31 @@
         let request = self.holder.poll_request();
         output.value(b'a', &request);
         output.value(b'w', &commands);
-        Some(Poll { member: self.index, incarnation: self.incarnation, sent_at: clock, request, commands })
+        Some(Poll {
+            member: self.index,
+            incarnation: self.incarnation,
+            sent_at: clock,
+            request,
+            commands,
+        })
     }
 
     /// Gets permits, acts, and notes outcomes.
-    pub fn work(&mut self, now: f64, random: &mut Random, output: &mut Output, coverage: &mut Coverage) {
+    pub fn work(
+        &mut self,
+        now: f64,
+        random: &mut Random,
+        output: &mut Output,
+        coverage: &mut Coverage,
+    ) {
         let clock = self.clock(now);
         self.end_actions(now, random, coverage);
         self.start_actions(now, random, output, coverage);
         let ready = self.holder.ready_steps();
-        let encoded: Vec<_> = ready.iter().map(|step| (&step.task, step.max_step_ms)).collect();
+        let encoded: Vec<_> = ready
+            .iter()
+            .map(|step| (&step.task, step.max_step_ms))
+            .collect();
         output.value(b'b', &encoded);
         if random.percent(4) {
             self.busy_until = now + random.millis(500, 6000);
@@ -156,7 +176,8 @@
                 Ok(unused) => drop(unused),
                 Err(denied @ PermitDenied::LeaseExpiring) => {
                     coverage.not_run += 1;
-                    self.holder.record_not_run(&step.task, Outcome::NotRun(denied.to_string()));
+                    self.holder
+                        .record_not_run(&step.task, Outcome::NotRun(denied.to_string()));
                 }
                 Err(_) => {}
             }
@@ -177,10 +198,17 @@
         self.planned.push(Planned { permit, start_at });
     }
 
-    fn start_actions(&mut self, now: f64, random: &mut Random, output: &mut Output, coverage: &mut Coverage) {
+    fn start_actions(
+        &mut self,
+        now: f64,
+        random: &mut Random,
+        output: &mut Output,
+        coverage: &mut Coverage,
+    ) {
         let clock = self.clock(now);
-        let (due, later): (Vec<Planned>, Vec<Planned>) =
-            std::mem::take(&mut self.planned).into_iter().partition(|planned| planned.start_at <= now);
+        let (due, later): (Vec<Planned>, Vec<Planned>) = std::mem::take(&mut self.planned)
+            .into_iter()
+            .partition(|planned| planned.start_at <= now);
         self.planned = later;
         for planned in due {
             match planned.permit.start(clock) {
@@ -199,8 +227,9 @@
     }
 
     fn end_actions(&mut self, now: f64, random: &mut Random, coverage: &mut Coverage) {
-        let (due, later): (Vec<Running>, Vec<Running>) =
-            std::mem::take(&mut self.running).into_iter().partition(|running| running.end_at <= now);
+        let (due, later): (Vec<Running>, Vec<Running>) = std::mem::take(&mut self.running)
+            .into_iter()
+            .partition(|running| running.end_at <= now);
         self.running = later;
         for running in due {
             coverage.acted += 1;
@@ -216,7 +245,9 @@
 
     fn observe(&self, clock: f64, task: &str, output: &mut Output) {
         let active = self.holder.active_leases(clock);
-        let held: Vec<_> = active.map(|lease| (lease.view, lease.remaining_ms)).collect();
+        let held: Vec<_> = active
+            .map(|lease| (lease.view, lease.remaining_ms))
+            .collect();
         output.value(b'H', &held);
         output.value(b'T', &self.holder.lease(task));
     }
--- a/crates/leases/tests/common/tasks.rs
+++ b/crates/leases/tests/common/tasks.rs
@@ -4,7 +4,9 @@
 use beamgap_leases::{OnUnknownOutcome, Schedule, TaskSpec};
 
 /// Names that commands may speak of; the last one is never defined.
-pub const NAMES: [&str; 8] = ["always", "pinned", "asked", "repeat", "every", "daily", "slow", "nowhere"];
+pub const NAMES: [&str; 8] = [
+    "always", "pinned", "asked", "repeat", "every", "daily", "slow", "nowhere",
+];
 
 /// A valid list of tasks, changed at random from the usual one.
 pub fn random_tasks(random: &mut Random) -> Vec<TaskSpec> {
@@ -33,9 +35,15 @@
 
 /// One task of each schedule and of each rule for steps that may have run.
 pub fn usual_tasks() -> Vec<TaskSpec> {
-    let daily = Schedule::Daily { minute: 600, window: 90 };
+    let daily = Schedule::Daily {
+        minute: 600,
+        window: 90,
+    };
     vec![
-        TaskSpec { lease_ms: 3000.0, ..TaskSpec::new("always", Schedule::Always, "a") },
+        TaskSpec {
+            lease_ms: 3000.0,
+            ..TaskSpec::new("always", Schedule::Always, "a")
+        },
         TaskSpec {
             members: vec!["m1".to_owned(), "m2".to_owned()],
             ..TaskSpec::new("pinned", Schedule::Always, "b")
@@ -79,14 +87,44 @@
 pub fn invalid_task(random: &mut Random) -> TaskSpec {
     let valid = TaskSpec::new("invalid", Schedule::OnDemand, "h");
     match random.below(9) {
-        0 => TaskSpec { name: String::new(), ..valid },
-        1 => TaskSpec { name: "under_score".to_owned(), ..valid },
-        2 => TaskSpec { lease_ms: 999.0, ..valid },
-        3 => TaskSpec { step_count: 0, ..valid },
-        4 => TaskSpec { max_step_ms: 2600.0, ..valid },
-        5 => TaskSpec { max_attempts: 101, ..valid },
-        6 => TaskSpec { backoff_ms: -1.0, ..valid },
-        7 => TaskSpec { schedule: Schedule::Every(10.0), ..valid },
-        _ => TaskSpec { schedule: Schedule::Daily { minute: 1440, window: 1 }, ..valid },
+        0 => TaskSpec {
+            name: String::new(),
+            ..valid
+        },
+        1 => TaskSpec {
+            name: "under_score".to_owned(),
+            ..valid
+        },
+        2 => TaskSpec {
+            lease_ms: 999.0,
+            ..valid
+        },
+        3 => TaskSpec {
+            step_count: 0,
+            ..valid
+        },
+        4 => TaskSpec {
+            max_step_ms: 2600.0,
+            ..valid
+        },
+        5 => TaskSpec {
+            max_attempts: 101,
+            ..valid
+        },
+        6 => TaskSpec {
+            backoff_ms: -1.0,
+            ..valid
+        },
+        7 => TaskSpec {
+            schedule: Schedule::Every(10.0),
+            ..valid
+        },
+        _ => TaskSpec {
+            schedule: Schedule::Daily {
+                minute: 1440,
+                window: 1,
+            },
+            ..valid
+        },
     }
 }
--- a/crates/leases/tests/common/world.rs
+++ b/crates/leases/tests/common/world.rs
@@ -6,7 +6,8 @@
 use super::tasks::{invalid_task, random_tasks, usual_tasks, NAMES};
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
-    ActionPermit, ClockBounds, Command, FencingToken, InjectedBug, LeaseLeader, Outcome, PermitDenied, State,
+    ActionPermit, ClockBounds, Command, FencingToken, InjectedBug, LeaseLeader, Outcome,
+    PermitDenied, State,
 };
 
 const MEMBERS: usize = 4;
@@ -66,8 +67,9 @@
 
 /// Takes out what has arrived, in the order in which it was sent.
 fn arrived<T>(in_flight: &mut Vec<InFlight<T>>, now: f64) -> Vec<T> {
-    let (due, later): (Vec<_>, Vec<_>) =
-        std::mem::take(in_flight).into_iter().partition(|sent| sent.arrives_at <= now);
+    let (due, later): (Vec<_>, Vec<_>) = std::mem::take(in_flight)
+        .into_iter()
+        .partition(|sent| sent.arrives_at <= now);
     *in_flight = later;
     due.into_iter().map(|sent| sent.message).collect()
 }
@@ -88,7 +90,9 @@
             state,
             leaders,
             leader: Some(0),
-            members: (0..MEMBERS).map(|index| Member::new(index, injected_bug)).collect(),
+            members: (0..MEMBERS)
+                .map(|index| Member::new(index, injected_bug))
+                .collect(),
             polls: Vec::new(),
             responses: Vec::new(),
             log: Vec::new(),
@@ -121,7 +125,10 @@
     fn propose(&mut self, command: Command) {
         if self.random.percent(95) {
             let arrives_at = self.now + self.random.millis(0, 120);
-            self.log.push(InFlight { message: command, arrives_at });
+            self.log.push(InFlight {
+                message: command,
+                arrives_at,
+            });
         }
     }
 
@@ -132,7 +139,9 @@
         for poll in polls {
             let response = self.leaders[leader].handle_request(clock, &self.state, &poll.request);
             output.value(b'r', &response);
-            poll.commands.into_iter().for_each(|command| self.propose(command));
+            poll.commands
+                .into_iter()
+                .for_each(|command| self.propose(command));
             let arrives_at = self.now + self.random.millis(0, 150);
             let response = Response {
                 member: poll.member,
@@ -141,14 +150,19 @@
                 response,
             };
             if self.random.percent(90) {
-                self.responses.push(InFlight { message: response, arrives_at });
+                self.responses.push(InFlight {
+                    message: response,
+                    arrives_at,
+                });
             }
         }
         let minute = (self.now / MILLIS_PER_MINUTE) as u64;
         let known_minute = self.random.percent(90).then_some(minute);
         let commands = self.leaders[leader].tick(clock, known_minute, &self.state);
         output.value(b'l', &commands);
-        commands.into_iter().for_each(|command| self.propose(command));
+        commands
+            .into_iter()
+            .for_each(|command| self.propose(command));
     }
 
     fn commit(&mut self) {
@@ -162,12 +176,24 @@
             let runs = state.tasks.values().filter_map(|task| task.run.as_ref());
             runs.filter(|run| run.halted_reason.is_some()).count()
         };
-        let running = |state: &State| state.tasks.values().filter(|task| task.run.is_some()).count();
+        let running = |state: &State| {
+            state
+                .tasks
+                .values()
+                .filter(|task| task.run.is_some())
+                .count()
+        };
         let before = (halted(&self.state), running(&self.state));
         self.state.apply(command);
         self.coverage.halted += usize::from(halted(&self.state) > before.0);
         self.coverage.finished_runs += usize::from(running(&self.state) < before.1);
-        if matches!(command, Command::RecordOutcome { outcome: Outcome::Unknown(_), .. }) {
+        if matches!(
+            command,
+            Command::RecordOutcome {
+                outcome: Outcome::Unknown(_),
+                ..
+            }
+        ) {
             self.coverage.unknown_outcomes += 1;
         }
     }
@@ -189,11 +215,16 @@
             member.work(self.now, &mut self.random, output, &mut self.coverage);
             let poll = member.poll(self.now, &mut self.random, output);
             let lost = self.now < member.silent_until || self.random.percent(8);
-            let Some(poll) = poll.filter(|_| !lost) else { continue };
+            let Some(poll) = poll.filter(|_| !lost) else {
+                continue;
+            };
             let copies = if self.random.percent(3) { 2 } else { 1 };
             for _ in 0..copies {
                 let arrives_at = self.now + self.random.millis(0, 200);
-                self.polls.push(InFlight { message: poll.clone(), arrives_at });
+                self.polls.push(InFlight {
+                    message: poll.clone(),
+                    arrives_at,
+                });
             }
         }
     }
@@ -204,7 +235,10 @@
             output.value(b'y', &(task.runnable(), task.blocked_reason()));
             let Some(lease) = &task.lease else { continue };
             for (index, leader) in self.leaders.iter().enumerate() {
-                output.value(b'n', &leader.since_renewal(self.leader_clock(index), lease.token));
+                output.value(
+                    b'n',
+                    &leader.since_renewal(self.leader_clock(index), lease.token),
+                );
             }
         }
     }
@@ -219,15 +253,29 @@
                 self.propose(Command::DefineTasks(tasks));
             }
             2 => self.propose(Command::DefineTasks(usual_tasks())),
-            3 | 4 => self.propose(Command::SetPaused { task: name, paused: true }),
-            5..=7 => self.propose(Command::SetPaused { task: name, paused: false }),
+            3 | 4 => self.propose(Command::SetPaused {
+                task: name,
+                paused: true,
+            }),
+            5..=7 => self.propose(Command::SetPaused {
+                task: name,
+                paused: false,
+            }),
             8..=10 => {
                 let run = self.state.tasks.get(&name).map_or(1, |task| task.runs + 1);
-                self.propose(Command::StartRun { task: name, run, day: 0 });
+                self.propose(Command::StartRun {
+                    task: name,
+                    run,
+                    day: 0,
+                });
             }
             11 => self.release(&name),
             12 => {
-                let forbidden = if self.random.percent(50) { vec![name] } else { Vec::new() };
+                let forbidden = if self.random.percent(50) {
+                    vec![name]
+                } else {
+                    Vec::new()
+                };
                 self.propose(Command::SetForbidden(forbidden));
             }
             13 => self.members[member].drain(self.now),
@@ -240,7 +288,12 @@
     }
 
     fn release(&mut self, name: &str) {
-        let token = self.state.tasks.get(name).and_then(|task| task.lease.as_ref()).map(|lease| lease.token);
+        let token = self
+            .state
+            .tasks
+            .get(name)
+            .and_then(|task| task.lease.as_ref())
+            .map(|lease| lease.token);
         if let (Some(leader), Some(token)) = (self.leader, token) {
             let clock = self.leader_clock(leader);
             self.leaders[leader].release(clock, token);
@@ -269,16 +322,32 @@
         let step = self.random.below(3) as u32;
         let run = self.state.tasks.get(&task).map_or(0, |task| task.runs);
         let command = match self.random.below(5) {
-            0 => Command::GrantLease { task, holder: MemberId::new("m9", 1) },
+            0 => Command::GrantLease {
+                task,
+                holder: MemberId::new("m9", 1),
+            },
             1 => Command::EndLease { task, token },
-            2 => Command::BeginStep { task, token, run, step },
+            2 => Command::BeginStep {
+                task,
+                token,
+                run,
+                step,
+            },
             3 => Command::StartRun { task, run, day: 1 },
-            _ => Command::RecordOutcome { task, token, step, outcome: Outcome::Unknown("stray".to_owned()) },
+            _ => Command::RecordOutcome {
+                task,
+                token,
+                step,
+                outcome: Outcome::Unknown("stray".to_owned()),
+            },
         };
         output.value(b'c', &command);
         self.apply(&command);
         let invalid = invalid_task(&mut self.random);
-        let problem = invalid.validate().err().map(|problem| (problem.key(), problem.to_string()));
+        let problem = invalid
+            .validate()
+            .err()
+            .map(|problem| (problem.key(), problem.to_string()));
         self.coverage.rejected_tasks += usize::from(problem.is_some());
         output.value(b'i', &problem);
         let member = self.random.index(MEMBERS);
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
-    ClockBounds, Command, FencingToken, InjectedBug, LeaseHolder, LeaseLeader, Schedule, State, TaskSpec,
-    SETTLING_TIME_MS,
+    ClockBounds, Command, FencingToken, InjectedBug, LeaseHolder, LeaseLeader, Schedule, State,
+    TaskSpec, SETTLING_TIME_MS,
 };
 use std::collections::BTreeMap;
 
@@ -74,7 +74,9 @@
             if !is_due {
                 continue;
             }
-            let response = self.leader.handle_request(self.now, &self.state, &member.poll_request());
+            let response =
+                self.leader
+                    .handle_request(self.now, &self.state, &member.poll_request());
             self.responses.all += 1;
             self.responses.with_list += usize::from(response.leases.is_some());
             member.handle_response(self.now, response);
@@ -130,7 +132,10 @@
     let lists = fleet.responses.with_list - before.with_list;
     let responses = fleet.responses.all - before.all;
     assert_eq!(fleet.state, state, "at rest nothing goes to the log");
-    assert_eq!(lists, 0, "of {responses} responses none repeats a list that is known");
+    assert_eq!(
+        lists, 0,
+        "of {responses} responses none repeats a list that is known"
+    );
 }
 
 /// Promises 1 and 3.
@@ -161,8 +166,16 @@
         }
     }
     println!("longest without a holder: {longest_ms:.0} ms, lease {LEASE_MS:.0} ms");
-    assert!(longest_ms > 0.0 && longest_ms <= LEASE_MS + 2000.0, "{longest_ms}");
-    assert!(lost_at.values().all(|at| fleet.now - at <= LEASE_MS + 2000.0), "{lost_at:?}");
+    assert!(
+        longest_ms > 0.0 && longest_ms <= LEASE_MS + 2000.0,
+        "{longest_ms}"
+    );
+    assert!(
+        lost_at
+            .values()
+            .all(|at| fleet.now - at <= LEASE_MS + 2000.0),
+        "{lost_at:?}"
+    );
 }
 
 /// Promise 5.
@@ -176,11 +189,17 @@
     for _ in 0..5 {
         fleet.start(0);
         fleet.run(2000.0);
-        assert!(fleet.holders().values().all(|(member, _)| *member != 0), "it is still settling");
+        assert!(
+            fleet.holders().values().all(|(member, _)| *member != 0),
+            "it is still settling"
+        );
         fleet.members[0] = None;
         fleet.run(1000.0);
     }
-    assert_eq!(fleet.state.last_token, last_token, "no lease moved because of it");
+    assert_eq!(
+        fleet.state.last_token, last_token,
+        "no lease moved because of it"
+    );
 }
 
 /// Promise 3.
@@ -191,7 +210,10 @@
     fleet.members[1].as_mut().unwrap().start_draining();
     fleet.run(2.0 * POLL_INTERVAL_MS + 200.0);
     let holders = fleet.holders();
-    assert!(holders.values().all(|(member, _)| *member != 1), "{holders:?}");
+    assert!(
+        holders.values().all(|(member, _)| *member != 1),
+        "{holders:?}"
+    );
     fleet.run(POLL_INTERVAL_MS);
     assert_eq!(fleet.holders().len(), 30, "others hold them");
 }
--- a/crates/leases/tests/replay.rs
+++ b/crates/leases/tests/replay.rs
@@ -20,13 +20,48 @@
 }
 
 const SCENARIOS: [Scenario; 7] = [
-    Scenario { name: "seed-1", seed: 1, steps: 3500, injected_bug: InjectedBug::None },
-    Scenario { name: "seed-2", seed: 2, steps: 3500, injected_bug: InjectedBug::None },
-    Scenario { name: "seed-3", seed: 3, steps: 3500, injected_bug: InjectedBug::None },
-    Scenario { name: "bug-1", seed: 4, steps: 600, injected_bug: InjectedBug::NoMargin },
-    Scenario { name: "bug-2", seed: 5, steps: 600, injected_bug: InjectedBug::NoWait },
-    Scenario { name: "bug-3", seed: 6, steps: 600, injected_bug: InjectedBug::ActFirst },
-    Scenario { name: "bug-4", seed: 7, steps: 600, injected_bug: InjectedBug::HoldsOn },
+    Scenario {
+        name: "seed-1",
+        seed: 1,
+        steps: 3500,
+        injected_bug: InjectedBug::None,
+    },
+    Scenario {
+        name: "seed-2",
+        seed: 2,
+        steps: 3500,
+        injected_bug: InjectedBug::None,
+    },
+    Scenario {
+        name: "seed-3",
+        seed: 3,
+        steps: 3500,
+        injected_bug: InjectedBug::None,
+    },
+    Scenario {
+        name: "bug-1",
+        seed: 4,
+        steps: 600,
+        injected_bug: InjectedBug::NoMargin,
+    },
+    Scenario {
+        name: "bug-2",
+        seed: 5,
+        steps: 600,
+        injected_bug: InjectedBug::NoWait,
+    },
+    Scenario {
+        name: "bug-3",
+        seed: 6,
+        steps: 600,
+        injected_bug: InjectedBug::ActFirst,
+    },
+    Scenario {
+        name: "bug-4",
+        seed: 7,
+        steps: 600,
+        injected_bug: InjectedBug::HoldsOn,
+    },
 ];
 
 impl Scenario {
@@ -47,9 +82,18 @@
 fn clock_digest() -> String {
     let mut output = Output::default();
     for (max_drift, safety_margin) in [(0.05, 0.05), (0.0, 0.0), (0.07, 0.013), (0.6, 0.5)] {
-        let clocks = ClockBounds { max_drift, safety_margin };
+        let clocks = ClockBounds {
+            max_drift,
+            safety_margin,
+        };
         for length in [1000.0, 4999.9, 5000.0, 600_000.0] {
-            output.value(b'd', &(clocks.usable_for(length), clocks.expired_everywhere_after(length)));
+            output.value(
+                b'd',
+                &(
+                    clocks.usable_for(length),
+                    clocks.expired_everywhere_after(length),
+                ),
+            );
         }
     }
     output.digest()
@@ -58,27 +102,47 @@
 #[test]
 fn the_state_machines_put_out_what_was_recorded() {
     for scenario in &SCENARIOS {
-        let recording = fs::read_to_string(scenario.path()).expect("the recording is in the repository");
+        let recording =
+            fs::read_to_string(scenario.path()).expect("the recording is in the repository");
         let recorded: Vec<&str> = recording.lines().collect();
         let (played, _) = scenario.play();
         for (step, (played, recorded)) in played.iter().zip(&recorded).enumerate() {
-            assert_eq!(played, recorded, "{}: step {step} is the first that differs", scenario.name);
+            assert_eq!(
+                played, recorded,
+                "{}: step {step} is the first that differs",
+                scenario.name
+            );
         }
-        assert_eq!(played.len(), recorded.len(), "{}: number of steps", scenario.name);
+        assert_eq!(
+            played.len(),
+            recorded.len(),
+            "{}: number of steps",
+            scenario.name
+        );
     }
 }
 
 #[test]
 fn the_recorded_worlds_exercise_permits_denials_runs_and_leader_changes() {
-    let sound = SCENARIOS.iter().filter(|scenario| scenario.injected_bug == InjectedBug::None);
+    let sound = SCENARIOS
+        .iter()
+        .filter(|scenario| scenario.injected_bug == InjectedBug::None);
     let coverages: Vec<Coverage> = sound.map(|scenario| scenario.play().1).collect();
     let total = |count: fn(&Coverage) -> usize| coverages.iter().map(count).sum::<usize>();
     for (what, count, least) in [
         ("permits", total(|c| c.permits), 1000),
         ("denied, not held", total(|c| c.denied_not_held), 10_000),
-        ("denied, too little of the lease left", total(|c| c.denied_lease_expiring), 200),
+        (
+            "denied, too little of the lease left",
+            total(|c| c.denied_lease_expiring),
+            200,
+        ),
         ("denied, not runnable", total(|c| c.denied_not_runnable), 10),
-        ("denied, no step begun", total(|c| c.denied_step_not_begun), 500),
+        (
+            "denied, no step begun",
+            total(|c| c.denied_step_not_begun),
+            500,
+        ),
         ("recorded as not run", total(|c| c.not_run), 3),
         ("expired before the action", total(|c| c.expired), 50),
         ("actions", total(|c| c.acted), 1000),
@@ -98,6 +162,7 @@
 fn record() {
     for scenario in &SCENARIOS {
         let (lines, _) = scenario.play();
-        fs::write(scenario.path(), lines.join("\n") + "\n").expect("the folder of recordings is writable");
+        fs::write(scenario.path(), lines.join("\n") + "\n")
+            .expect("the folder of recordings is writable");
     }
 }
