--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -2,21 +2,20 @@
 //! list of engines. It holds the front end's right to admit, and asks the council for it.
 
 use super::budgets::{Further, Held, Shares};
-use super::document::{parse_and_validate, ValidationContext};
-use super::message::{decode, encode, FleetRequest, FleetResponse};
-use super::settings::FleetSettings;
-use super::state_machine::FleetStateMachine;
-use super::tasks::Keeper;
-use super::test_hooks::{machine_clock, TestHooks};
-use crate::{EngineEntry, EngineId, EngineState, Settings as ModuleSettings};
+use super::document::{usable, Here};
+use super::machine::{decode, encode, Answer, FleetMachine, Question};
+use super::settings::Fleet;
+use super::tasks::TaskRunner;
+use super::trial::{machine_clock, Trial};
+use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
 use beamgap_config::Problem;
-use beamgap_consensus::node::TaggedResponse;
-use beamgap_consensus::{ConsensusNode, Settings};
+use beamgap_consensus::{Council, Settings};
 use beamgap_fleet_types::MemberId;
-use beamgap_policy::document::{Policy, FORMAT_VERSION};
-use beamgap_policy::rollout::{InjectedBug, MemberAction, PolicyMember, ValidationError, Version};
-use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy, Rejection, RequestLimits};
-use beamgap_policy::validation::KnownNames;
+use beamgap_policy::check::Known;
+use beamgap_policy::document::{Policy, FORM};
+use beamgap_policy::rules::{Meter, No, Ruling, Terms};
+use beamgap_policy::rollout::member::{Act, Hold};
+use beamgap_policy::rollout::{Fault, Plant, Version};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -55,7 +54,7 @@
     classes: Vec<String>,
     ruling: Rc<CompiledPolicy>,
     meter: AdmissionMeter,
-    tasks: Keeper,
+    tasks: TaskRunner,
     shares: Rc<RefCell<Shares>>,
     /// The question that is out: its round, and when it was asked.
     asked: (u64, f64),
@@ -102,7 +101,7 @@
         let wake: Arc<dyn Fn() + Send + Sync> = Arc::new(wake);
         let woken = wake.clone();
         let zone = zones.first().map(String::as_str).unwrap_or_default();
-        let tasks = Keeper::new(&fleet.member, life, zone, fleet.test_hooks, wake);
+        let tasks = TaskRunner::new(MemberId::new(&fleet.member, life), zone, fleet.test_hooks, wake);
         let machine = FleetStateMachine::new(fleet.timings, life, &fleet.test_hooks);
         let machine = Arc::new(Mutex::new(machine));
         let consensus =
@@ -138,7 +137,7 @@
 
     /// The front end is about to end: it gives up what it holds of the fleet's tasks.
     pub fn drain(&mut self) {
-        self.tasks.drain();
+        self.tasks.start_draining();
         self.shares.borrow_mut().drain();
     }
 
@@ -242,7 +241,7 @@
                 }
                 Some(FleetResponse::All(reply, leases, shares)) => {
                     if round == self.asked.0 {
-                        self.tasks.reply(self.asked.1, leases);
+                        self.tasks.handle_response(self.asked.1, leases);
                         self.shares.borrow_mut().reply(now, shares);
                     }
                     for act in self.hold.handle_response(now, reply) {
@@ -251,7 +250,7 @@
                 }
                 Some(FleetResponse::PolicyAndTasks(reply, leases)) => {
                     if round == self.asked.0 {
-                        self.tasks.reply(self.asked.1, leases);
+                        self.tasks.handle_response(self.asked.1, leases);
                     }
                     for act in self.hold.handle_response(now, reply) {
                         self.act(act, &mut changed, &mut lines);
@@ -265,8 +264,8 @@
             }
         }
         let now = self.now();
-        self.tasks.work(now);
-        if self.tasks.hurries(now) {
+        self.tasks.advance(now);
+        if self.tasks.wants_early_poll(now) {
             self.hold.poll_no_later_than(self.asked.1 + HURRY);
         }
         if let Some(soon) = self.shares.borrow().hurries(now) {
@@ -280,11 +279,11 @@
             let question = match now < self.plain_until {
                 true => FleetRequest::PollPolicy(ask),
                 false if self.shares.borrow().is_empty() => {
-                    FleetRequest::PollPolicyAndTasks(ask, self.tasks.ask(), self.tasks.wants(now, open))
+                    FleetRequest::PollPolicyAndTasks(ask, self.tasks.poll_request(), self.tasks.pending_commands(now, open))
                 }
                 false => {
                     let shares = self.shares.borrow_mut().ask(now, round);
-                    FleetRequest::PollAll(ask, self.tasks.ask(), self.tasks.wants(now, open), shares)
+                    FleetRequest::PollAll(ask, self.tasks.poll_request(), self.tasks.pending_commands(now, open), shares)
                 }
             };
             if !self.consensus.submit(round, encode(&question)) {
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -5,8 +5,9 @@
 use beamgap_budgets::leader::{
     Ask as BudgetPollRequest, Reply as BudgetPollResponse, Standing as BudgetStatus,
 };
-use beamgap_leases::leader::{Ask as LeasePollRequest, Reply as LeasePollResponse};
-use beamgap_leases::state::{Command as TaskCommand, Task};
+use beamgap_leases::{
+    Command as TaskCommand, PollRequest as LeasePollRequest, PollResponse as LeasePollResponse, Task,
+};
 use beamgap_policy::rollout::{
     ChangeOutcome, ChangeRecord, ChangeRequest, Command as PolicyCommand, LeaseKind, PolicyTimings,
     PollRequest as PolicyPollRequest, PollResponse as PolicyPollResponse, Version,
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -6,8 +6,8 @@
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_consensus::{VoterSlot, SLOT_STRIDE};
-use beamgap_leases::spec::Spec;
 use beamgap_fleet_types::is_valid_name;
+use beamgap_leases::TaskSpec;
 use beamgap_policy::rollout::PolicyTimings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,9 +29,9 @@
     /// Where it keeps what was agreed on, if it decides.
     pub data_dir: Option<PathBuf>,
     /// The fleet's figures, used when it is founded.
-    pub timings: Times,
+    pub timings: PolicyTimings,
     /// The tasks of its file, for `beamgap task apply`.
-    pub tasks: Vec<Spec>,
+    pub tasks: Vec<TaskSpec>,
     /// What a test has set.
     pub test_hooks: TestHooks,
 }
@@ -143,8 +143,8 @@
             Some(listen.map_or(Ok(*known), |text| address("listen", text))?)
         }
     };
-    let usual = Times::default();
-    let times = Times {
+    let usual = PolicyTimings::default();
+    let times = PolicyTimings {
         switch_bound: number("switch_ms", usual.switch_bound, 200.0, 60_000.0)?,
         right: number("right_ms", usual.right, 1_000.0, 600_000.0)?,
         check: number("check_ms", usual.check, 200.0, 60_000.0)?,
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -16,9 +16,10 @@
 use beamgap_budgets::Times as BudgetTimings;
 use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
 use beamgap_fleet_types::MemberId;
-use beamgap_leases::leader::{Ask as LeasePollRequest, Lead as LeaseLeader, Reply as LeasePollResponse};
-use beamgap_leases::state::{Command as TaskCommand, State as TaskState, Task};
-use beamgap_leases::{Clocks as ClockBounds, Token as FencingToken};
+use beamgap_leases::{
+    ClockBounds, Command as TaskCommand, FencingToken, LeaseLeader, PollRequest as LeasePollRequest,
+    PollResponse as LeasePollResponse, State as TaskState, Task,
+};
 use beamgap_policy::rollout::{
     Command as PolicyCommand, PolicyLeader, PolicyTimings, PollRequest as PolicyPollRequest,
     PollResponse as PolicyPollResponse, RolloutState, Version, EMPTY_POLICY,
@@ -79,7 +80,7 @@
 impl FleetStateMachine {
     /// An empty one. A new fleet gets `timings`; `seed` differs for each incarnation of the member.
     pub fn new(timings: PolicyTimings, seed: u64, hooks: &TestHooks) -> FleetStateMachine {
-        let clock_bounds = ClockBounds { drift: timings.max_drift, ..ClockBounds::default() };
+        let clock_bounds = ClockBounds { max_drift: timings.max_drift, ..ClockBounds::default() };
         let budget_timings = BudgetTimings::of_right(timings.lease_ms, timings.max_drift);
         FleetStateMachine {
             policy: RolloutState::default(),
@@ -109,7 +110,7 @@
     fn forbid_tasks(&mut self) {
         let read = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
         let names = read.map(|read| read.parsed.policy.forbidden_tasks.into_iter().collect()).unwrap_or_default();
-        self.tasks.apply(&TaskCommand::Forbid(names));
+        self.tasks.apply(&TaskCommand::SetForbidden(names));
     }
 
     fn poll_policy(&mut self, now: f64, request: &PolicyPollRequest) -> Handled {
@@ -134,7 +135,7 @@
         let is_member = lease_request.member == policy_request.member
             && self.policy.members.contains_key(&lease_request.member);
         let leases = if is_member {
-            self.lease_leader.answer(now, &self.tasks, lease_request)
+            self.lease_leader.handle_request(now, &self.tasks, lease_request)
         } else {
             LeasePollResponse::default()
         };
@@ -164,9 +165,9 @@
             lease.is_some_and(|lease| lease.token == token && lease.holder == request.member)
         };
         match command {
-            TaskCommand::Begin { task, token, .. }
-            | TaskCommand::Record { task, token, .. }
-            | TaskCommand::End { task, token } => holds(task, *token),
+            TaskCommand::BeginStep { task, token, .. }
+            | TaskCommand::RecordOutcome { task, token, .. }
+            | TaskCommand::EndLease { task, token } => holds(task, *token),
             _ => false,
         }
     }
@@ -180,7 +181,7 @@
 
     fn task_status(&self, now: f64, task: &Task) -> TaskStatus {
         let lease = task.lease.as_ref();
-        let renewed_ms_ago = lease.and_then(|lease| self.lease_leader.renewed_ago(now, lease.token));
+        let renewed_ms_ago = lease.and_then(|lease| self.lease_leader.since_renewal(now, lease.token));
         TaskStatus { task: task.clone(), renewed_ms_ago }
     }
 
@@ -190,7 +191,7 @@
         let Some(name) = name else {
             let mut statuses: Vec<_> = tasks.map(|task| self.task_status(now, task)).collect();
             for status in &mut statuses {
-                status.task.record.clear();
+                status.task.history.clear();
             }
             return statuses;
         };
@@ -323,7 +324,7 @@
             }
             Some(LogCommand::Task(command)) => {
                 self.tasks.apply(&command);
-                if matches!(command, TaskCommand::Define(_)) {
+                if matches!(command, TaskCommand::DefineTasks(_)) {
                     self.forbid_tasks();
                 }
             }
@@ -354,7 +355,7 @@
 
     fn set_leadership(&mut self, now: f64, is_leader: bool) {
         self.policy_leader.set_leadership(now, is_leader);
-        self.lease_leader.role(now, is_leader);
+        self.lease_leader.set_leadership(now, is_leader);
         self.budget_leader.role(now, is_leader);
     }
 
--- a/src/fleet/test_hooks.rs
+++ b/src/fleet/test_hooks.rs
@@ -8,7 +8,7 @@
 use beamgap_budgets::Plant as BudgetBug;
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::{Clock, InjectedBugs};
-use beamgap_leases::Plant as LeaseBug;
+use beamgap_leases::InjectedBug as LeaseBug;
 use beamgap_policy::rollout::InjectedBug as PolicyBug;
 use rustix::time::{clock_gettime, ClockId};
 use std::sync::Arc;
