--- a/crates/rig/src/checker.rs
+++ b/crates/rig/src/checker.rs
@@ -50,7 +50,7 @@
     /// What the fleet's tasks came to.
     pub acts: crate::acts::Acts,
     /// What came of the fleet's budgets, where the world has some.
-    pub shared: Vec<crate::shared::Seen>,
+    pub shared: Vec<crate::budget_checker::BudgetUsage>,
 }
 
 /// Judges a history; events in order of time.
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod acts;
 pub mod breaks;
+pub mod budget_checker;
 pub mod case;
 pub mod checker;
 pub mod client;
@@ -14,7 +15,6 @@
 pub mod history;
 pub mod process;
 pub mod relay;
-pub mod shared;
 pub mod target;
 pub mod world;
 
--- a/crates/rig/src/world/seeds.rs
+++ b/crates/rig/src/world/seeds.rs
@@ -1,7 +1,7 @@
 //! A whole world played from a seed.
 
 use super::*;
-use crate::shared::{judge_shared, Bound};
+use crate::budget_checker::{check_budgets, BudgetLimit, RateLimit};
 
 /// Tasks of a world that is played from a seed: one that must not be repeated, one that may.
 const TASKS: &str = r#"
@@ -46,12 +46,21 @@
     BUDGETS.replace("FLOOR", if seed.is_multiple_of(2) { floor } else { "" })
 }
 
-fn bounds(law: &Law) -> Vec<Bound> {
+fn bounds(law: &Law) -> Vec<BudgetLimit> {
     let versions = law.versions.iter().filter(|(_, v)| v.budgets).map(|(number, _)| *number);
     let versions: BTreeSet<u64> = versions.collect();
-    let leinster = Bound { account: "leinster".to_owned(), rate: Some((200.0, 16.0)), ..Bound::default() };
-    let looks = Bound { account: "munster".to_owned(), class: Some(0), most: Some(12), ..Bound::default() };
-    [leinster, looks].map(|bound| Bound { versions: versions.clone(), ..bound }).to_vec()
+    let leinster = BudgetLimit {
+        account: "leinster".to_owned(),
+        rate: Some(RateLimit { per_second: 200.0, burst: 16.0 }),
+        ..BudgetLimit::default()
+    };
+    let looks = BudgetLimit {
+        account: "munster".to_owned(),
+        class: Some(0),
+        max_in_flight: Some(12),
+        ..BudgetLimit::default()
+    };
+    [leinster, looks].map(|bound| BudgetLimit { versions: versions.clone(), ..bound }).to_vec()
 }
 
 /// Plays a whole world from a seed; the error tells the seed and the plan.
@@ -118,7 +127,7 @@
         let law = world.law()?;
         let summary = Summary { acts, ..world.judge()? };
         let shared = match shared {
-            true => judge_shared(&world.history.all(), &bounds(&law)).map_err(|b: Break| b.to_string())?,
+            true => check_budgets(&world.history.all(), &bounds(&law)).map_err(|b: Break| b.to_string())?,
             false => Vec::new(),
         };
         Ok(Summary { shared, ..summary })
--- a/crates/rig/tests/shared.rs
+++ b/crates/rig/tests/budget_checker.rs
@@ -1,7 +1,7 @@
-//! The judge of what the fleet owns in common, on made-up histories: good ones pass, and each bad one is told by what broke it.
+//! The history checker of budgets on made-up histories: good ones pass, and of each bad one the violation is reported.
 
+use beamgap_rig::budget_checker::{check_budgets, BudgetLimit, RateLimit};
 use beamgap_rig::history::{Event, What};
-use beamgap_rig::shared::{judge_shared, Bound};
 
 fn admit(at: f64, id: &str, account: &str) -> Event {
     let (member, id, account) = ("n0".to_owned(), id.to_owned(), account.to_owned());
@@ -20,22 +20,22 @@
     Event { at, what: What::Further { member: "n0".to_owned(), id: id.to_owned() } }
 }
 
-fn bound() -> Bound {
-    Bound { account: "a".to_owned(), versions: [1].into(), ..Bound::default() }
+fn limit() -> BudgetLimit {
+    BudgetLimit { account: "a".to_owned(), versions: [1].into(), ..BudgetLimit::default() }
 }
 
-fn broken(events: &[Event], bound: Bound) -> String {
-    judge_shared(events, &[bound]).expect_err("is found").to_string()
+fn violation(events: &[Event], limit: BudgetLimit) -> String {
+    check_budgets(events, &[limit]).expect_err("is found").to_string()
 }
 
 #[test]
-fn a_rate_is_judged_in_every_window() {
-    let rate = Bound { rate: Some((10.0, 3.0)), ..bound() };
+fn a_rate_is_checked_in_every_window() {
+    let rate = BudgetLimit { rate: Some(RateLimit { per_second: 10.0, burst: 3.0 }), ..limit() };
     // Three at once and then one each tenth of a second is all that may come.
     let mut good: Vec<Event> = (0..3).map(|i| admit(0.0, &format!("a{i}"), "a")).collect();
     good.extend((1..20).map(|i| admit(f64::from(i) * 100.0, &format!("b{i}"), "a")));
-    let seen = judge_shared(&good, std::slice::from_ref(&rate)).expect("is good");
-    assert_eq!((seen[0].admitted, seen[0].burst), (22, 3.0));
+    let usage = check_budgets(&good, std::slice::from_ref(&rate)).expect("is good");
+    assert_eq!((usage[0].admitted, usage[0].burst), (22, 3.0));
     // Another account's, and those of a version without the budget, do not count.
     good.push(admit(1900.0, "other", "b"));
     good.push(Event {
@@ -47,15 +47,15 @@
             other => other,
         },
     });
-    assert!(judge_shared(&good, std::slice::from_ref(&rate)).is_ok());
+    assert!(check_budgets(&good, std::slice::from_ref(&rate)).is_ok());
     let mut bad = good.clone();
     bad.push(admit(1910.0, "more", "a"));
-    assert!(broken(&bad, rate).contains("beyond 10 a second and 3 at once"));
+    assert!(violation(&bad, rate).contains("beyond 10 a second and 3 at once"));
 }
 
 #[test]
-fn a_stock_is_judged_by_what_engines_have_in_hand() {
-    let stock = Bound { most: Some(1), ..bound() };
+fn a_concurrency_limit_is_checked_by_requests_in_flight_at_engines() {
+    let concurrency = BudgetLimit { max_in_flight: Some(1), ..limit() };
     let good = [
         admit(0.0, "x", "a"),
         came(1.0, "e1", "x"),
@@ -66,21 +66,24 @@
         admit(5.0, "y", "a"),
         came(6.0, "e1", "y"),
     ];
-    assert_eq!(judge_shared(&good, std::slice::from_ref(&stock)).expect("is good")[0].widest, 1);
+    assert_eq!(
+        check_budgets(&good, std::slice::from_ref(&concurrency)).expect("is good")[0].most_in_flight,
+        1
+    );
     let mut bad = good.to_vec();
     bad.remove(4);
     bad.push(left(9.0, "e2", "x"));
-    assert!(broken(&bad, stock).contains("2 of 'a' are in hand"));
+    assert!(violation(&bad, concurrency).contains("2 of 'a' are in hand"));
 }
 
 #[test]
-fn an_attempt_without_leave_is_found_and_leaves_are_counted() {
-    let bound = Bound { further: Some((1.0, 1.0)), ..bound() };
+fn a_retry_without_permission_is_found_and_permitted_retries_are_counted() {
+    let limit = BudgetLimit { retries: Some(RateLimit { per_second: 1.0, burst: 1.0 }), ..limit() };
     let good = [admit(0.0, "x", "a"), came(1.0, "e", "x"), further(2.0, "x"), came(3.0, "e", "x")];
-    assert!(judge_shared(&good, std::slice::from_ref(&bound)).is_ok());
+    assert!(check_budgets(&good, std::slice::from_ref(&limit)).is_ok());
     let without = [good[0].clone(), good[1].clone(), good[3].clone()];
-    assert!(broken(&without, bound.clone()).contains("with leave for 0"));
+    assert!(violation(&without, limit.clone()).contains("with leave for 0"));
     let mut many = good.to_vec();
     many.push(further(4.0, "x"));
-    assert!(broken(&many, bound).contains("2 further attempts"));
+    assert!(violation(&many, limit).contains("2 further attempts"));
 }
--- a/examples/fleet_budgets.rs
+++ b/examples/fleet_budgets.rs
@@ -11,7 +11,7 @@
 use beamgap_budgets::{Plant, Times};
 use beamgap_rig::history::What;
 use beamgap_rig::now;
-use beamgap_rig::shared::{judge_shared, Bound};
+use beamgap_rig::budget_checker::{check_budgets, BudgetLimit, RateLimit};
 use beamgap_rig::world::{Options, World};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -99,8 +99,8 @@
     told("  part used from the third second on", &mut used, "of the whole");
     told("  divided by hand", &mut by_hand, "of the whole");
     world.judge()?;
-    let bound = Bound { rate: Some((RATE, RATE)), versions: [version].into(), ..Bound::default() };
-    let seen = judge_shared(&world.history.all(), &[bound]).map_err(|b| b.to_string())?;
+    let bound = BudgetLimit { rate: Some(RateLimit { per_second: RATE, burst: RATE }), versions: [version].into(), ..BudgetLimit::default() };
+    let seen = check_budgets(&world.history.all(), &[bound]).map_err(|b| b.to_string())?;
     println!("  {seen:?}");
     Ok(())
 }
--- a/tests/fleet_budgets.rs
+++ b/tests/fleet_budgets.rs
@@ -1,22 +1,26 @@
-//! Hard cases of budgets, each with several real processes. The promises are those of `docs/budgets.md`; after each case the
-//! judge looks at what members admitted and what engines had in hand.
+//! Fault cases of budgets, each with several real processes. The promises are those of `docs/budgets.md`; after each case the
+//! history checker compares what members admitted and what engines worked on with them.
 
+use beamgap_rig::budget_checker::{check_budgets, BudgetLimit, BudgetUsage, RateLimit};
 use beamgap_rig::case::Case;
 use beamgap_rig::faults::Fault;
 use beamgap_rig::history::What;
 use beamgap_rig::now;
 use beamgap_rig::relay::Way;
-use beamgap_rig::shared::{judge_shared, Bound, Seen};
 use beamgap_rig::world::{Options, World};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Duration;
 
-const SOON: Duration = Duration::from_secs(30);
+/// How long a condition is waited for.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two requests of a client that demands far more than its share.
 const FLOOD: Duration = Duration::from_millis(2);
+/// Time between two requests of a client with little demand.
 const CALM: Duration = Duration::from_millis(200);
 
-/// `RIG_TRIAL=plant=given-twice cargo test --test fleet_budgets` and the like: cases must fail then.
+/// Starts the processes. With an injected bug, as by `RIG_TRIAL=plant=given-twice cargo test --test fleet_budgets`, cases must
+/// fail.
 fn world(name: &str, options: Options) -> Case {
     Case::start(Path::new(env!("CARGO_BIN_EXE_beamgap")), &format!("budget-{name}"), options)
 }
@@ -29,185 +33,191 @@
     version.expect("a version")
 }
 
-fn rate(per_s: u64, burst: u64, more: &str) -> String {
-    format!("budget \"all\" {{\n  limits = \"requests\"\n  rate = {per_s}\n  burst = {burst}\n{more}}}\n")
+fn rate(per_second: u64, burst: u64, more: &str) -> String {
+    format!(
+        "budget \"all\" {{\n  limits = \"requests\"\n  rate = {per_second}\n  burst = {burst}\n{more}}}\n"
+    )
 }
 
-fn bound(rate: Option<(f64, f64)>, versions: &[u64]) -> Bound {
-    Bound { rate, versions: versions.iter().copied().collect(), ..Bound::default() }
+fn limit(version: u64) -> BudgetLimit {
+    BudgetLimit { versions: [version].into(), ..BudgetLimit::default() }
 }
 
-/// Admitted so far by these members since then.
+fn rate_limit(per_second: f64, burst: f64, version: u64) -> BudgetLimit {
+    BudgetLimit { rate: Some(RateLimit { per_second, burst }), ..limit(version) }
+}
+
+/// Requests that these members have admitted since then.
 fn admitted(w: &World, since: f64, members: &[usize]) -> usize {
     let names: BTreeSet<String> = members.iter().map(|m| format!("n{m}")).collect();
     let of = |what: &What| matches!(what, What::Admit { member, .. } if names.contains(member));
     w.history.all().iter().filter(|e| e.at >= since && of(&e.what)).count()
 }
 
-/// Waits until a member's part of the budget is at least so much, as the leader tells.
-fn wait_part(w: &World, member: &str, least: f64) {
-    w.wait(&format!("{member} has {least} of the whole"), SOON, |w| part(w, member) >= least).unwrap();
+/// Waits until a member's share of the budget is at least so much, by the leader's report.
+fn wait_for_share(w: &World, member: &str, least: f64) {
+    w.wait(&format!("{member} has {least} of the budget"), TIMEOUT, |w| share(w, member) >= least).unwrap();
 }
 
-fn part(w: &World, member: &str) -> f64 {
+fn share(w: &World, member: &str) -> f64 {
     let status = w.status();
     let parts = status["budgets"][0]["parts"].as_array().cloned().unwrap_or_default();
     let of = parts.iter().filter(|p| p["member"] == member).filter_map(|p| p["part"].as_f64());
     of.fold(0.0, f64::max)
 }
 
-fn all_good(mut w: Case, bounds: &[Bound]) -> Vec<Seen> {
+fn check_history(mut w: Case, limits: &[BudgetLimit]) -> Vec<BudgetUsage> {
     let summary = w.judge().unwrap_or_else(|e| panic!("{e}"));
     assert!(summary.admitted > 20, "{summary:?}");
-    let seen = judge_shared(&w.history.all(), bounds).unwrap_or_else(|e| panic!("{e}"));
-    println!("{seen:?}");
-    seen
+    let usage = check_budgets(&w.history.all(), limits).unwrap_or_else(|violation| panic!("{violation}"));
+    println!("{usage:?}");
+    usage
 }
 
 #[test]
-fn a1_a_leader_dies_that_has_just_moved_parts_and_its_follower_gives_nothing_twice() {
+fn a1_when_a_leader_dies_just_after_moving_shares_its_successor_grants_nothing_twice() {
     let mut w = world("leader", Options::default());
     let version = propose(&w, "rate", &rate(100, 50, ""));
     for round in 0..3 {
         let hot = 3 + round % 2;
         (0..5).for_each(|m| w.clients[m].wants(if m == hot { FLOOD } else { CALM }, 0));
-        wait_part(&w, &format!("n{hot}"), 0.5);
+        wait_for_share(&w, &format!("n{hot}"), 0.5);
         let leader = w.leader().expect("somebody leads");
         // Just as parts move again.
         (0..5).for_each(|m| w.clients[m].wants(if m == 7 - hot { FLOOD } else { CALM }, 0));
         w.kill(leader);
-        wait_part(&w, &format!("n{}", 7 - hot), 0.5);
+        wait_for_share(&w, &format!("n{}", 7 - hot), 0.5);
         w.begin(leader).unwrap();
     }
-    let seen = all_good(w, &[bound(Some((100.0, 50.0)), &[version])]);
-    assert!(seen[0].admitted > 50, "{seen:?}");
+    let usage = check_history(w, &[rate_limit(100.0, 50.0, version)]);
+    assert!(usage[0].admitted > 50, "{usage:?}");
 }
 
 #[test]
-fn a1_a_leader_dies_while_a_holder_of_nearly_all_is_cut_off_and_admits_on() {
+fn a1_when_a_leader_dies_while_the_largest_holder_is_cut_off_the_rate_is_kept() {
     let mut w = world("cut-holder", Options { right: 10_000, ..Options::default() });
     let version = propose(&w, "rate", &rate(100, 20, ""));
     (0..5).for_each(|m| w.clients[m].wants(if m == 4 { FLOOD } else { CALM }, 0));
-    wait_part(&w, "n4", 0.6);
+    wait_for_share(&w, "n4", 0.6);
     let leader = w.leader().expect("somebody leads");
     w.cut(4, Way::Silent, Way::Silent);
     w.kill(leader);
     let hot = if leader == 2 { 1 } else { 2 };
     w.clients[hot].wants(FLOOD, 0);
     // Only what n4 held, and has surely ended, can make so much.
-    wait_part(&w, &format!("n{hot}"), 0.6);
+    wait_for_share(&w, &format!("n{hot}"), 0.6);
     w.mend();
     w.begin(leader).unwrap();
-    wait_part(&w, "n4", 0.1);
-    all_good(w, &[bound(Some((100.0, 20.0)), &[version])]);
+    wait_for_share(&w, "n4", 0.1);
+    check_history(w, &[rate_limit(100.0, 20.0, version)]);
 }
 
 #[test]
-fn a1_a_holder_whose_answers_are_lost_keeps_what_it_knows_of_and_nobody_else_has_it() {
+fn a1_a_share_whose_holder_receives_no_responses_is_granted_to_nobody_else() {
     let w = world("deaf-holder", Options { right: 10_000, ..Options::default() });
     let version = propose(&w, "rate", &rate(100, 20, ""));
     (0..5).for_each(|m| w.clients[m].wants(if m == 4 { FLOOD } else { CALM }, 0));
-    wait_part(&w, "n4", 0.6);
+    wait_for_share(&w, "n4", 0.6);
     w.cut(4, Way::Open, Way::Silent);
     let leader = w.leader().expect("somebody leads");
     let hot = (leader + 1) % 3;
     w.clients[hot].wants(FLOOD, 0);
-    wait_part(&w, &format!("n{hot}"), 0.4);
+    wait_for_share(&w, &format!("n{hot}"), 0.4);
     w.mend();
-    wait_part(&w, "n4", 0.3);
-    all_good(w, &[bound(Some((100.0, 20.0)), &[version])]);
+    wait_for_share(&w, "n4", 0.3);
+    check_history(w, &[rate_limit(100.0, 20.0, version)]);
 }
 
 #[test]
-fn a1_a_holder_of_nearly_all_stands_still_and_wakes_after_it_was_given_on() {
+fn a1_a_holder_that_stands_still_until_its_share_is_reassigned_does_not_use_it_again() {
     let w = world("stopped", Options::default());
     let version = propose(&w, "rate", &rate(100, 50, ""));
     w.clients[3].wants(FLOOD, 0);
     (0..5).filter(|m| *m != 3).for_each(|m| w.clients[m].wants(CALM, 0));
-    wait_part(&w, "n3", 0.6);
+    wait_for_share(&w, "n3", 0.6);
     w.members[3].stop();
     w.clients[4].wants(FLOOD, 0);
-    wait_part(&w, "n4", 0.6);
+    wait_for_share(&w, "n4", 0.6);
     let woken = now();
     w.members[3].wake();
     // What lay in its buffers is turned away or waits for a part of its own.
-    w.wait("it admits again", SOON, |w| admitted(w, woken, &[3]) > 20).unwrap();
-    all_good(w, &[bound(Some((100.0, 50.0)), &[version])]);
+    w.wait("it admits again", TIMEOUT, |w| admitted(w, woken, &[3]) > 20).unwrap();
+    check_history(w, &[rate_limit(100.0, 50.0, version)]);
 }
 
 #[test]
-fn a1_and_a2_half_of_nine_are_cut_off_and_live_on_what_was_set_aside() {
+fn a1_and_a2_members_that_are_cut_off_admit_by_their_floors() {
     let options = Options { members: 9, right: 3000, ..Options::default() };
     let w = world("halves", options);
     let version = propose(&w, "rate", &rate(200, 100, "  floor = \"30%\"\n  floor_among = 10\n"));
     (0..9).for_each(|m| w.clients[m].wants(FLOOD, 0));
     for m in 0..9 {
-        wait_part(&w, &format!("n{m}"), 0.05);
+        wait_for_share(&w, &format!("n{m}"), 0.05);
     }
     w.part(&[0, 4, 5, 6], Way::Silent);
     let cut = now();
     // Parts end after half a right, what was set aside with the right: between them they live on that alone.
-    w.wait("parts have ended", SOON, |_| now() - cut > 1700.0).unwrap();
+    w.wait("parts have ended", TIMEOUT, |_| now() - cut > 1700.0).unwrap();
     let (from, alone) = (now(), [4, 5, 6]);
-    w.wait("a while on floors", SOON, |_| now() - from > 900.0).unwrap();
+    w.wait("a while on floors", TIMEOUT, |_| now() - from > 900.0).unwrap();
     let count = admitted(&w, from, &alone);
     assert!((6..=24).contains(&count), "{count} in 0.9 s; set aside are 6 a second for each of three");
     w.mend();
-    (4..7).for_each(|m| wait_part(&w, &format!("n{m}"), 0.05));
-    all_good(w, &[bound(Some((200.0, 100.0)), &[version])]);
+    (4..7).for_each(|m| wait_for_share(&w, &format!("n{m}"), 0.05));
+    check_history(w, &[rate_limit(200.0, 100.0, version)]);
 }
 
 #[test]
-fn a4_the_whole_is_lowered_to_a_tenth_while_a_member_stands_still() {
+fn a4_a_rate_lowered_while_a_member_stands_still_is_kept_under_both_versions() {
     let w = world("lowered", Options::default());
     let first = propose(&w, "many", &rate(200, 100, ""));
     (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(8), 0));
-    wait_part(&w, "n3", 0.15);
+    wait_for_share(&w, "n3", 0.15);
     w.members[3].stop();
     let second = propose(&w, "few", &rate(20, 10, ""));
     w.members[3].wake();
-    w.all_admit(second, SOON).expect("all admit");
+    w.all_admit(second, TIMEOUT).expect("all admit");
     let from = now();
-    w.wait("some seconds pass", SOON, |_| now() - from > 3000.0).unwrap();
-    let seen = all_good(w, &[bound(Some((200.0, 100.0)), &[first]), bound(Some((20.0, 10.0)), &[second])]);
-    assert!(seen[1].admitted >= 30, "{seen:?}");
+    w.wait("some seconds pass", TIMEOUT, |_| now() - from > 3000.0).unwrap();
+    let usage = check_history(w, &[rate_limit(200.0, 100.0, first), rate_limit(20.0, 10.0, second)]);
+    assert!(usage[1].admitted >= 30, "{usage:?}");
 }
 
 #[test]
-fn a1_all_come_back_at_once_and_one_flaps_each_second() {
+fn a1_the_rate_is_kept_when_all_restart_at_once_and_one_restarts_each_second() {
     let mut w = world("flaps", Options::default());
     let version = propose(&w, "rate", &rate(100, 50, ""));
     (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(8), 0));
-    wait_part(&w, "n3", 0.15);
+    wait_for_share(&w, "n3", 0.15);
     w.fault(&Fault::Outage).unwrap();
     w.fault(&Fault::Power).unwrap();
-    w.all_admit(version, SOON).expect("all admit after the outage");
+    w.all_admit(version, TIMEOUT).expect("all admit after the outage");
     for _ in 0..4 {
         let from = now();
         w.kill(4);
         w.begin(4).unwrap();
-        w.wait("a second passes", SOON, |_| now() - from > 1000.0).unwrap();
+        w.wait("a second passes", TIMEOUT, |_| now() - from > 1000.0).unwrap();
     }
-    wait_part(&w, "n4", 0.1);
-    all_good(w, &[bound(Some((100.0, 50.0)), &[version])]);
+    wait_for_share(&w, "n4", 0.1);
+    check_history(w, &[rate_limit(100.0, 50.0, version)]);
 }
 
 #[test]
-fn a1_clocks_as_far_apart_as_the_bound_allows_admit_no_more() {
+fn a1_the_rate_is_kept_with_clocks_as_far_apart_as_the_bound_allows() {
     let trials = ["rate=0.951", "rate=1.049", "rate=1.0", "rate=1.049,offset=90000", "rate=0.951"];
     let trials = trials.iter().map(|t| (*t).to_owned()).collect();
     let w = world("clocks", Options { trials, ..Options::default() });
     let version = propose(&w, "rate", &rate(100, 20, ""));
     (0..5).for_each(|m| w.clients[m].wants(FLOOD, 0));
-    wait_part(&w, "n3", 0.1);
+    wait_for_share(&w, "n3", 0.1);
     let from = now();
-    w.wait("some seconds pass", SOON, |_| now() - from > 5000.0).unwrap();
-    let seen = all_good(w, &[bound(Some((100.0, 20.0)), &[version])]);
-    assert!(seen[0].admitted > 400, "{seen:?}");
+    w.wait("some seconds pass", TIMEOUT, |_| now() - from > 5000.0).unwrap();
+    let usage = check_history(w, &[rate_limit(100.0, 20.0, version)]);
+    assert!(usage[0].admitted > 400, "{usage:?}");
 }
 
 #[test]
-fn a5_of_64_budgets_one_is_hot() {
+fn a5_the_one_busy_budget_of_many_is_kept_and_used() {
     let w = world("many", Options::default());
     let cold: String = (0..62)
         .map(|n| format!("budget \"b{n:02}\" {{\n  limits = \"requests\"\n  class = \"delivery-load\"\n  rate = {}\n}}\n", 1000 + n))
@@ -215,25 +225,25 @@
     let hot = "budget \"a-hot\" {\n  limits = \"requests\"\n  account = \"munster\"\n  rate = 60\n  burst = 30\n}\n";
     let version = propose(&w, "many", &format!("{hot}{cold}"));
     (0..5).for_each(|m| w.clients[m].wants(if m == 2 { FLOOD } else { CALM }, 0));
-    wait_part(&w, "n2", 0.6);
+    wait_for_share(&w, "n2", 0.6);
     let from = now();
-    w.wait("some seconds pass", SOON, |_| now() - from > 2000.0).unwrap();
-    let munster = Bound { account: "munster".to_owned(), ..bound(Some((60.0, 30.0)), &[version]) };
-    let seen = all_good(w, &[munster]);
-    assert!(seen[0].admitted > 100, "{seen:?}");
+    w.wait("some seconds pass", TIMEOUT, |_| now() - from > 2000.0).unwrap();
+    let munster = BudgetLimit { account: "munster".to_owned(), ..rate_limit(60.0, 30.0, version) };
+    let usage = check_history(w, &[munster]);
+    assert!(usage[0].admitted > 100, "{usage:?}");
 }
 
 #[test]
-fn a1_what_a_dead_member_has_out_at_engines_counts_until_it_has_ended() {
+fn a1_requests_of_a_dead_member_count_until_they_have_ended_at_engines() {
     let mut w = world("stock", Options { every: CALM, engines: 12, ..Options::default() });
     w.engines.iter().for_each(|e| e.loads.store(2300, std::sync::atomic::Ordering::Relaxed));
     let text =
         "budget \"all\" {\n  limits = \"open\"\n  class = \"delivery-load\"\n  most = 5\n  longest = \"26 s\"\n}\n";
     let version = propose(&w, "stock", text);
     (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(5), 0));
-    wait_part(&w, "n3", 0.1);
+    wait_for_share(&w, "n3", 0.1);
     let from = now();
-    w.wait("a load of its own is at an engine", SOON, |w| {
+    w.wait("a load of its own is at an engine", TIMEOUT, |w| {
         let all: Vec<_> = w.history.all().into_iter().filter(|e| e.at >= from).collect();
         let loads: BTreeSet<&str> = all
             .iter()
@@ -248,22 +258,22 @@
     w.kill(3);
     w.begin(3).unwrap();
     let from = now();
-    w.wait("some seconds pass", SOON, |_| now() - from > 4500.0).unwrap();
-    let stock = Bound { class: Some(1), most: Some(5), ..bound(None, &[version]) };
-    let seen = all_good(w, &[stock]);
-    assert!(seen[0].widest >= 4 && seen[0].admitted >= 5, "{seen:?}: nothing was tried");
+    w.wait("some seconds pass", TIMEOUT, |_| now() - from > 4500.0).unwrap();
+    let concurrency = BudgetLimit { class: Some(1), max_in_flight: Some(5), ..limit(version) };
+    let usage = check_history(w, &[concurrency]);
+    assert!(usage[0].most_in_flight >= 4 && usage[0].admitted >= 5, "{usage:?}: nothing was tried");
 }
 
 #[test]
-fn a1_further_attempts_of_the_fleet_are_bounded_beside_each_ration() {
+fn a1_retries_of_the_fleet_are_limited_beside_each_retry_budget() {
     let w = world("further", Options { engines: 4, ..Options::default() });
     let text = "budget \"all\" {\n  limits = \"further_attempts\"\n  rate = 5\n  burst = 5\n}\n";
     let version = propose(&w, "further", text);
     w.engines.iter().for_each(|e| e.fails.store(2, std::sync::atomic::Ordering::Relaxed));
     (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(10), 0));
     let from = now();
-    w.wait("some seconds pass", SOON, |_| now() - from > 4000.0).unwrap();
-    let further = Bound { further: Some((5.0, 5.0)), ..bound(None, &[version]) };
-    let seen = all_good(w, &[further]);
-    assert!(seen[0].burst >= 2.0, "{seen:?}: nothing was tried");
+    w.wait("some seconds pass", TIMEOUT, |_| now() - from > 4000.0).unwrap();
+    let retries = BudgetLimit { retries: Some(RateLimit { per_second: 5.0, burst: 5.0 }), ..limit(version) };
+    let usage = check_history(w, &[retries]);
+    assert!(usage[0].burst >= 2.0, "{usage:?}: nothing was tried");
 }
