--- a/src/fleet/budgets/mod.rs
+++ b/src/fleet/budgets/mod.rs
@@ -1,194 +1,196 @@
-//! The fleet's budgets in this front end: joins what it holds of them (`crates/budgets`) to the gate, to attempts and to
+//! The fleet's budgets in this front end: applies what it holds of them (`crates/budgets`) to admission, to retries and to
 //! connections. An admission looks at memory only.
 
-use super::trial::{machine_clock, Trial};
-use beamgap_budgets::leader::{Ask, Reply};
-use beamgap_budgets::member::Holder;
-use beamgap_budgets::spec::{Of, Spec};
+mod bindings;
+mod in_use;
+mod retries;
+
+pub use in_use::HeldUnits;
+pub use retries::FleetRetryBudget;
+
+use super::trial::Trial;
+use beamgap_budgets::member::BudgetMember;
+use beamgap_budgets::message::{PollRequest, PollResponse};
+use beamgap_budgets::spec::{BudgetSpec, Resource};
+use beamgap_fleet_types::MemberId;
+use bindings::ClassBindings;
+use in_use::{ConcurrencyLimit, InUseCounter};
 use std::cell::RefCell;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::rc::Rc;
-
-/// What an admitted request holds of the fleet's stocks until it is dropped.
-#[derive(Debug, Default)]
-pub struct Held {
-    units: Vec<Rc<()>>,
-    longest: f64,
+use thiserror::Error;
+
+/// A request was rejected because a budget is exhausted here.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("budget {budget} is exhausted")]
+pub struct BudgetExhausted {
+    /// The budget's name.
+    pub budget: String,
 }
 
-impl Held {
-    /// After so many milliseconds from when it was admitted, what it may have running has ended; none if it holds nothing.
-    pub fn longest(&self) -> Option<f64> {
-        (!self.units.is_empty()).then_some(self.longest)
-    }
+/// What an admitted request has of the fleet's budgets.
+#[derive(Debug, Default)]
+pub struct AdmittedByBudgets {
+    /// The units that it holds while it is in flight.
+    pub held_units: HeldUnits,
+    /// The budgets that apply to its retries, if there are any.
+    pub retry_budget: Option<FleetRetryBudget>,
 }
 
-/// Budgets that bind what comes of a class and an account.
-#[derive(Clone, Debug, Default)]
-struct Binding {
-    coming: Vec<usize>,
-    further: Vec<usize>,
+/// Connections of this front end to engines, as far as budgets limit them.
+#[derive(Debug, Default)]
+struct Connections {
+    /// The numbers of the budgets that limit them.
+    limits: Vec<usize>,
+    /// Most connections that one engine has.
+    most_used: u64,
 }
 
-/// For each account that a budget names, and for all others.
-type OfClass = (HashMap<String, Rc<Binding>>, Rc<Binding>);
-
-/// This member's part in the budgets.
+/// The fleet's budgets as this front end applies them.
 #[derive(Debug)]
-pub struct Shares {
-    holder: Holder,
+pub struct FleetBudgets {
+    member: BudgetMember,
     trial: Trial,
     classes: Vec<String>,
-    /// By name of a stock: as many hold it as there are others beside this one.
-    stocks: BTreeMap<String, Rc<()>>,
-    /// The same by number of the budgets in use.
-    counts: Vec<Option<(Rc<()>, f64)>>,
-    /// Budgets of connections, by number, and the most connections that one engine has.
-    links: Vec<usize>,
-    links_used: u64,
+    /// Units in use by the name of their budget. They go on counting whatever else a new version changes.
+    counters: BTreeMap<String, InUseCounter>,
+    /// Concurrency limits by the number of their budget.
+    limits: Vec<Option<ConcurrencyLimit>>,
+    connections: Connections,
     /// By class.
-    bindings: Vec<OfClass>,
-}
-
-/// Leave for further attempts of a request, from the fleet's budgets.
-#[derive(Clone, Debug)]
-pub struct Further {
-    shares: Rc<RefCell<Shares>>,
-    binding: Rc<Binding>,
-}
-
-impl Further {
-    /// Whether a further attempt of a request may go out now; if so it is counted.
-    pub fn take(&self, name: &str) -> bool {
-        let mut shares = self.shares.borrow_mut();
-        let machine = machine_clock();
-        let now = shares.trial.taken(machine);
-        let may = self.binding.further.is_empty() || shares.take(now, &self.binding.further).is_ok();
-        if may && shares.trial.history {
-            eprintln!("history further t={machine:.3} id={name}");
-        }
-        may
-    }
+    bindings: Vec<ClassBindings>,
 }
 
-impl Shares {
+impl FleetBudgets {
     /// A member that has just started: no budget is in use.
-    pub fn new(member: &str, life: u64, zone: &str, classes: &[String], trial: Trial) -> Shares {
-        Shares {
-            holder: Holder::new((member.to_owned(), life), zone, trial.budgets),
+    pub fn new(name: &str, incarnation: u64, zone: &str, classes: &[String], trial: Trial) -> FleetBudgets {
+        FleetBudgets {
+            member: BudgetMember::new(MemberId::new(name, incarnation), zone, trial.budgets),
             trial,
             classes: classes.to_vec(),
-            stocks: BTreeMap::new(),
-            counts: Vec::new(),
-            links: Vec::new(),
-            links_used: 0,
+            counters: BTreeMap::new(),
+            limits: Vec::new(),
+            connections: Connections::default(),
             bindings: Vec::new(),
         }
     }
 
-    /// Whether the policy in use has budgets.
+    /// Whether the policy in use has no budgets.
     pub fn is_empty(&self) -> bool {
-        self.holder.is_empty()
+        self.member.is_empty()
     }
 
-    /// The budgets of a version that is in use from now on.
-    pub fn uses(&mut self, now: f64, version: u64, specs: Vec<Spec>) {
-        self.holder.uses(now, version, specs);
-        let specs: Vec<Spec> = self.holder.specs().cloned().collect();
-        self.counts.clear();
-        // What is out of a stock goes on counting under its name, whatever else the version changes.
-        self.stocks.retain(|name, rc| Rc::strong_count(rc) > 1 || specs.iter().any(|s| s.name == *name));
-        for spec in &specs {
-            let mut count = || self.stocks.entry(spec.name.clone()).or_insert_with(|| Rc::new(())).clone();
-            let stock = (spec.of == Of::Open).then(|| (count(), spec.outlives()));
-            self.counts.push(stock);
-        }
-        self.links = self.holder.binding(Of::Connections, "", None);
-        self.bindings.clear();
-        for class in &self.classes {
-            let bind = |account: Option<&str>| {
-                let of = |of| self.holder.binding(of, class, account);
-                let mut coming = of(Of::Requests);
-                coming.extend(of(Of::Open));
-                Rc::new(Binding { coming, further: of(Of::FurtherAttempts) })
-            };
-            let accounts = specs.iter().filter_map(|s| s.account.as_deref());
-            let named = accounts.map(|account| (account.to_owned(), bind(Some(account)))).collect();
-            self.bindings.push((named, bind(None)));
-        }
+    /// Admits by the budgets of this policy version from now on.
+    pub fn activate(&mut self, now: f64, version: u64, specs: Vec<BudgetSpec>) {
+        self.member.activate(now, version, specs);
+        let specs: Vec<BudgetSpec> = self.member.specs().cloned().collect();
+        let is_in_use = |name: &String| specs.iter().any(|spec| spec.name == *name);
+        self.counters.retain(|name, counter| counter.count() > 0 || is_in_use(name));
+        self.limits = specs.iter().map(|spec| self.concurrency_limit(spec)).collect();
+        self.connections.limits = self.member.applicable(Resource::Connections, "", None);
+        let member = &self.member;
+        let of_class = |class: &String| ClassBindings::new(member, &specs, class);
+        self.bindings = self.classes.iter().map(of_class).collect();
     }
 
-    fn used(counts: &[Option<(Rc<()>, f64)>], links: (&[usize], u64), i: usize) -> u64 {
-        // Two of them are kept here: by name and by number.
-        let count = counts.get(i).and_then(Option::as_ref);
-        let out = count.map(|(rc, _)| Rc::strong_count(rc).saturating_sub(2));
-        out.map_or(if links.0.contains(&i) { links.1 } else { 0 }, |n| n as u64)
-    }
-
-    fn take(&mut self, now: f64, which: &[usize]) -> Result<(), usize> {
-        let (counts, links) = (&self.counts, (self.links.as_slice(), self.links_used));
-        self.holder.take(now, which, |i| Shares::used(counts, links, i))
+    fn concurrency_limit(&mut self, spec: &BudgetSpec) -> Option<ConcurrencyLimit> {
+        if spec.resource != Resource::OpenRequests {
+            return None;
+        }
+        let counter = self.counters.entry(spec.name.clone()).or_default().clone();
+        Some(ConcurrencyLimit { counter, max_duration_ms: spec.outlives_share_ms() })
     }
 
-    /// Whether a request may come in; with what it holds for its life, and its leave for further attempts.
+    /// Admits a request of a class, given by its number, and of an account.
+    ///
+    /// # Errors
+    ///
+    /// The first budget that is exhausted.
     pub fn admit(
-        shares: &Rc<RefCell<Shares>>,
+        budgets: &Rc<RefCell<FleetBudgets>>,
         now: f64,
         class: usize,
         account: Option<&str>,
-    ) -> Result<(Held, Option<Further>), String> {
-        let mut own = shares.borrow_mut();
-        let Some((named, others)) = own.bindings.get(class) else { return Ok((Held::default(), None)) };
-        let binding = account.and_then(|account| named.get(account)).unwrap_or(others).clone();
-        if let Err(lacks) = own.take(now, &binding.coming) {
-            let name = own.holder.specs().nth(lacks).map(|s| s.name.clone());
-            return Err(name.unwrap_or_default());
+    ) -> Result<AdmittedByBudgets, BudgetExhausted> {
+        let mut own = budgets.borrow_mut();
+        let Some(of_class) = own.bindings.get(class) else {
+            return Ok(AdmittedByBudgets::default());
+        };
+        let binding = of_class.of_account(account).clone();
+        if let Err(number) = own.try_acquire(now, &binding.admission) {
+            return Err(own.exhausted(number));
         }
-        let stocks = || binding.coming.iter().filter_map(|i| own.counts[*i].as_ref());
-        let units = stocks().map(|(rc, _)| rc.clone()).collect();
-        let longest = stocks().map(|(_, longest)| *longest).fold(0.0, f64::max);
-        let further = (!binding.further.is_empty()).then(|| Further { shares: shares.clone(), binding });
-        Ok((Held { units, longest }, further))
+        let limits = binding.admission.iter().filter_map(|number| own.limits[*number].as_ref());
+        let held_units = HeldUnits::acquire(limits);
+        let has_retry_budget = !binding.retries.is_empty();
+        let retry_budget =
+            has_retry_budget.then(|| FleetRetryBudget { budgets: budgets.clone(), binding: binding.clone() });
+        Ok(AdmittedByBudgets { held_units, retry_budget })
     }
 
-    /// Connections that this front end may have to each engine, if a budget bounds them. `used` is the most that one
-    /// engine has, `vain` how many more were wanted.
-    pub fn links(&mut self, now: f64, used: u64, vain: bool) -> Option<u64> {
-        self.links_used = used;
-        let links = self.links.clone();
-        for i in &links {
-            if vain && used >= self.holder.units(*i, now) {
-                // Told as asked for and not had: that is what moves parts here.
-                let _ = self.take(now, &[*i]);
+    fn exhausted(&self, number: usize) -> BudgetExhausted {
+        let name = self.member.specs().nth(number).map(|spec| spec.name.clone());
+        BudgetExhausted { budget: name.unwrap_or_default() }
+    }
+
+    fn try_acquire(&mut self, now: f64, numbers: &[usize]) -> Result<(), usize> {
+        let in_use = units_in_use(&self.limits, &self.connections);
+        self.member.try_acquire(now, numbers, in_use)
+    }
+
+    /// Connections that this front end may have to each engine, if a budget limits them. `most_used` is the most that one
+    /// engine has; `wants_more` says whether another was wanted.
+    pub fn connection_limit(&mut self, now: f64, most_used: u64, wants_more: bool) -> Option<u64> {
+        self.connections.most_used = most_used;
+        let numbers = self.connections.limits.clone();
+        for number in &numbers {
+            if wants_more && most_used >= self.member.unit_limit(*number, now) {
+                // The rejection counts as demand, which moves shares here.
+                let _ = self.try_acquire(now, &[*number]);
             }
         }
-        links.iter().map(|i| self.holder.units(*i, now)).min()
+        numbers.iter().map(|number| self.member.unit_limit(*number, now)).min()
     }
 
-    /// Its part of what cold engines bear, if a budget divides that: one of how many front ends it is, and which.
-    pub fn cold(&self, now: f64) -> Option<(f64, u64)> {
-        let i = self.holder.specs().position(|spec| spec.of == Of::ColdEngines)?;
-        Some(self.holder.among(i, now))
+    /// How the load of warming engines is split, if a budget divides it: among how many front ends, and which of them this
+    /// one is.
+    pub fn warming_split(&self, now: f64) -> Option<(f64, u64)> {
+        let is_warming = |spec: &BudgetSpec| spec.resource == Resource::WarmingEngines;
+        let number = self.member.specs().position(is_warming)?;
+        let split = self.member.warming_split(number, now);
+        Some((split.members, split.index))
     }
 
-    /// It is about to end: it wants nothing more.
-    pub fn drain(&mut self) {
-        self.holder.drain();
+    /// From now on it demands nothing more.
+    pub fn start_draining(&mut self) {
+        self.member.start_draining();
     }
 
-    /// What is asked of the leader with a question of this number.
-    pub fn ask(&mut self, now: f64, round: u64) -> Ask {
-        let (counts, links) = (&self.counts, (self.links.as_slice(), self.links_used));
-        self.holder.ask(now, round, |i| Shares::used(counts, links, i))
+    /// The next request to the leader; `sequence` has to grow.
+    pub fn poll_request(&mut self, now: f64, sequence: u64) -> PollRequest {
+        let in_use = units_in_use(&self.limits, &self.connections);
+        self.member.poll_request(now, sequence, in_use)
     }
 
-    /// The answer to it.
-    pub fn reply(&mut self, now: f64, reply: Reply) {
-        self.holder.reply(now, reply);
+    /// Handles the leader's response.
+    pub fn handle_response(&mut self, now: f64, response: PollResponse) {
+        self.member.handle_response(now, response);
     }
 
-    /// How soon after the last answer the next question is wanted, in milliseconds.
-    pub fn hurries(&self, now: f64) -> Option<f64> {
-        self.holder.hurries(now)
+    /// In how many milliseconds after the last response the next poll should follow, if sooner than usual.
+    pub fn wants_early_poll(&self, now: f64) -> Option<f64> {
+        self.member.wants_early_poll(now)
+    }
+}
+
+/// Units in use by the number of their budget; none of a rate.
+fn units_in_use<'a>(
+    limits: &'a [Option<ConcurrencyLimit>],
+    connections: &'a Connections,
+) -> impl Fn(usize) -> u64 + 'a {
+    |number| match limits.get(number).and_then(Option::as_ref) {
+        Some(limit) => limit.counter.count(),
+        None if connections.limits.contains(&number) => connections.most_used,
+        None => 0,
     }
 }
--- /dev/null
+++ b/src/fleet/budgets/retries.rs
@@ -0,0 +1,29 @@
+//! Retries of an admitted request under the fleet's budgets.
+
+use super::bindings::Binding;
+use super::FleetBudgets;
+use crate::fleet::trial::machine_clock;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// The fleet's retry budgets that apply to one admitted request.
+#[derive(Clone, Debug)]
+pub struct FleetRetryBudget {
+    pub(super) budgets: Rc<RefCell<FleetBudgets>>,
+    pub(super) binding: Rc<Binding>,
+}
+
+impl FleetRetryBudget {
+    /// Whether a retry of the request with this id may be sent now; if so it is counted.
+    pub fn try_acquire(&self, request_id: &str) -> bool {
+        let mut budgets = self.budgets.borrow_mut();
+        let machine_time = machine_clock();
+        let now = budgets.trial.taken(machine_time);
+        let may_retry =
+            self.binding.retries.is_empty() || budgets.try_acquire(now, &self.binding.retries).is_ok();
+        if may_retry && budgets.trial.history {
+            eprintln!("history further t={machine_time:.3} id={request_id}");
+        }
+        may_retry
+    }
+}
--- a/src/fleet/document.rs
+++ b/src/fleet/document.rs
@@ -1,7 +1,8 @@
 //! A policy's text with all that stands in it: what `crates/policy` reads, and the blocks of the parts that the program
 //! joins to it.
 
-use beamgap_budgets::spec::{self, Amount, Of, Spec};
+use beamgap_budgets::reader;
+use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
 use beamgap_config::{Place, Problem};
 use beamgap_policy::check::{self, Known};
 use beamgap_policy::diff::{self, Change};
@@ -14,7 +15,7 @@
     /// The policy, with the places of all keys.
     pub read: Read,
     /// The fleet's budgets, by name.
-    pub budgets: Vec<Spec>,
+    pub budgets: Vec<BudgetSpec>,
 }
 
 /// What a front end knows that a policy may name.
@@ -28,8 +29,8 @@
 
 /// Reads a text. All faults are told.
 pub fn read(file: &str, text: &str) -> Result<Whole, Vec<Problem>> {
-    let read = document::read_with(file, text, vec![spec::schema()])?;
-    let budgets = spec::read(&read.document)?;
+    let read = document::read_with(file, text, vec![reader::schema()])?;
+    let budgets = reader::read(&read.document)?;
     Ok(Whole { read, budgets })
 }
 
@@ -57,9 +58,9 @@
 }
 
 /// What is held at once must be told to last as long as it may: what a dead front end has out counts for so long.
-fn too_short(file: &str, place: Place, budget: &Spec, here: &Here) -> Option<Problem> {
-    let Amount::Stock { longest, .. } = budget.amount else { return None };
-    if budget.of != Of::Open {
+fn too_short(file: &str, place: Place, budget: &BudgetSpec, here: &Here) -> Option<Problem> {
+    let Amount::Concurrency { max_duration_ms: longest, .. } = budget.amount else { return None };
+    if budget.resource != Resource::OpenRequests {
         return None;
     }
     let classes = here.names.classes.iter().zip(&here.deadlines);
@@ -88,7 +89,7 @@
 pub fn compare(before: &Whole, after: &Whole) -> Vec<Change> {
     let mut changes = diff::diff(&before.read.policy, &after.read.policy);
     let told = |whole: &Whole| -> BTreeMap<String, String> {
-        whole.budgets.iter().map(|b| (b.name.clone(), b.told())).collect()
+        whole.budgets.iter().map(|b| (b.name.clone(), b.description())).collect()
     };
     let (before, after) = (told(before), told(after));
     for name in before.keys().chain(after.keys().filter(|name| !before.contains_key(*name))) {
--- a/src/fleet/gate.rs
+++ b/src/fleet/gate.rs
@@ -1,7 +1,7 @@
 //! The gate before the core: which requests come in, under which version, and what the decision module is offered of the
 //! list of engines. It holds the front end's right to admit, and asks the council for it.
 
-use super::budgets::{Further, Held, Shares};
+use super::budgets::{FleetBudgets, FleetRetryBudget, HeldUnits};
 use super::document::{usable, Here};
 use super::machine::{decode, encode, Answer, FleetMachine, Question};
 use super::settings::Fleet;
@@ -40,9 +40,9 @@
     /// What the version says of engines.
     pub ruling: Rc<Ruling>,
     /// What it holds of the fleet's stocks until it is over.
-    pub held: Rc<Held>,
+    pub held: Rc<HeldUnits>,
     /// Its leave for further attempts, where a budget bounds them.
-    pub further: Option<Further>,
+    pub further: Option<FleetRetryBudget>,
 }
 
 /// The gate.
@@ -54,7 +54,7 @@
     ruling: Rc<Ruling>,
     meter: Meter,
     tasks: Keeper,
-    shares: Rc<RefCell<Shares>>,
+    shares: Rc<RefCell<FleetBudgets>>,
     /// The question that is out: its round, and when it was asked.
     asked: (u64, f64),
     /// Until then only the policy is asked for: the leader runs an older program, which knows no tasks.
@@ -109,7 +109,7 @@
         let accounts = module.tenants.iter().map(|t| t.name.clone()).collect();
         let deadlines = module.classes.iter().map(|c| c.deadline.as_millis()).collect();
         let names = Known { classes: classes.clone(), accounts, zones: zones.to_vec() };
-        let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.trial);
+        let shares = FleetBudgets::new(&fleet.member, life, zone, &classes, fleet.trial);
         Ok(Gate {
             council,
             hold: Hold::new(&fleet.member, life, FORM, fleet.trial.plant),
@@ -133,7 +133,7 @@
     /// The front end is about to end: it gives up what it holds of the fleet's tasks.
     pub fn drain(&mut self) {
         self.tasks.drain();
-        self.shares.borrow_mut().drain();
+        self.shares.borrow_mut().start_draining();
     }
 
     /// Where this decider listens for other members.
@@ -165,13 +165,14 @@
         let admitted = match self.hold.admits(now) {
             None => Err(("right", NO_RIGHT_BACKOFF)),
             Some(version) => match self.meter.admit(now, &self.ruling, class, account, open) {
-                Ok(terms) => match Shares::admit(&self.shares, now, class, account) {
-                    Ok((held, further)) => {
-                        let (ruling, held) = (self.ruling.clone(), Rc::new(held));
+                Ok(terms) => match FleetBudgets::admit(&self.shares, now, class, account) {
+                    Ok(by_budgets) => {
+                        let (ruling, held) = (self.ruling.clone(), Rc::new(by_budgets.held_units));
+                        let further = by_budgets.retry_budget;
                         Ok(Admitted { version, terms, ruling, held, further })
                     }
-                    Err(budget) => {
-                        *self.short.0.entry(budget).or_default() += 1;
+                    Err(exhausted) => {
+                        *self.short.0.entry(exhausted.budget).or_default() += 1;
                         Err(("budget", BUDGET_BACKOFF))
                     }
                 },
@@ -236,7 +237,7 @@
                 Some(Answer::All(reply, leases, shares)) => {
                     if round == self.asked.0 {
                         self.tasks.reply(self.asked.1, leases);
-                        self.shares.borrow_mut().reply(now, shares);
+                        self.shares.borrow_mut().handle_response(now, shares);
                     }
                     for act in self.hold.reply(now, reply) {
                         self.act(act, &mut changed, &mut lines);
@@ -262,7 +263,7 @@
         if self.tasks.hurries(now) {
             self.hold.hasten(self.asked.1 + HURRY);
         }
-        if let Some(soon) = self.shares.borrow().hurries(now) {
+        if let Some(soon) = self.shares.borrow().wants_early_poll(now) {
             self.hold.hasten(self.asked.1 + soon);
         }
         let due = self.hold.due() <= now;
@@ -276,7 +277,7 @@
                     Question::Both(ask, self.tasks.ask(), self.tasks.wants(now, open))
                 }
                 false => {
-                    let shares = self.shares.borrow_mut().ask(now, round);
+                    let shares = self.shares.borrow_mut().poll_request(now, round);
                     Question::All(ask, self.tasks.ask(), self.tasks.wants(now, open), shares)
                 }
             };
@@ -315,7 +316,7 @@
                 Ok(whole) => {
                     let ruling = Rc::new(Ruling::new(whole.read.policy, &self.classes));
                     let before = std::mem::replace(&mut self.ruling, ruling);
-                    self.shares.borrow_mut().uses(self.now(), version, whole.budgets);
+                    self.shares.borrow_mut().activate(self.now(), version, whole.budgets);
                     let offered = |ruling: &Ruling, m: &Member| narrowed(ruling, m.clone()).state;
                     let other =
                         self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
@@ -341,12 +342,12 @@
     /// most, and `vain` tells that more were wanted.
     pub fn links(&mut self, used: usize, vain: bool) -> Option<usize> {
         let now = self.now();
-        self.shares.borrow_mut().links(now, used as u64, vain).map(|most| most as usize)
+        self.shares.borrow_mut().connection_limit(now, used as u64, vain).map(|most| most as usize)
     }
 
     /// Its part of what cold engines bear, if a budget divides that: one of how many front ends it is, and which.
     pub fn cold(&self) -> Option<(f64, u64)> {
-        self.shares.borrow().cold(self.now())
+        self.shares.borrow().warming_split(self.now())
     }
 
     /// Why nothing is admitted now, if so.
--- a/src/fleet/machine.rs
+++ b/src/fleet/machine.rs
@@ -1,10 +1,14 @@
 //! Policy, tasks and budgets as commands and questions of the council.
 
 use super::document;
-use beamgap_budgets::leader::{Ask as BudgetAsk, Lead as BudgetLead, Reply as BudgetReply, Standing};
-use beamgap_budgets::spec::Spec as Budget;
-use beamgap_budgets::{Plant as BudgetPlant, Times as BudgetTimes};
+use beamgap_budgets::leader::{AgreedState, BudgetLeader};
+use beamgap_budgets::message::{
+    BudgetStatus, PollRequest as BudgetPollRequest, PollResponse as BudgetPollResponse,
+};
+use beamgap_budgets::spec::BudgetSpec;
+use beamgap_budgets::{BudgetTimings, InjectedBug as BudgetBug};
 use beamgap_council::Machine;
+use beamgap_fleet_types::MemberId;
 use beamgap_leases::lead::{self, Lead as LeaseLead};
 use beamgap_leases::state::{Command as TaskCommand, State as Tasks, Task};
 use beamgap_leases::{Clocks, Plant as LeasePlant, Token};
@@ -12,6 +16,7 @@
 use beamgap_policy::switch::state::{Change, Command, Outcome, Record, State};
 use beamgap_policy::switch::{Ask, Mark, Plant, Reply, Times, Version};
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// What is asked of the leader.
@@ -40,7 +45,7 @@
     /// How tasks stand: all, without their records, or one with it.
     Tasks(Option<String>),
     /// As [`Question::Both`], where the policy in use has budgets.
-    All(Ask, lead::Ask, Vec<TaskCommand>, BudgetAsk),
+    All(Ask, lead::Ask, Vec<TaskCommand>, BudgetPollRequest),
     /// How budgets are divided.
     Budgets,
 }
@@ -67,9 +72,9 @@
     /// Tasks, with the milliseconds since each one's lease was renewed.
     Tasks(Vec<(Task, Option<f64>)>),
     /// To a renewal of all.
-    All(Reply, lead::Reply, BudgetReply),
+    All(Reply, lead::Reply, BudgetPollResponse),
     /// Budgets as they are divided.
-    Budgets(Vec<Standing>),
+    Budgets(Vec<BudgetStatus>),
 }
 
 /// How the fleet is, as its leader sees it.
@@ -131,8 +136,15 @@
     tasks: Tasks,
     leases: LeaseLead,
     /// The budgets of a version, as its text says.
-    budgets: (Option<Version>, Vec<Budget>),
-    division: BudgetLead,
+    budgets: (Option<Version>, Vec<BudgetSpec>),
+    division: BudgetLeader,
+}
+
+/// The members that the fleet has agreed on.
+fn member_ids(state: &State) -> BTreeMap<MemberId, u64> {
+    let member =
+        |((name, incarnation), form): (&(String, u64), &u64)| (MemberId::new(name, *incarnation), *form);
+    state.members.iter().map(member).collect()
 }
 
 impl FleetMachine {
@@ -143,16 +155,22 @@
         seed: u64,
         plant: Plant,
         leases: LeasePlant,
-        budgets: BudgetPlant,
+        budgets: BudgetBug,
     ) -> FleetMachine {
         let clocks = Clocks { drift: times.drift, ..Clocks::default() };
         let leases = LeaseLead::new(clocks, leases);
         let lead = Lead::planted(plant);
-        let division = BudgetLead::new(seed, BudgetTimes::of_right(times.right, times.drift), budgets);
+        let division = BudgetLeader::new(seed, BudgetTimings::for_lease(times.right, times.drift), budgets);
         let (state, tasks, budgets) = (State::default(), Tasks::default(), (None, Vec::new()));
         FleetMachine { state, lead, times, tasks, leases, budgets, division }
     }
 
+    fn tick_budgets(&mut self, now: f64) {
+        let members = member_ids(&self.state);
+        let agreed = AgreedState { version: self.state.version(), specs: &self.budgets.1, members: &members };
+        self.division.tick(now, &agreed);
+    }
+
     /// Reads the budgets of the version in force, if they are not those that were read last.
     fn read_budgets(&mut self) {
         let version = self.state.version();
@@ -160,7 +178,7 @@
             let read = document::read("policy", self.state.text()).ok();
             self.budgets = (Some(version), read.map(|read| read.budgets).unwrap_or_default());
             let times = self.state.times.unwrap_or(self.times);
-            self.division.timed(BudgetTimes::of_right(times.right, times.drift));
+            self.division.set_timings(BudgetTimings::for_lease(times.right, times.drift));
         }
     }
 
@@ -282,7 +300,7 @@
     fn role(&mut self, now: f64, leads: bool) {
         self.lead.role(now, leads);
         self.leases.role(now, leads);
-        self.division.role(now, leads);
+        self.division.set_leadership(now, leads);
     }
 
     fn answer(&mut self, now: f64, question: &[u8]) -> (Vec<u8>, Vec<Vec<u8>>) {
@@ -305,18 +323,20 @@
                 let (reply, told, changes) = self.renew(now, &ask, &lease);
                 commands = changes;
                 self.read_budgets();
-                let own = budget.who == (ask.member, ask.life);
-                let (version, specs) = (self.state.version(), &self.budgets.1);
+                let own = budget.member == MemberId::new(ask.member, ask.life);
+                let members = member_ids(&self.state);
+                let agreed =
+                    AgreedState { version: self.state.version(), specs: &self.budgets.1, members: &members };
                 let shares = match own {
-                    true => self.division.answer(now, version, specs, &self.state.members, &budget),
-                    false => BudgetReply::default(),
+                    true => self.division.handle_poll(now, &agreed, &budget),
+                    false => BudgetPollResponse::default(),
                 };
                 Answer::All(reply, told, shares)
             }
             Some(Question::Budgets) => {
                 self.read_budgets();
-                self.division.tick(now, self.state.version(), &self.budgets.1, &self.state.members);
-                Answer::Budgets(self.division.standings())
+                self.tick_budgets(now);
+                Answer::Budgets(self.division.status())
             }
             Some(Question::Task(command)) => {
                 more.push(command);
@@ -360,7 +380,7 @@
         let policy = self.lead.tick(now, &self.state);
         let tasks = self.leases.tick(now, minute, &self.tasks);
         self.read_budgets();
-        self.division.tick(now, self.state.version(), &self.budgets.1, &self.state.members);
+        self.tick_budgets(now);
         policy.iter().map(encode).chain(tasks.iter().map(of_task)).collect()
     }
 }
--- a/src/fleet/trial.rs
+++ b/src/fleet/trial.rs
@@ -3,7 +3,7 @@
 //! `offset=5000`, `jump=2000:5000`, `power`, `leash`, `look=300`, `plant=NAME`.
 
 use super::trial_disk::PowerCut;
-use beamgap_budgets::Plant as BudgetPlant;
+use beamgap_budgets::InjectedBug as BudgetBug;
 use beamgap_council::disk::{Files, SharedDisk};
 use beamgap_council::{Clock, Plants};
 use beamgap_leases::Plant as LeasePlant;
@@ -33,7 +33,7 @@
     /// One in the leases.
     pub leases: LeasePlant,
     /// One in the budgets.
-    pub budgets: BudgetPlant,
+    pub budgets: BudgetBug,
 }
 
 impl Default for Trial {
@@ -48,7 +48,7 @@
             history: false,
             plant: Plant::None,
             leases: LeasePlant::None,
-            budgets: BudgetPlant::None,
+            budgets: BudgetBug::None,
         }
     }
 }
@@ -82,11 +82,11 @@
                 Some(("plant", "no-lease-wait")) => trial.leases = LeasePlant::NoWait,
                 Some(("plant", "holds-on")) => trial.leases = LeasePlant::HoldsOn,
                 Some(("plant", "act-first")) => trial.leases = LeasePlant::ActFirst,
-                Some(("plant", "new-leader-gives")) => trial.budgets = BudgetPlant::NoWait,
-                Some(("plant", "given-twice")) => trial.budgets = BudgetPlant::GivenTwice,
-                Some(("plant", "full-bucket")) => trial.budgets = BudgetPlant::FullBucket,
-                Some(("plant", "no-end")) => trial.budgets = BudgetPlant::NoEnd,
-                Some(("plant", "dead-is-over")) => trial.budgets = BudgetPlant::DeadIsOver,
+                Some(("plant", "new-leader-gives")) => trial.budgets = BudgetBug::NewLeaderDoesNotWait,
+                Some(("plant", "given-twice")) => trial.budgets = BudgetBug::ReassignedBeforeConfirmed,
+                Some(("plant", "full-bucket")) => trial.budgets = BudgetBug::FullBurstOnArrival,
+                Some(("plant", "no-end")) => trial.budgets = BudgetBug::UsedAfterExpiry,
+                Some(("plant", "dead-is-over")) => trial.budgets = BudgetBug::DeadMemberUsageForgotten,
                 Some(("plant", name)) => {
                     trial.plant = match name {
                         "early-activation" => Plant::EarlyActivation,
--- a/src/node/exchange/mod.rs
+++ b/src/node/exchange/mod.rs
@@ -10,7 +10,7 @@
 use super::clock::{from_micros, to_micros};
 use super::deadlines::{Deadlines, Handle, Wake};
 use super::slots::{Key, Slots};
-use crate::fleet::budgets::Held;
+use crate::fleet::budgets::HeldUnits;
 use crate::fleet::gate::Admitted;
 use crate::{
     Action, Attempt, ClassId, Closed, EngineId, Event, Gateway, ListKind, LoadReport, Member, MemberState,
@@ -78,7 +78,7 @@
     askers: HashMap<Asker, Key>,
     seen: Seen,
     /// What the fleet's stocks still count, and until when: it may run on at an engine.
-    lingering: Vec<(f64, Rc<Held>)>,
+    lingering: Vec<(f64, Rc<HeldUnits>)>,
     /// Zones of engines, kept only where a fleet's policy may ask for them.
     zones: Option<HashMap<EngineId, String>>,
     /// The response deadline of a graceful shutdown; nothing is owed beyond.
--- a/src/node/exchange/module.rs
+++ b/src/node/exchange/module.rs
@@ -57,7 +57,7 @@
             Action::Cancel { request, attempt } => {
                 let attempt = AttemptRef { request: self.key(&request)?, attempt };
                 let open = self.open.get(attempt.request)?;
-                let counted = open.ask.admitted.as_ref().is_some_and(|a| a.held.longest().is_some());
+                let counted = open.ask.admitted.as_ref().is_some_and(|a| a.held.max_duration_ms().is_some());
                 let (again, ordered) = (open.asker.is_some(), open.ask.order.is_some() || counted);
                 let is_out = open.out.as_ref().is_some_and(|out| out.attempt == attempt.attempt);
                 if is_out && (again || ordered) {
@@ -126,7 +126,7 @@
         }
         // Beyond the first, the fleet's budget is asked too, beside this front end's own ration.
         let further = open.ask.admitted.as_ref().and_then(|a| a.further.as_ref()).filter(|_| open.sent > 0);
-        if further.is_some_and(|further| !further.take(&request.0)) {
+        if further.is_some_and(|further| !further.try_acquire(&request.0)) {
             let answer = self.given_up(key, BACKOFF);
             self.answer(key, answer);
             self.forget(key, deadlines);
--- a/src/node/exchange/shutdown.rs
+++ b/src/node/exchange/shutdown.rs
@@ -9,7 +9,7 @@
         let Some(held) = open.ask.admitted.map(|admitted| admitted.held).filter(|_| open.unsure) else {
             return;
         };
-        if let Some(longest) = held.longest() {
+        if let Some(longest) = held.max_duration_ms() {
             self.lingering.push((open.came + longest, held));
         }
     }
