--- a/crates/budgets/tests/replay.rs
+++ b/crates/budgets/tests/replay.rs
@@ -5,6 +5,10 @@
 //! To record anew, after a change of behaviour that is meant:
 //! `cargo test -p beamgap-budgets --test replay record -- --ignored`
 
+#[path = "replay/recorder.rs"]
+mod recorder;
+#[path = "replay/specs.rs"]
+mod specs;
 #[path = "replay/world.rs"]
 mod world;
 
@@ -13,8 +17,9 @@
 use beamgap_budgets::{InjectedBug, Share};
 use beamgap_config::schema::Block;
 use beamgap_standins::draw::Draw;
+use recorder::Recorder;
 use std::path::PathBuf;
-use world::{Counts, Recorder, World};
+use world::{Counts, World};
 
 /// Seeds and steps of the worlds without an injected bug.
 const SEEDS: std::ops::Range<u64> = 1..6;
@@ -38,8 +43,8 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/replay/recording.txt")
 }
 
-fn play(title: String, seed: u64, plant: InjectedBug, steps: usize) -> (Section, Counts) {
-    let mut world = World::new(seed, plant);
+fn play(title: String, seed: u64, injected_bug: InjectedBug, steps: usize) -> (Section, Counts) {
+    let mut world = World::new(seed, injected_bug);
     let lines = (0..steps).map(|_| world.step()).collect();
     (Section { title, lines }, world.counts)
 }
@@ -51,64 +56,63 @@
     let mut lines = Vec::new();
     for _ in 0..200 {
         let members = draw.below(12);
-        let wants: Vec<Demand> = (0..members)
+        let demands: Vec<Demand> = (0..members)
             .map(|_| Demand {
                 units: [0.0, draw.unit(), 20.0 * draw.unit(), 500.0][draw.below(4) as usize],
                 weight: [1.0, 2.0, 5.0][draw.below(3) as usize],
             })
             .collect();
-        let whole = draw.below(300);
-        for n in allocate(&wants, whole) {
+        let total = draw.below(300);
+        for n in allocate(&demands, total) {
             recorder.number(n);
-            recorder.number(Share::from_units(n, whole).parts());
-            recorder.number(Share::from_units(n, whole).to_units(whole / 3 + 1));
+            recorder.number(Share::from_units(n, total).parts());
+            recorder.number(Share::from_units(n, total).to_units(total / 3 + 1));
         }
         lines.push(recorder.line());
     }
     Section { title: "allocations".to_owned(), lines }
 }
 
+/// Lines of a budget block; one is drawn of each list.
+const BLOCK_LINES: [&[&str]; 10] = [
+    &[
+        "limits = \"requests\"",
+        "limits = \"further_attempts\"",
+        "limits = \"open\"",
+        "limits = \"connections\"",
+        "limits = \"cold_engines\"",
+        "limits = \"engines\"",
+    ],
+    &["", "", "account = \"munster\""],
+    &["", "", "class = \"report\""],
+    &["", "rate = 40", "rate = 3.5", "rate = 0"],
+    &["", "", "burst = 9"],
+    &["", "most = 30", "most = 2"],
+    &["", "longest = \"20 s\"", "longest = \"300 ms\""],
+    &["", "", "floor = \"30%\"", "floor = \"60%\""],
+    &["", "floor_among = 4", "floor_among = 900"],
+    &["", "", "weight \"n1\" {\n  is = 3\n}", "weight \"n1\" {\n  is = 3\n}\nweight \"east\" {\n  is = 7\n}"],
+];
+
+fn draw_block(draw: &mut Draw) -> String {
+    let name = ["b1", "b2", "b3", ""][draw.below(4) as usize];
+    let mut text = format!("budget \"{name}\" {{\n");
+    for choices in BLOCK_LINES {
+        text.push_str(choices[draw.below(choices.len() as u64) as usize]);
+        text.push('\n');
+    }
+    text.push_str("}\n");
+    text
+}
+
 /// What is read of drawn budget blocks, good and faulty ones.
 fn play_blocks() -> Section {
-    let keys = [
-        &[
-            "limits = \"requests\"",
-            "limits = \"further_attempts\"",
-            "limits = \"open\"",
-            "limits = \"connections\"",
-            "limits = \"cold_engines\"",
-            "limits = \"engines\"",
-        ][..],
-        &["", "", "account = \"munster\""],
-        &["", "", "class = \"report\""],
-        &["", "rate = 40", "rate = 3.5", "rate = 0"],
-        &["", "", "burst = 9"],
-        &["", "most = 30", "most = 2"],
-        &["", "longest = \"20 s\"", "longest = \"300 ms\""],
-        &["", "", "floor = \"30%\"", "floor = \"60%\""],
-        &["", "floor_among = 4", "floor_among = 900"],
-        &[
-            "",
-            "",
-            "weight \"n1\" {\n  is = 3\n}",
-            "weight \"n1\" {\n  is = 3\n}\nweight \"east\" {\n  is = 7\n}",
-        ],
-    ];
     let root = Block { blocks: vec![schema()], ..Block::default() };
     let mut draw = Draw::new(78);
     let mut recorder = Recorder::default();
     let mut lines = Vec::new();
     for _ in 0..600 {
-        let mut text = String::new();
-        for _ in 0..=draw.below(3) {
-            let name = ["b1", "b2", "b3", ""][draw.below(4) as usize];
-            text.push_str(&format!("budget \"{name}\" {{\n"));
-            for choices in keys {
-                text.push_str(choices[draw.below(choices.len() as u64) as usize]);
-                text.push('\n');
-            }
-            text.push_str("}\n");
-        }
+        let text: String = (0..=draw.below(3)).map(|_| draw_block(&mut draw)).collect();
         match beamgap_config::read("p.hcl", &text, &root).and_then(|document| read(&document)) {
             Ok(specs) => {
                 recorder.tag(1);
@@ -137,7 +141,7 @@
         total.admitted += counts.admitted;
         total.rejected += counts.rejected;
         total.full_statements += counts.full_statements;
-        total.answers_refusing += counts.answers_refusing;
+        total.not_renewed += counts.not_renewed;
         total.elections += counts.elections;
         total.restarts += counts.restarts;
         total.drained += counts.drained;
@@ -145,11 +149,11 @@
         total.lost += counts.lost;
     }
     assert!(total.admitted > 3000 && total.rejected > 3000, "too few requests: {total:?}");
-    assert!(total.full_statements > 50 && total.answers_refusing > 50, "too few statements: {total:?}");
+    assert!(total.full_statements > 50 && total.not_renewed > 50, "too few statements: {total:?}");
     assert!(total.elections > 5 && total.changes > 10 && total.lost > 100, "too few events: {total:?}");
     assert!(total.restarts > 5 && total.drained > 3, "too few restarts: {total:?}");
-    for (title, plant) in BUGS {
-        sections.push(play(title.to_owned(), 9, plant, STEPS_WITH_BUG).0);
+    for (title, injected_bug) in BUGS {
+        sections.push(play(title.to_owned(), 9, injected_bug, STEPS_WITH_BUG).0);
     }
     sections
 }
--- a/crates/sim/src/budgets.rs
+++ b/crates/sim/src/budgets/mod.rs
@@ -9,26 +9,18 @@
 //! Left out: how consensus comes about, that a change of the policy is under way, what takes less than a tick, more than
 //! one poll of a member on its way, and clocks whose rate changes.
 
+mod figures;
+mod state;
+
+pub use state::{FleetState, UnitInUse};
+
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
 use beamgap_budgets::member::BudgetMember;
 use beamgap_budgets::message::{PollRequest, PollResponse};
-use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
-use beamgap_budgets::{BudgetTimings, InjectedBug, FULL_SHARE};
-use beamgap_fleet_types::MemberId;
+use beamgap_budgets::{InjectedBug, FULL_SHARE};
+use figures::{member_id, specs, timings, BURST, MAX_DRIFT, MAX_IN_USE, TICK_MS, VERSION};
+use state::MemberState;
 use stateright::{Model, Property};
-use std::collections::BTreeMap;
-use std::hash::{Hash, Hasher};
-
-/// Length of a tick in true time, in milliseconds.
-const TICK_MS: f64 = 500.0;
-const MAX_DRIFT: f64 = 0.05;
-const RATE_PER_SECOND: f64 = 4.0;
-const BURST: u64 = 4;
-const MAX_IN_USE: u64 = 4;
-/// Longest time that a unit is in use, in ticks.
-const MAX_DURATION_TICKS: u64 = 3;
-/// The policy version in force.
-const VERSION: u64 = 1;
 
 /// One of the two budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -62,55 +54,6 @@
     pub single_step_polls: bool,
 }
 
-/// A member and its messages on their way.
-#[derive(Clone, Debug, PartialEq)]
-struct MemberState {
-    incarnation: u64,
-    budgets: BudgetMember,
-    polls: u64,
-    request: Option<PollRequest>,
-    response: Option<PollResponse>,
-}
-
-/// A unit of the concurrency limit in use.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct UnitInUse {
-    /// Whose it is.
-    pub member: MemberId,
-    /// The tick by which it has surely ended.
-    pub until: u64,
-}
-
-/// A state of the model.
-#[derive(Clone, Debug, PartialEq)]
-pub struct FleetState {
-    /// Ticks that have passed.
-    pub now: u64,
-    leader: BudgetLeader,
-    agreed_members: BTreeMap<MemberId, u64>,
-    members: Vec<MemberState>,
-    /// Units in use, in order.
-    pub in_use: Vec<UnitInUse>,
-    /// Level of a leaky bucket that contains all admissions of the rate, when it was last updated.
-    pub level: f64,
-    level_updated_at: u64,
-    /// Admissions of the rate.
-    pub admitted_by_rate: u64,
-    /// Admissions of the concurrency limit.
-    pub admitted_by_concurrency: u64,
-    elections: u8,
-    restarts: u8,
-}
-
-impl Eq for FleetState {}
-
-impl Hash for FleetState {
-    fn hash<H: Hasher>(&self, state: &mut H) {
-        // It contains times as floating-point numbers, which have no hash; their text tells them apart.
-        format!("{self:?}").hash(state);
-    }
-}
-
 /// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
@@ -134,63 +77,6 @@
     Restart(usize),
 }
 
-fn specs(has_rate: bool) -> Vec<BudgetSpec> {
-    let spec = |name: &str, resource, amount| BudgetSpec {
-        name: name.to_owned(),
-        resource,
-        account: None,
-        class: None,
-        amount,
-        floor: 0.0,
-        max_members: 0,
-        weights: BTreeMap::new(),
-    };
-    let concurrency =
-        Amount::Concurrency { max: MAX_IN_USE, max_duration_ms: MAX_DURATION_TICKS as f64 * TICK_MS };
-    let mut all = vec![spec("concurrency", Resource::OpenRequests, concurrency)];
-    if has_rate {
-        let rate = Amount::Rate { per_second: RATE_PER_SECOND, burst: BURST };
-        all.insert(0, spec("rate", Resource::Requests, rate));
-    }
-    all
-}
-
-fn timings() -> BudgetTimings {
-    BudgetTimings { share_ms: 3.0 * TICK_MS, floor_ms: 6.0 * TICK_MS, max_drift: MAX_DRIFT }
-}
-
-fn member_id(member: usize, incarnation: u64) -> MemberId {
-    MemberId::new(format!("m{member}"), incarnation)
-}
-
-impl FleetState {
-    fn leader_clock(&self) -> f64 {
-        self.now as f64 * TICK_MS * (1.0 + MAX_DRIFT)
-    }
-
-    fn id(&self, member: usize) -> MemberId {
-        member_id(member, self.members[member].incarnation)
-    }
-
-    fn units_in_use_of(&self, member: usize) -> u64 {
-        let id = self.id(member);
-        self.in_use.iter().filter(|unit| unit.member == id).count() as u64
-    }
-
-    /// Records an admission of the rate in the leaky bucket.
-    fn add_to_level(&mut self) {
-        let elapsed_ms = (self.now - self.level_updated_at) as f64 * TICK_MS;
-        self.level = (self.level - elapsed_ms * RATE_PER_SECOND / 1000.0).max(0.0) + 1.0;
-        self.level_updated_at = self.now;
-    }
-
-    fn add_unit(&mut self, member: usize) {
-        let unit = UnitInUse { member: self.id(member), until: self.now + MAX_DURATION_TICKS };
-        self.in_use.push(unit);
-        self.in_use.sort();
-    }
-}
-
 impl BudgetModel {
     fn member_clock(&self, state: &FleetState, member: usize) -> f64 {
         let rate = match member {
