--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -35,8 +35,10 @@
     }
     let mut shares = max_min_shares(demands, total as f64);
     spread_unclaimed(demands, total as f64, &mut shares);
-    let mut units: Vec<u64> =
-        shares.iter().map(|share| (share + ROUNDING_TOLERANCE).floor() as u64).collect();
+    let mut units: Vec<u64> = shares
+        .iter()
+        .map(|share| (share + ROUNDING_TOLERANCE).floor() as u64)
+        .collect();
     distribute_remainder(demands, total, &shares, &mut units);
     give_everyone_one(demands, &mut units);
     units
@@ -45,9 +47,13 @@
 /// Progressive filling: each gets what it demands, or its weight's part of one level that uses all up.
 fn max_min_shares(demands: &[Demand], total: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
-    let demand_per_weight = |i: usize| demands[i].units.max(0.0) / demands[i].weight.max(MIN_WEIGHT);
+    let demand_per_weight =
+        |i: usize| demands[i].units.max(0.0) / demands[i].weight.max(MIN_WEIGHT);
     order.sort_by(|a, b| demand_per_weight(*a).total_cmp(&demand_per_weight(*b)));
-    let mut weight_left: f64 = demands.iter().map(|demand| demand.weight.max(MIN_WEIGHT)).sum();
+    let mut weight_left: f64 = demands
+        .iter()
+        .map(|demand| demand.weight.max(MIN_WEIGHT))
+        .sum();
     let mut left = total;
     let mut shares = vec![0.0; demands.len()];
     for i in order {
@@ -101,5 +107,7 @@
 fn donor(demands: &[Demand], units: &[u64]) -> Option<usize> {
     let has_demand = |i: usize| demands[i].units > 0.0;
     let can_spare = |i: &usize| units[*i] > u64::from(has_demand(*i));
-    (0..demands.len()).filter(can_spare).min_by_key(|i| (has_demand(*i), Reverse(units[*i])))
+    (0..demands.len())
+        .filter(can_spare)
+        .min_by_key(|i| (has_demand(*i), Reverse(units[*i])))
 }
--- a/crates/budgets/src/error.rs
+++ b/crates/budgets/src/error.rs
@@ -48,9 +48,9 @@
     pub fn key(self) -> &'static str {
         match self {
             BudgetError::Name => "",
-            BudgetError::UnknownResource | BudgetError::HasNoAccountOrClass | BudgetError::AmountIsFixed => {
-                "limits"
-            }
+            BudgetError::UnknownResource
+            | BudgetError::HasNoAccountOrClass
+            | BudgetError::AmountIsFixed => "limits",
             BudgetError::ConcurrencyKeyInRate | BudgetError::MissingMost => "most",
             BudgetError::MissingRate | BudgetError::RateKeyInConcurrency => "rate",
             BudgetError::MissingLongest => "longest",
@@ -75,8 +75,12 @@
             BudgetError::MissingLongest => {
                 "write the longest time that one is out, the longest deadline as a rule"
             }
-            BudgetError::MissingFloorAmong => "write the most front ends that will be there at once",
-            BudgetError::FloorTooLarge => "what is set aside moves to nobody; leave half or more to move",
+            BudgetError::MissingFloorAmong => {
+                "write the most front ends that will be there at once"
+            }
+            BudgetError::FloorTooLarge => {
+                "what is set aside moves to nobody; leave half or more to move"
+            }
             BudgetError::FloorTooSmall => "raise floor, burst or most, or lower floor_among",
         }
     }
--- a/crates/budgets/src/leader/division.rs
+++ b/crates/budgets/src/leader/division.rs
@@ -106,7 +106,10 @@
         let is_remembered = spec.outlives_share_ms() < MEMBER_RETENTION_LEASES * timings.floor_ms;
         BudgetDivision {
             spec: spec.clone(),
-            shares: ShareLedger::new(spec.allocatable_share().parts(), unknown_expires_at(share_ms)),
+            shares: ShareLedger::new(
+                spec.allocatable_share().parts(),
+                unknown_expires_at(share_ms),
+            ),
             floors: ShareLedger::new(spec.max_members, unknown_expires_at(timings.floor_ms)),
             statements_are_exhaustive: !has_changed_form && is_remembered,
             demands: BTreeMap::new(),
@@ -182,7 +185,11 @@
     pub(super) fn set_demand(&mut self, member: &MemberId, report: &DemandReport) {
         let total = self.spec.total_units();
         let max_demand = MAX_DEMAND_BUDGETS * total as f64;
-        let demand = if report.demand.is_finite() { report.demand.clamp(0.0, max_demand) } else { 0.0 };
+        let demand = if report.demand.is_finite() {
+            report.demand.clamp(0.0, max_demand)
+        } else {
+            0.0
+        };
         if self.demands.insert(member.clone(), demand) != Some(demand) {
             self.needs_allocation = true;
         }
@@ -193,7 +200,8 @@
     /// Whether targets are to be computed anew when this member polls.
     pub(super) fn is_allocation_due(&self, now: f64, member: &MemberId) -> bool {
         let has_target = self.targets.contains_key(member);
-        self.needs_allocation && (!has_target || now - self.allocated_at >= MIN_ALLOCATION_INTERVAL_MS)
+        self.needs_allocation
+            && (!has_target || now - self.allocated_at >= MIN_ALLOCATION_INTERVAL_MS)
     }
 
     /// Computes the members' targets from their demands. Demands of members that are not known any more
@@ -207,7 +215,10 @@
         self.needs_allocation = false;
         self.allocated_at = now;
         let total = self.spec.total_units();
-        let demands: Vec<Demand> = participants.iter().map(|member| self.demand_of(member)).collect();
+        let demands: Vec<Demand> = participants
+            .iter()
+            .map(|member| self.demand_of(member))
+            .collect();
         // In whole units, because a fraction of a unit admits nothing.
         let allocatable = self.spec.allocatable_share().to_units_floor(total);
         let units = allocate(&demands, allocatable);
@@ -221,12 +232,24 @@
 
     fn demand_of(&self, member: &Participant<'_>) -> Demand {
         let demand = self.demands.get(member.id).copied().unwrap_or(0.0);
-        let units = if demand > 0.0 { demand * DEMAND_HEADROOM + EXTRA_DEMAND_UNITS } else { 0.0 };
-        Demand { units, weight: self.spec.weight(&member.id.name, member.zone) }
+        let units = if demand > 0.0 {
+            demand * DEMAND_HEADROOM + EXTRA_DEMAND_UNITS
+        } else {
+            0.0
+        };
+        Demand {
+            units,
+            weight: self.spec.weight(&member.id.name, member.zone),
+        }
     }
 
     /// Grants a member what is free of its target; a draining member has none.
-    pub(super) fn grant(&mut self, member: &MemberId, draining: bool, injected_bug: InjectedBug) -> Grant {
+    pub(super) fn grant(
+        &mut self,
+        member: &MemberId,
+        draining: bool,
+        injected_bug: InjectedBug,
+    ) -> Grant {
         let target = self.target(member, draining);
         let share_before = self.shares.granted(member);
         let floors_before = self.floors.granted(member);
--- a/crates/budgets/src/leader/mod.rs
+++ b/crates/budgets/src/leader/mod.rs
@@ -98,7 +98,10 @@
             seed,
             leaderships: 0,
             leader_since: None,
-            epoch: Epoch { leadership: seed, restatement: 0 },
+            epoch: Epoch {
+                leadership: seed,
+                restatement: 0,
+            },
             timings,
             version: None,
             members: BTreeMap::new(),
@@ -146,13 +149,22 @@
     }
 
     /// Answers a member. `agreed` has to be what was agreed on after the request arrived.
-    pub fn handle_poll(&mut self, now: f64, agreed: &AgreedState<'_>, request: &PollRequest) -> PollResponse {
+    pub fn handle_poll(
+        &mut self,
+        now: f64,
+        agreed: &AgreedState<'_>,
+        request: &PollRequest,
+    ) -> PollResponse {
         self.apply_version(now, agreed);
         if !self.is_leader() || !agreed.members.contains_key(&request.member) {
             return PollResponse::default();
         }
         let Some(stated) = self.accept_poll(now, agreed.version, request) else {
-            return PollResponse { epoch: self.epoch, sequence: request.sequence, ..PollResponse::default() };
+            return PollResponse {
+                epoch: self.epoch,
+                sequence: request.sequence,
+                ..PollResponse::default()
+            };
         };
         let is_complete = matches!(stated, StatedHoldings::Complete(_));
         self.renew(now, request, &stated);
@@ -163,11 +175,17 @@
 
     /// How all budgets are divided, for operators.
     pub fn status(&self) -> Vec<BudgetStatus> {
-        self.divisions.values().map(BudgetDivision::status).collect()
+        self.divisions
+            .values()
+            .map(BudgetDivision::status)
+            .collect()
     }
 
     fn expiry_rules(&self) -> ExpiryRules {
-        ExpiryRules { timings: self.timings, injected_bug: self.injected_bug }
+        ExpiryRules {
+            timings: self.timings,
+            injected_bug: self.injected_bug,
+        }
     }
 
     /// Takes on the budgets of the version in force. A budget that is new or has another form begins a new epoch, so that
@@ -204,7 +222,12 @@
     }
 
     /// Records a poll. Gives nothing if it is late, of another version or too little is known of the member's holdings.
-    fn accept_poll(&mut self, now: f64, version: u64, request: &PollRequest) -> Option<StatedHoldings> {
+    fn accept_poll(
+        &mut self,
+        now: f64,
+        version: u64,
+        request: &PollRequest,
+    ) -> Option<StatedHoldings> {
         let member = self.members.entry(request.member.clone()).or_default();
         if request.sequence <= member.last_sequence {
             // Late or duplicated: its response does not count for the member, and it tells nothing here.
@@ -225,7 +248,9 @@
         match (&request.full_statement, request.applied) {
             (Some(statement), _) if statement.epoch == self.epoch => {
                 let by_budget = |holding: &Holding| (holding.budget.clone(), holding.clone());
-                Some(StatedHoldings::Complete(statement.holdings.iter().map(by_budget).collect()))
+                Some(StatedHoldings::Complete(
+                    statement.holdings.iter().map(by_budget).collect(),
+                ))
             }
             (None, Some(applied)) if applied.epoch == self.epoch => {
                 self.holdings_by_response(&request.member, applied)
@@ -235,12 +260,20 @@
     }
 
     /// What a member holds that has named the response that it has applied.
-    fn holdings_by_response(&mut self, id: &MemberId, applied: AppliedResponse) -> Option<StatedHoldings> {
+    fn holdings_by_response(
+        &mut self,
+        id: &MemberId,
+        applied: AppliedResponse,
+    ) -> Option<StatedHoldings> {
         let member = self.members.get_mut(id)?;
         if member.stated_in != Some(self.epoch) {
             return None;
         }
-        if !self.divisions.values().all(|division| division.has_entry(id)) {
+        if !self
+            .divisions
+            .values()
+            .all(|division| division.has_entry(id))
+        {
             // It was silent so long that its entry has expired: it has to state that it holds nothing.
             member.stated_in = None;
             return None;
@@ -260,8 +293,11 @@
         let is_complete = matches!(stated, StatedHoldings::Complete(_));
         let no_demand = DemandReport::default();
         // Of two reports of a budget the last one counts.
-        let reports: BTreeMap<&str, &DemandReport> =
-            request.demands.iter().map(|report| (report.budget.as_str(), report)).collect();
+        let reports: BTreeMap<&str, &DemandReport> = request
+            .demands
+            .iter()
+            .map(|report| (report.budget.as_str(), report))
+            .collect();
         for (name, division) in &mut self.divisions {
             division.renew(now, &request.member, stated, &rules);
             let report = reports.get(name.as_str()).copied();
@@ -278,10 +314,12 @@
         for division in self.divisions.values_mut() {
             division.expire(now, all_have_stated);
         }
-        let lease_ms = clock::expired_everywhere_after(self.timings.floor_ms, self.timings.max_drift);
+        let lease_ms =
+            clock::expired_everywhere_after(self.timings.floor_ms, self.timings.max_drift);
         let retention_ms = lease_ms * MEMBER_RETENTION_LEASES;
-        self.members
-            .retain(|id, member| agreed_members.contains_key(id) || now - member.last_poll_at < retention_ms);
+        self.members.retain(|id, member| {
+            agreed_members.contains_key(id) || now - member.last_poll_at < retention_ms
+        });
         if self.has_newly_silent_member(now) {
             for division in self.divisions.values_mut() {
                 division.request_allocation();
@@ -312,7 +350,10 @@
         let participants: Vec<Participant<'_>> = members
             .iter()
             .filter(|(_, member)| takes_part(member))
-            .map(|(id, member)| Participant { id, zone: &member.zone })
+            .map(|(id, member)| Participant {
+                id,
+                zone: &member.zone,
+            })
             .collect();
         for division in self.divisions.values_mut() {
             if division.is_allocation_due(now, asker) {
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -38,7 +38,13 @@
 impl ShareLedger {
     /// A new leader's ledger: everything may be held by somebody until `unknown_expires_at`.
     pub fn new(total: u64, unknown_expires_at: f64) -> ShareLedger {
-        ShareLedger { total, unknown: total, unknown_expires_at, entries: BTreeMap::new(), entries_sum: 0 }
+        ShareLedger {
+            total,
+            unknown: total,
+            unknown_expires_at,
+            entries: BTreeMap::new(),
+            entries_sum: 0,
+        }
     }
 
     /// What nobody can hold.
@@ -69,7 +75,9 @@
 
     /// All members with an entry, and what each was granted last.
     pub fn grants(&self) -> impl Iterator<Item = (&MemberId, u64)> + '_ {
-        self.entries.iter().map(|(member, entry)| (member, entry.granted))
+        self.entries
+            .iter()
+            .map(|(member, entry)| (member, entry.granted))
     }
 
     /// Records all that a member holds. This amount is unknown no more.
@@ -125,7 +133,9 @@
 
     /// Wrong on purpose: takes a grant for confirmed.
     pub(crate) fn confirm_without_response(&mut self, member: &MemberId) {
-        self.update(member, f64::NEG_INFINITY, |entry| entry.confirmed = entry.granted);
+        self.update(member, f64::NEG_INFINITY, |entry| {
+            entry.confirmed = entry.granted
+        });
     }
 
     /// Frees what has expired. With `all_have_stated`, every incarnation that can hold something has an entry.
@@ -146,7 +156,12 @@
 
     /// Changes a member's entry, creates it if need be, and keeps the sum. An expiry is never moved to an earlier time.
     fn update(&mut self, member: &MemberId, expires_at: f64, change: impl FnOnce(&mut Entry)) {
-        let new_entry = Entry { confirmed: 0, granted: 0, in_use: 0, expires_at };
+        let new_entry = Entry {
+            confirmed: 0,
+            granted: 0,
+            in_use: 0,
+            expires_at,
+        };
         let entry = self.entries.entry(member.clone()).or_insert(new_entry);
         let before = entry.worst_case();
         entry.expires_at = entry.expires_at.max(expires_at);
--- a/crates/budgets/src/member/held_budget.rs
+++ b/crates/budgets/src/member/held_budget.rs
@@ -56,7 +56,10 @@
     in_use: u64,
 }
 
-const NOTHING_REPORTED: Report = Report { demand: 0.0, in_use: 0 };
+const NOTHING_REPORTED: Report = Report {
+    demand: 0.0,
+    in_use: 0,
+};
 
 /// A budget as this member holds it.
 #[derive(Clone, Debug, PartialEq)]
@@ -79,8 +82,15 @@
             spec,
             share: Share::ZERO,
             holds_floor: false,
-            bucket: TokenBucket { tokens: 0.0, refilled_at: now, share: Share::ZERO },
-            counter: DecayingCounter { count: 0.0, updated_at: now },
+            bucket: TokenBucket {
+                tokens: 0.0,
+                refilled_at: now,
+                share: Share::ZERO,
+            },
+            counter: DecayingCounter {
+                count: 0.0,
+                updated_at: now,
+            },
             reported: NOTHING_REPORTED,
             pending_report: NOTHING_REPORTED,
         }
@@ -95,7 +105,10 @@
     pub(super) fn start_version(&mut self) {
         let max_tokens = self.spec.total_units() as f64;
         self.bucket.tokens = self.bucket.tokens.min(max_tokens);
-        self.reported = Report { demand: -1.0, in_use: 0 };
+        self.reported = Report {
+            demand: -1.0,
+            in_use: 0,
+        };
     }
 
     pub(super) fn is_rate(&self) -> bool {
@@ -105,7 +118,9 @@
     /// Counts one request.
     pub(super) fn count_request(&mut self, now: f64) {
         let max = match self.spec.amount {
-            Amount::Rate { per_second, .. } => MAX_COUNTED_BUDGETS * per_second * DEMAND_DECAY_MS / 1000.0,
+            Amount::Rate { per_second, .. } => {
+                MAX_COUNTED_BUDGETS * per_second * DEMAND_DECAY_MS / 1000.0
+            }
             Amount::Concurrency { max, .. } => MAX_COUNTED_BUDGETS * max as f64,
         };
         self.counter.increment(now, max.max(1.0));
@@ -174,14 +189,19 @@
             self.pending_report = Report { demand, in_use };
             return Some((demand, in_use));
         }
-        self.pending_report = if states_all { NOTHING_REPORTED } else { self.reported };
+        self.pending_report = if states_all {
+            NOTHING_REPORTED
+        } else {
+            self.reported
+        };
         None
     }
 
     fn differs_from_report(&self, demand: f64, in_use: u64, limit: u64) -> bool {
         let reported = self.reported;
         let difference = (demand - reported.demand).abs();
-        let has_changed = difference > (REPORT_THRESHOLD * reported.demand).max(MIN_REPORT_DIFFERENCE);
+        let has_changed =
+            difference > (REPORT_THRESHOLD * reported.demand).max(MIN_REPORT_DIFFERENCE);
         let starts_or_ends = (demand == 0.0) != (reported.demand == 0.0);
         // Units in use beyond the share count at the leader, so that it has to know the exact number.
         let exceeds_limit = in_use > limit || reported.in_use > limit;
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -75,7 +75,10 @@
             shares_expire_at: f64::NEG_INFINITY,
             floors_expire_at: f64::NEG_INFINITY,
             max_drift: 0.0,
-            position: Position { index: 0, members: 1 },
+            position: Position {
+                index: 0,
+                members: 1,
+            },
             applied: None,
             restate_for: None,
             outstanding: None,
@@ -90,7 +93,8 @@
         self.refill_all(now);
         let mut earlier = std::mem::take(&mut self.budgets);
         for spec in specs {
-            let is_kept = |held: &HeldBudget| held.spec.name == spec.name && held.spec.limits_same(&spec);
+            let is_kept =
+                |held: &HeldBudget| held.spec.name == spec.name && held.spec.limits_same(&spec);
             let mut budget = match earlier.iter().position(is_kept) {
                 Some(index) => earlier.swap_remove(index).with_spec(spec),
                 None => HeldBudget::new(spec, now),
@@ -114,8 +118,13 @@
 
     /// The numbers of the budgets of a resource that limit requests of this class and account.
     pub fn applicable(&self, resource: Resource, class: &str, account: Option<&str>) -> Vec<usize> {
-        let applies = |spec: &BudgetSpec| spec.resource == resource && spec.applies_to(class, account);
-        self.specs().enumerate().filter(|(_, spec)| applies(spec)).map(|(number, _)| number).collect()
+        let applies =
+            |spec: &BudgetSpec| spec.resource == resource && spec.applies_to(class, account);
+        self.specs()
+            .enumerate()
+            .filter(|(_, spec)| applies(spec))
+            .map(|(number, _)| number)
+            .collect()
     }
 
     /// From now on it demands nothing more, so that the leader moves its shares to others.
@@ -140,7 +149,8 @@
 
     /// What [`BudgetMember::share`] comes to in whole units: the size of its bucket, or the most that it may have in use.
     pub fn unit_limit(&self, number: usize, now: f64) -> u64 {
-        let limit = |budget: &HeldBudget| self.share(number, now).to_units(budget.spec.total_units());
+        let limit =
+            |budget: &HeldBudget| self.share(number, now).to_units(budget.spec.total_units());
         self.budgets.get(number).map_or(0, limit)
     }
 
@@ -204,12 +214,23 @@
     }
 
     /// The next request to the leader. `sequence` has to grow; `in_use` gives the units in use of a concurrency limit.
-    pub fn poll_request(&mut self, now: f64, sequence: u64, in_use: impl Fn(usize) -> u64) -> PollRequest {
+    pub fn poll_request(
+        &mut self,
+        now: f64,
+        sequence: u64,
+        in_use: impl Fn(usize) -> u64,
+    ) -> PollRequest {
         self.refill_all(now);
         self.drop_expired(now);
-        let full_statement = self.restate_for.map(|epoch| FullStatement { epoch, holdings: self.holdings() });
+        let full_statement = self.restate_for.map(|epoch| FullStatement {
+            epoch,
+            holdings: self.holdings(),
+        });
         let demands = self.demand_reports(now, full_statement.is_some(), in_use);
-        self.outstanding = Some(OutstandingPoll { sequence, sent_at: now });
+        self.outstanding = Some(OutstandingPoll {
+            sequence,
+            sent_at: now,
+        });
         PollRequest {
             member: self.id.clone(),
             sequence,
@@ -259,7 +280,11 @@
             let budget = &mut self.budgets[number];
             let report = budget.prepare_report(now, in_use(number), limit, states_all);
             if let Some((demand, in_use)) = report {
-                reports.push(DemandReport { budget: budget.spec.name.clone(), demand, in_use });
+                reports.push(DemandReport {
+                    budget: budget.spec.name.clone(),
+                    demand,
+                    in_use,
+                });
             }
         }
         reports
@@ -282,15 +307,23 @@
             return;
         };
         for budget in &mut self.budgets {
-            let holding = response.holdings.iter().find(|holding| holding.budget == budget.spec.name);
+            let holding = response
+                .holdings
+                .iter()
+                .find(|holding| holding.budget == budget.spec.name);
             budget.apply(holding, response.complete);
         }
-        self.applied = Some(AppliedResponse { epoch: response.epoch, sequence: response.sequence });
+        self.applied = Some(AppliedResponse {
+            epoch: response.epoch,
+            sequence: response.sequence,
+        });
         self.max_drift = timings.max_drift;
         self.position = response.position;
         // Polls are sent one after the other, so that a response never shortens what an earlier one granted.
-        self.shares_expire_at = poll.sent_at + clock::usable_for(timings.share_ms, timings.max_drift);
-        self.floors_expire_at = poll.sent_at + clock::usable_for(timings.floor_ms, timings.max_drift);
+        self.shares_expire_at =
+            poll.sent_at + clock::usable_for(timings.share_ms, timings.max_drift);
+        self.floors_expire_at =
+            poll.sent_at + clock::usable_for(timings.floor_ms, timings.max_drift);
         self.refill_all(now);
         if self.injected_bug == InjectedBug::FullBurstOnArrival {
             self.fill_buckets(now, &response.holdings);
@@ -373,7 +406,10 @@
         for number in 0..self.budgets.len() {
             let max_tokens = self.unit_limit(number, now) as f64;
             let budget = &mut self.budgets[number];
-            if holdings.iter().any(|holding| holding.budget == budget.spec.name) {
+            if holdings
+                .iter()
+                .any(|holding| holding.budget == budget.spec.name)
+            {
                 budget.set_tokens(max_tokens);
             }
         }
--- a/crates/budgets/src/reader.rs
+++ b/crates/budgets/src/reader.rs
@@ -60,11 +60,19 @@
 }
 
 fn optional(name: &'static str, setting: &'static str, shape: Shape) -> Key {
-    Key { name, setting, shape, needed: false }
+    Key {
+        name,
+        setting,
+        shape,
+        needed: false,
+    }
 }
 
 fn required(name: &'static str, setting: &'static str, shape: Shape) -> Key {
-    Key { needed: true, ..optional(name, setting, shape) }
+    Key {
+        needed: true,
+        ..optional(name, setting, shape)
+    }
 }
 
 /// Reads the budgets of a policy whose schema contains [`schema`], in the order of their names.
@@ -104,7 +112,11 @@
 fn problem(document: &Document, index: usize, name: &str, error: BudgetError) -> Problem {
     let key = error.key();
     let block_path = format!("budgets[{index}]");
-    let key_path = if key.is_empty() { block_path.clone() } else { format!("{block_path}.{key}") };
+    let key_path = if key.is_empty() {
+        block_path.clone()
+    } else {
+        format!("{block_path}.{key}")
+    };
     let place = document.place(&key_path).or(document.place(&block_path));
     Problem {
         file: document.file.clone(),
@@ -168,7 +180,10 @@
             if has_any(keys, &["rate", "burst", "most", "longest_ms"]) {
                 return Err(BudgetError::AmountIsFixed);
             }
-            Ok(Amount::Concurrency { max: WARMING_UNITS, max_duration_ms: 0.0 })
+            Ok(Amount::Concurrency {
+                max: WARMING_UNITS,
+                max_duration_ms: 0.0,
+            })
         }
     }
 }
@@ -188,7 +203,10 @@
     }
     let max = number(keys, "most").ok_or(BudgetError::MissingMost)?;
     let max_duration_ms = number(keys, "longest_ms").ok_or(BudgetError::MissingLongest)?;
-    Ok(Amount::Concurrency { max: max as u64, max_duration_ms })
+    Ok(Amount::Concurrency {
+        max: max as u64,
+        max_duration_ms,
+    })
 }
 
 fn read_weights(keys: &Keys) -> BTreeMap<String, f64> {
--- a/crates/budgets/src/share.rs
+++ b/crates/budgets/src/share.rs
@@ -6,7 +6,9 @@
 ///
 /// It is a fraction and not a figure: how many units it comes to follows from the policy under which its holder admits.
 /// The serialized form is the number of parts.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Share(u64);
 
 /// The whole budget. Fine enough that a thousand shares of a million units still come to whole units.
@@ -30,7 +32,8 @@
     ///
     /// What is held and what is in use are converted alike, so that no fraction of a unit is lost between them.
     pub fn from_units(units: u64, total: u64) -> Share {
-        let parts = u128::from(units.min(total)) * u128::from(FULL_SHARE.0) / u128::from(total.max(1));
+        let parts =
+            u128::from(units.min(total)) * u128::from(FULL_SHARE.0) / u128::from(total.max(1));
         Share(parts as u64)
     }
 
--- a/crates/budgets/src/spec.rs
+++ b/crates/budgets/src/spec.rs
@@ -73,7 +73,8 @@
         if self.max_members == 0 {
             return Share::ZERO;
         }
-        let parts = self.floor.clamp(0.0, 1.0) * FULL_SHARE.parts() as f64 / self.max_members as f64;
+        let parts =
+            self.floor.clamp(0.0, 1.0) * FULL_SHARE.parts() as f64 / self.max_members as f64;
         Share::from_parts(parts as u64)
     }
 
@@ -86,7 +87,9 @@
     pub fn outlives_share_ms(&self) -> f64 {
         match self.amount {
             Amount::Rate { .. } => 0.0,
-            Amount::Concurrency { max_duration_ms, .. } => max_duration_ms,
+            Amount::Concurrency {
+                max_duration_ms, ..
+            } => max_duration_ms,
         }
     }
 
@@ -99,7 +102,11 @@
     /// Whether it limits requests of this class and account.
     pub fn applies_to(&self, class: &str, account: Option<&str>) -> bool {
         let class_fits = self.class.as_deref().is_none_or(|name| name == class);
-        class_fits && self.account.as_deref().is_none_or(|name| Some(name) == account)
+        class_fits
+            && self
+                .account
+                .as_deref()
+                .is_none_or(|name| Some(name) == account)
     }
 
     /// Whether it limits the same thing in the same form as `other`, whatever the figures.
@@ -130,7 +137,10 @@
         let mut text = format!("{resource}{account}{class}: {amount}");
         if self.floor > 0.0 {
             let percent = self.floor * 100.0;
-            text.push_str(&format!(", {percent}% set aside among {}", self.max_members));
+            text.push_str(&format!(
+                ", {percent}% set aside among {}",
+                self.max_members
+            ));
         }
         for (name, weight) in &self.weights {
             text.push_str(&format!(", weight of {name} {weight}"));
@@ -143,7 +153,10 @@
     fn description(&self) -> String {
         match self {
             Amount::Rate { per_second, burst } => format!("{per_second} a second, {burst} at once"),
-            Amount::Concurrency { max, max_duration_ms } => {
+            Amount::Concurrency {
+                max,
+                max_duration_ms,
+            } => {
                 format!("{max} at a time, each {max_duration_ms} ms at most")
             }
         }
@@ -151,5 +164,6 @@
 }
 
 fn describe_filter(kind: &str, name: Option<&str>) -> String {
-    name.map(|name| format!(" of {kind} {name}")).unwrap_or_default()
+    name.map(|name| format!(" of {kind} {name}"))
+        .unwrap_or_default()
 }
--- a/crates/budgets/src/timings.rs
+++ b/crates/budgets/src/timings.rs
@@ -18,6 +18,10 @@
     ///
     /// A share lasts half of the lease, so that shares outlast a change of leaders; a floor lasts to the lease's end.
     pub fn for_lease(lease_ms: f64, max_drift: f64) -> BudgetTimings {
-        BudgetTimings { share_ms: lease_ms / 2.0, floor_ms: lease_ms, max_drift }
+        BudgetTimings {
+            share_ms: lease_ms / 2.0,
+            floor_ms: lease_ms,
+            max_drift,
+        }
     }
 }
--- a/crates/budgets/tests/allocation.rs
+++ b/crates/budgets/tests/allocation.rs
@@ -20,7 +20,11 @@
 #[test]
 fn units_that_nobody_demands_are_spread() {
     assert_eq!(allocate(&[0.0; 4].map(demand), 8), [2, 2, 2, 2]);
-    assert_eq!(allocate(&[0.0, 0.0, 3.0].map(demand), 1), [0, 0, 1], "one that idles gives way");
+    assert_eq!(
+        allocate(&[0.0, 0.0, 3.0].map(demand), 1),
+        [0, 0, 1],
+        "one that idles gives way"
+    );
     assert!(allocate(&[], 8).is_empty());
 }
 
--- a/crates/budgets/tests/common/fleet.rs
+++ b/crates/budgets/tests/common/fleet.rs
@@ -78,8 +78,15 @@
 }
 
 enum Message {
-    Request { front: usize, request: PollRequest },
-    Response { front: usize, incarnation: u64, response: PollResponse },
+    Request {
+        front: usize,
+        request: PollRequest,
+    },
+    Response {
+        front: usize,
+        incarnation: u64,
+        response: PollResponse,
+    },
 }
 
 struct Delivery {
@@ -135,7 +142,10 @@
             members: BTreeMap::new(),
             fronts: Vec::new(),
             leader: BudgetLeader::new(seed, timings, injected_bug),
-            leader_clock: Clock { rate: 1.0, offset: 0.0 },
+            leader_clock: Clock {
+                rate: 1.0,
+                offset: 0.0,
+            },
             admitted: vec![Vec::new(); budgets],
             counts: vec![HashMap::new(); budgets],
             in_use: (0..budgets).map(|_| Vec::new()).collect(),
@@ -182,8 +192,13 @@
     pub fn elect(&mut self) {
         self.leaders += 1;
         self.leader_clock = Clock::draw(&mut self.draw);
-        self.leader = BudgetLeader::new(self.seed << 8 | self.leaders, self.timings, self.injected_bug);
-        self.leader.set_leadership(self.leader_clock.read(self.now), true);
+        self.leader = BudgetLeader::new(
+            self.seed << 8 | self.leaders,
+            self.timings,
+            self.injected_bug,
+        );
+        self.leader
+            .set_leadership(self.leader_clock.read(self.now), true);
     }
 
     /// A front end's own reading of the time.
@@ -202,7 +217,10 @@
         let clock = self.fronts[front].clock;
         let demand = self.fronts[front].demand.clone();
         let new_front = self.new_front(front, incarnation, clock);
-        self.fronts[front] = Front { demand, ..new_front };
+        self.fronts[front] = Front {
+            demand,
+            ..new_front
+        };
     }
 
     /// Another version is in force, and all front ends use it.
@@ -244,19 +262,28 @@
     }
 
     fn tick_leader(&mut self) {
-        let agreed = AgreedState { version: self.version, specs: &self.specs, members: &self.members };
+        let agreed = AgreedState {
+            version: self.version,
+            specs: &self.specs,
+            members: &self.members,
+        };
         self.leader.tick(self.leader_clock.read(self.now), &agreed);
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let all = std::mem::take(&mut self.deliveries);
-        let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|delivery| delivery.at <= now);
+        let (due, later): (Vec<_>, Vec<_>) =
+            all.into_iter().partition(|delivery| delivery.at <= now);
         self.deliveries = later;
         for delivery in due {
             match delivery.message {
                 Message::Request { front, request } => self.deliver_request(front, &request),
-                Message::Response { front, incarnation, response } => {
+                Message::Response {
+                    front,
+                    incarnation,
+                    response,
+                } => {
                     self.deliver_response(front, incarnation, response);
                 }
             }
@@ -264,11 +291,19 @@
     }
 
     fn deliver_request(&mut self, front: usize, request: &PollRequest) {
-        let agreed = AgreedState { version: self.version, specs: &self.specs, members: &self.members };
+        let agreed = AgreedState {
+            version: self.version,
+            specs: &self.specs,
+            members: &self.members,
+        };
         let leader_now = self.leader_clock.read(self.now);
         let response = self.leader.handle_poll(leader_now, &agreed, request);
         self.polls += 1;
-        self.send(Message::Response { front, incarnation: request.member.incarnation, response });
+        self.send(Message::Response {
+            front,
+            incarnation: request.member.incarnation,
+            response,
+        });
     }
 
     fn deliver_response(&mut self, index: usize, incarnation: u64, response: PollResponse) {
@@ -280,7 +315,11 @@
         if front.stopped_until > self.now {
             self.deliveries.push(Delivery {
                 at: front.stopped_until,
-                message: Message::Response { front: index, incarnation, response },
+                message: Message::Response {
+                    front: index,
+                    incarnation,
+                    response,
+                },
             });
             return;
         }
@@ -322,7 +361,11 @@
         let front = &mut self.fronts[index];
         let id = &front.id;
         let in_use = |budget: usize| count_in_use(&units[budget], id, now);
-        if front.member.try_acquire(local_time, &[budget], in_use).is_err() {
+        if front
+            .member
+            .try_acquire(local_time, &[budget], in_use)
+            .is_err()
+        {
             return;
         }
         self.admitted[budget].push(now);
@@ -339,7 +382,11 @@
         let local_time = self.local_time(index);
         let units = &self.in_use;
         let front = &mut self.fronts[index];
-        if front.outstanding.as_ref().is_some_and(|poll| now - poll.sent_at > POLL_TIMEOUT_MS) {
+        if front
+            .outstanding
+            .as_ref()
+            .is_some_and(|poll| now - poll.sent_at > POLL_TIMEOUT_MS)
+        {
             front.outstanding = None;
             front.next_poll_at = now + RETRY_DELAY_MS;
         }
@@ -350,18 +397,30 @@
             return;
         }
         front.sequence += 1;
-        front.outstanding = Some(OutstandingPoll { sequence: front.sequence, sent_at: now });
+        front.outstanding = Some(OutstandingPoll {
+            sequence: front.sequence,
+            sent_at: now,
+        });
         let id = &front.id;
         let in_use = |budget: usize| count_in_use(&units[budget], id, now);
-        let request = front.member.poll_request(local_time, front.sequence, in_use);
+        let request = front
+            .member
+            .poll_request(local_time, front.sequence, in_use);
         if front.cut_off_until <= now {
-            self.send(Message::Request { front: index, request });
+            self.send(Message::Request {
+                front: index,
+                request,
+            });
         }
     }
 
     /// Parts of a budget that all running members may use now, each by its own clock.
     pub fn usable_parts(&self, budget: usize) -> u128 {
-        let share = |front: usize| self.fronts[front].member.share(budget, self.local_time(front));
+        let share = |front: usize| {
+            self.fronts[front]
+                .member
+                .share(budget, self.local_time(front))
+        };
         (0..self.fronts.len())
             .filter(|front| self.fronts[*front].alive)
             .map(|front| u128::from(share(front).parts()))
--- a/crates/budgets/tests/common/mod.rs
+++ b/crates/budgets/tests/common/mod.rs
@@ -12,7 +12,10 @@
 
 /// A limit on open requests of the account that is named like the budget.
 pub fn concurrency(name: &str, max: u64, max_duration_ms: f64) -> BudgetSpec {
-    let amount = Amount::Concurrency { max, max_duration_ms };
+    let amount = Amount::Concurrency {
+        max,
+        max_duration_ms,
+    };
     spec(name, Resource::OpenRequests, amount)
 }
 
--- a/crates/budgets/tests/faults.rs
+++ b/crates/budgets/tests/faults.rs
@@ -97,7 +97,10 @@
         let usable = fleet.usable_parts(budget);
         if usable > u128::from(FULL_SHARE.parts()) {
             let fraction = usable as f64 / FULL_SHARE.parts() as f64;
-            return Err(format!("{fraction:.3} of budget {budget} may be used at {}", fleet.now));
+            return Err(format!(
+                "{fraction:.3} of budget {budget} may be used at {}",
+                fleet.now
+            ));
         }
     }
     Ok(())
@@ -109,7 +112,10 @@
         return Err(format!("{over:.1} admitted beyond the rate and its burst"));
     }
     if fleet.most_in_use[1] > MAX_IN_USE {
-        return Err(format!("{} in use at once of {MAX_IN_USE}", fleet.most_in_use[1]));
+        return Err(format!(
+            "{} in use at once of {MAX_IN_USE}",
+            fleet.most_in_use[1]
+        ));
     }
     Ok(())
 }
@@ -129,7 +135,10 @@
         admitted += play(seed, InjectedBug::None).unwrap_or_else(|violation| panic!("{violation}"));
     }
     println!("{count} seeds, {admitted} admitted");
-    assert!(admitted as u64 > 200 * count, "{admitted}: nothing was tried");
+    assert!(
+        admitted as u64 > 200 * count,
+        "{admitted}: nothing was tried"
+    );
 }
 
 #[test]
--- a/crates/budgets/tests/fleet.rs
+++ b/crates/budgets/tests/fleet.rs
@@ -22,7 +22,9 @@
         f.fronts[0].demand = vec![900.0];
         f.run(3000.0);
         for (moved_to, round) in [(1, 0), (2, 1), (0, 2)] {
-            f.fronts.iter_mut().for_each(|front| front.demand = vec![0.0]);
+            f.fronts
+                .iter_mut()
+                .for_each(|front| front.demand = vec![0.0]);
             f.fronts[moved_to].demand = vec![900.0];
             f.run(3000.0);
             let before = f.count(0);
@@ -69,7 +71,11 @@
     let before = f.counts[0].get(&8).copied().unwrap_or(0);
     f.run(2000.0);
     let got = (f.counts[0][&8] - before) as f64 / 2.0;
-    assert!(got >= 0.8 * 300.0 / 9.0, "{got} a second of {}", 300.0 / 9.0);
+    assert!(
+        got >= 0.8 * 300.0 / 9.0,
+        "{got} a second of {}",
+        300.0 / 9.0
+    );
 }
 
 #[test]
@@ -78,7 +84,9 @@
     spec.floor = 0.3;
     spec.max_members = 10;
     let mut f = fleet(9, vec![spec]);
-    f.fronts.iter_mut().for_each(|front| front.demand = vec![200.0]);
+    f.fronts
+        .iter_mut()
+        .for_each(|front| front.demand = vec![200.0]);
     f.run(4000.0);
     (5..9).for_each(|m| f.fronts[m].cut_off_until = f.now + 60_000.0);
     f.run(2700.0);
@@ -86,45 +94,71 @@
     f.run(1500.0);
     for m in 5..9 {
         let got = (f.counts[0][&m] - before[&m]) as f64 / 1.5;
-        assert!((6.0..=9.5).contains(&got), "m{m} has {got} a second of the 9 set aside for it");
+        assert!(
+            (6.0..=9.5).contains(&got),
+            "m{m} has {got} a second of the 9 set aside for it"
+        );
     }
     f.run(4000.0);
     let before = f.counts[0].clone();
     f.run(1000.0);
-    assert!((5..9).all(|m| f.counts[0][&m] == before[&m]), "beyond its right it has nothing");
+    assert!(
+        (5..9).all(|m| f.counts[0][&m] == before[&m]),
+        "beyond its right it has nothing"
+    );
     assert!(excess(&f.admitted[0], 300.0, 300) <= 0.0);
 }
 
 #[test]
 fn a4_a_budget_is_lowered_with_the_policy_and_its_division_goes_on() {
     let mut f = fleet(6, vec![rate("a", 300.0, 300)]);
-    f.fronts.iter_mut().for_each(|front| front.demand = vec![200.0]);
+    f.fronts
+        .iter_mut()
+        .for_each(|front| front.demand = vec![200.0]);
     f.run(3000.0);
     f.change(vec![rate("a", 30.0, 30)]);
     let at = f.now;
     f.run(10_000.0);
     let after: Vec<f64> = f.admitted[0].iter().copied().filter(|t| *t > at).collect();
-    assert!(excess(&after, 30.0, 30) <= 0.0, "{}", excess(&after, 30.0, 30));
-    assert!(after.len() as f64 > 0.9 * 30.0 * 10.0, "{} in 10 s", after.len());
+    assert!(
+        excess(&after, 30.0, 30) <= 0.0,
+        "{}",
+        excess(&after, 30.0, 30)
+    );
+    assert!(
+        after.len() as f64 > 0.9 * 30.0 * 10.0,
+        "{} in 10 s",
+        after.len()
+    );
 }
 
 #[test]
 fn a5_at_rest_polls_carry_no_demand_however_many_budgets_there_are() {
-    let specs = (0..64).map(|n| rate(&format!("b{n:02}"), 300.0, 300)).collect();
+    let specs = (0..64)
+        .map(|n| rate(&format!("b{n:02}"), 300.0, 300))
+        .collect();
     let mut f = fleet(5, specs);
     f.run(5000.0);
     let asked = f.polls;
     f.run(60_000.0);
     let per_member = (f.polls - asked) as f64 / 5.0 / 60.0;
-    assert!(per_member < 1.4, "{per_member} questions a second and member");
+    assert!(
+        per_member < 1.4,
+        "{per_member} questions a second and member"
+    );
     let local = f.local_time(0);
     let request = f.fronts[0].member.poll_request(local, 1 << 40, |_| 0);
-    assert!(request.demands.is_empty() && request.full_statement.is_none(), "{request:?}");
+    assert!(
+        request.demands.is_empty() && request.full_statement.is_none(),
+        "{request:?}"
+    );
 }
 
 #[test]
 fn a3_of_64_budgets_only_the_one_with_demand_moves() {
-    let specs = (0..64).map(|n| rate(&format!("b{n:02}"), 300.0, 300)).collect();
+    let specs = (0..64)
+        .map(|n| rate(&format!("b{n:02}"), 300.0, 300))
+        .collect();
     let mut f = fleet(9, specs);
     f.fronts[4].demand[17] = 600.0;
     f.run(4000.0);
@@ -139,7 +173,9 @@
 fn a1_units_in_use_of_a_dead_member_count_until_they_have_surely_ended() {
     let mut f = fleet(3, vec![concurrency("a", 30, 3000.0)]);
     f.max_duration_ms = 3000.0;
-    f.fronts.iter_mut().for_each(|front| front.demand = vec![100.0]);
+    f.fronts
+        .iter_mut()
+        .for_each(|front| front.demand = vec![100.0]);
     f.run(4000.0);
     for _ in 0..3 {
         f.kill(1);
@@ -157,13 +193,18 @@
     // One unit for each of five, all out; the fifth comes back as another life.
     let mut f = fleet(5, vec![concurrency("a", 5, 3000.0)]);
     f.max_duration_ms = 2000.0;
-    f.fronts.iter_mut().for_each(|front| front.demand = vec![400.0]);
+    f.fronts
+        .iter_mut()
+        .for_each(|front| front.demand = vec![400.0]);
     f.run(5000.0);
     f.kill(4);
     f.start(4);
     let before = f.counts[0].get(&4).copied().unwrap_or(0);
     f.run(12_000.0);
-    assert!(f.counts[0].get(&4).copied().unwrap_or(0) > before, "it never had one of the five");
+    assert!(
+        f.counts[0].get(&4).copied().unwrap_or(0) > before,
+        "it never had one of the five"
+    );
     assert_eq!(f.most_in_use[0], 5);
 }
 
@@ -176,31 +217,47 @@
     f.elect();
     f.run(2000.0);
     let used = (f.count(0) - before) as f64 / 600.0;
-    assert!(used >= 0.93, "{used} of the whole was used round the change");
+    assert!(
+        used >= 0.93,
+        "{used} of the whole was used round the change"
+    );
     assert!(excess(&f.admitted[0], 300.0, 300) <= 0.0);
 }
 
 #[test]
 fn a1_load_of_warming_engines_is_divided_among_members_present() {
-    let amount = Amount::Concurrency { max: 1_000_000, max_duration_ms: 0.0 };
-    let warming = BudgetSpec { account: None, ..spec("warming", Resource::WarmingEngines, amount) };
+    let amount = Amount::Concurrency {
+        max: 1_000_000,
+        max_duration_ms: 0.0,
+    };
+    let warming = BudgetSpec {
+        account: None,
+        ..spec("warming", Resource::WarmingEngines, amount)
+    };
     let mut f = fleet(4, vec![warming]);
     let all = |f: &Fleet| -> f64 {
         let alive = (0..f.fronts.len()).filter(|m| f.fronts[*m].alive);
-        alive.map(|m| 1.0 / f.fronts[m].member.warming_split(0, f.local_time(m)).members).sum()
+        alive
+            .map(|m| 1.0 / f.fronts[m].member.warming_split(0, f.local_time(m)).members)
+            .sum()
     };
     f.run(3000.0);
     assert!((0.99..=1.0001).contains(&all(&f)), "{}", all(&f));
     f.kill(3);
     f.run(6000.0);
-    assert!((0.99..=1.0001).contains(&all(&f)), "the others bear the dead one's part: {}", all(&f));
+    assert!(
+        (0.99..=1.0001).contains(&all(&f)),
+        "the others bear the dead one's part: {}",
+        all(&f)
+    );
     f.start(3);
     for _ in 0..400 {
         f.run(STEP_MS);
         assert!(all(&f) <= 1.0001, "{} at {}", all(&f), f.now);
     }
-    let places: Vec<u64> =
-        (0..4).map(|m| f.fronts[m].member.warming_split(0, f.local_time(m)).index).collect();
+    let places: Vec<u64> = (0..4)
+        .map(|m| f.fronts[m].member.warming_split(0, f.local_time(m)).index)
+        .collect();
     assert_eq!(places, [0, 1, 2, 3]);
     assert!((0.99..=1.0001).contains(&all(&f)), "{}", all(&f));
     // Who is cut off bears nothing once its part has ended.
@@ -221,11 +278,14 @@
         let mut times = Vec::new();
         let mut used = Vec::new();
         for round in 1..6 {
-            f.fronts.iter_mut().for_each(|front| front.demand = vec![0.0]);
+            f.fronts
+                .iter_mut()
+                .for_each(|front| front.demand = vec![0.0]);
             let to = round % members;
             f.fronts[to].demand = vec![1.5 * per_second];
             let from = f.now;
-            while f.fronts[to].member.share(0, f.local_time(to)).fraction() < 0.95 && f.now - from < 20_000.0
+            while f.fronts[to].member.share(0, f.local_time(to)).fraction() < 0.95
+                && f.now - from < 20_000.0
             {
                 f.run(STEP_MS);
             }
--- a/crates/budgets/tests/replay.rs
+++ b/crates/budgets/tests/replay.rs
@@ -70,7 +70,10 @@
         }
         lines.push(recorder.line());
     }
-    Section { title: "allocations".to_owned(), lines }
+    Section {
+        title: "allocations".to_owned(),
+        lines,
+    }
 }
 
 /// Lines of a budget block; one is drawn of each list.
@@ -91,7 +94,12 @@
     &["", "longest = \"20 s\"", "longest = \"300 ms\""],
     &["", "", "floor = \"30%\"", "floor = \"60%\""],
     &["", "floor_among = 4", "floor_among = 900"],
-    &["", "", "weight \"n1\" {\n  is = 3\n}", "weight \"n1\" {\n  is = 3\n}\nweight \"east\" {\n  is = 7\n}"],
+    &[
+        "",
+        "",
+        "weight \"n1\" {\n  is = 3\n}",
+        "weight \"n1\" {\n  is = 3\n}\nweight \"east\" {\n  is = 7\n}",
+    ],
 ];
 
 fn draw_block(draw: &mut Draw) -> String {
@@ -107,7 +115,10 @@
 
 /// What is read of drawn budget blocks, good and faulty ones.
 fn play_blocks() -> Section {
-    let root = Block { blocks: vec![schema()], ..Block::default() };
+    let root = Block {
+        blocks: vec![schema()],
+        ..Block::default()
+    };
     let mut draw = Draw::new(78);
     let mut recorder = Recorder::default();
     let mut lines = Vec::new();
@@ -123,12 +134,20 @@
             }
             Err(problems) => {
                 recorder.tag(2);
-                recorder.encoded(&problems.iter().map(ToString::to_string).collect::<Vec<String>>());
+                recorder.encoded(
+                    &problems
+                        .iter()
+                        .map(ToString::to_string)
+                        .collect::<Vec<String>>(),
+                );
             }
         }
         lines.push(recorder.line());
     }
-    Section { title: "blocks".to_owned(), lines }
+    Section {
+        title: "blocks".to_owned(),
+        lines,
+    }
 }
 
 fn play_all() -> Vec<Section> {
@@ -148,10 +167,22 @@
         total.changes += counts.changes;
         total.lost += counts.lost;
     }
-    assert!(total.admitted > 3000 && total.rejected > 3000, "too few requests: {total:?}");
-    assert!(total.full_statements > 50 && total.not_renewed > 50, "too few statements: {total:?}");
-    assert!(total.elections > 5 && total.changes > 10 && total.lost > 100, "too few events: {total:?}");
-    assert!(total.restarts > 5 && total.drained > 3, "too few restarts: {total:?}");
+    assert!(
+        total.admitted > 3000 && total.rejected > 3000,
+        "too few requests: {total:?}"
+    );
+    assert!(
+        total.full_statements > 50 && total.not_renewed > 50,
+        "too few statements: {total:?}"
+    );
+    assert!(
+        total.elections > 5 && total.changes > 10 && total.lost > 100,
+        "too few events: {total:?}"
+    );
+    assert!(
+        total.restarts > 5 && total.drained > 3,
+        "too few restarts: {total:?}"
+    );
     for (title, injected_bug) in BUGS {
         sections.push(play(title.to_owned(), 9, injected_bug, STEPS_WITH_BUG).0);
     }
@@ -172,7 +203,8 @@
 
 #[test]
 fn every_step_gives_what_was_recorded() {
-    let recording = std::fs::read_to_string(recording_path()).expect("the recording is beside the test");
+    let recording =
+        std::fs::read_to_string(recording_path()).expect("the recording is beside the test");
     let replayed = text_of(&play_all());
     let mut title = "";
     let mut step = 0;
@@ -185,7 +217,11 @@
         }
         assert_eq!(now, recorded, "first difference: {title}, step {step}");
     }
-    assert_eq!(replayed.lines().count(), recording.lines().count(), "the recording has another length");
+    assert_eq!(
+        replayed.lines().count(),
+        recording.lines().count(),
+        "the recording has another length"
+    );
 }
 
 #[test]
--- a/crates/budgets/tests/replay/events.rs
+++ b/crates/budgets/tests/replay/events.rs
@@ -20,19 +20,26 @@
             7 | 8 => self.change(),
             9 => self.drain(m),
             10 => {
-                self.times =
-                    BudgetTimings::for_lease([1800.0, 2400.0][self.draw.below(2) as usize], MAX_DRIFT);
+                self.times = BudgetTimings::for_lease(
+                    [1800.0, 2400.0][self.draw.below(2) as usize],
+                    MAX_DRIFT,
+                );
                 self.leader.set_timings(self.times);
             }
             11 => {
                 let members = &self.members;
-                let current = |id: &MemberId| members.iter().any(|member| member.alive && member.id == *id);
+                let current = |id: &MemberId| {
+                    members
+                        .iter()
+                        .any(|member| member.alive && member.id == *id)
+                };
                 self.agreed_members.retain(|id, _| current(id));
             }
             12 => self.members[m].connections = self.draw.below(12),
             _ => {
                 for stream in 0..STREAMS.len() {
-                    self.members[m].demand[stream] = [0.0, 15.0, 200.0][self.draw.below(3) as usize];
+                    self.members[m].demand[stream] =
+                        [0.0, 15.0, 200.0][self.draw.below(3) as usize];
                 }
             }
         }
@@ -58,7 +65,8 @@
     fn restart_all(&mut self) {
         for m in 0..self.members.len() {
             if !self.members[m].alive || self.members[m].draining {
-                let (incarnation, clock) = (self.members[m].id.incarnation + 1, self.members[m].clock);
+                let (incarnation, clock) =
+                    (self.members[m].id.incarnation + 1, self.members[m].clock);
                 self.members[m] = self.started(m, incarnation, clock);
                 self.counts.restarts += 1;
             }
--- a/crates/budgets/tests/replay/specs.rs
+++ b/crates/budgets/tests/replay/specs.rs
@@ -10,13 +10,22 @@
         per_second: [200.0, 40.0][draw.below(2) as usize],
         burst: [60, 20][draw.below(2) as usize],
     };
-    let few = Amount::Rate { per_second: 30.0, burst: 12 };
+    let few = Amount::Rate {
+        per_second: 30.0,
+        burst: 12,
+    };
     let open = Amount::Concurrency {
         max: [24, 9][draw.below(2) as usize],
         max_duration_ms: [700.0, 1400.0][draw.below(2) as usize],
     };
-    let links = Amount::Concurrency { max: 30, max_duration_ms: 300.0 };
-    let cold = Amount::Concurrency { max: 1_000_000, max_duration_ms: 0.0 };
+    let links = Amount::Concurrency {
+        max: 30,
+        max_duration_ms: 300.0,
+    };
+    let cold = Amount::Concurrency {
+        max: 1_000_000,
+        max_duration_ms: 0.0,
+    };
     let account = ["a", "b"][draw.below(2) as usize];
     let mut all = vec![
         spec("again", Resource::Retries, None, None, few),
@@ -40,7 +49,13 @@
     all
 }
 
-fn spec(name: &str, of: Resource, account: Option<&str>, class: Option<&str>, amount: Amount) -> BudgetSpec {
+fn spec(
+    name: &str,
+    of: Resource,
+    account: Option<&str>,
+    class: Option<&str>,
+    amount: Amount,
+) -> BudgetSpec {
     BudgetSpec {
         name: name.to_owned(),
         resource: of,
--- a/crates/budgets/tests/replay/world.rs
+++ b/crates/budgets/tests/replay/world.rs
@@ -4,7 +4,9 @@
 
 mod events;
 
-use super::recorder::{Recorder, TAG_ADMITTED, TAG_AMONG, TAG_EARLY_POLL, TAG_NO_EARLY_POLL, TAG_RESPONSE};
+use super::recorder::{
+    Recorder, TAG_ADMITTED, TAG_AMONG, TAG_EARLY_POLL, TAG_NO_EARLY_POLL, TAG_RESPONSE,
+};
 use super::recorder::{TAG_REJECTED, TAG_REPORT, TAG_REQUEST, TAG_SHARE};
 use super::specs::draw_specs;
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
@@ -112,7 +114,10 @@
         };
         world.leader.set_leadership(world.leader_now(), true);
         for m in 0..3 + world.draw.below(4) as usize {
-            let clock = (1.0 + MAX_DRIFT * (2.0 * world.draw.unit() - 1.0) * 0.99, 1e6 * world.draw.unit());
+            let clock = (
+                1.0 + MAX_DRIFT * (2.0 * world.draw.unit() - 1.0) * 0.99,
+                1e6 * world.draw.unit(),
+            );
             let member = world.started(m, 1, clock);
             world.members.push(member);
         }
@@ -217,7 +222,11 @@
         }
         self.recorder.tag(TAG_RESPONSE);
         self.recorder.encoded(&response);
-        self.send(Message::Response(m, request.member.incarnation, response.clone()));
+        self.send(Message::Response(
+            m,
+            request.member.incarnation,
+            response.clone(),
+        ));
         if self.draw.unit() < 0.03 {
             self.send(Message::Response(m, request.member.incarnation, response));
         }
@@ -230,10 +239,16 @@
             return;
         }
         if member.stopped_until > self.now {
-            self.in_flight.push((member.stopped_until, Message::Response(m, incarnation, response)));
+            self.in_flight.push((
+                member.stopped_until,
+                Message::Response(m, incarnation, response),
+            ));
             return;
         }
-        if member.outstanding.is_some_and(|(sequence, _)| sequence == response.sequence) {
+        if member
+            .outstanding
+            .is_some_and(|(sequence, _)| sequence == response.sequence)
+        {
             member.outstanding = None;
             member.next_poll = self.now + self.times.floor_ms / 6.0;
         }
@@ -256,7 +271,9 @@
         let member = &mut self.members[m];
         if member.version < newest && self.now >= member.adopts_at {
             member.version = newest;
-            member.budgets.activate(local, newest, self.versions[newest as usize - 1].clone());
+            member
+                .budgets
+                .activate(local, newest, self.versions[newest as usize - 1].clone());
         }
     }
 
@@ -265,13 +282,16 @@
         self.members[m].in_use.retain(|(until, _)| *until > now);
         for (stream, (class, account)) in STREAMS.into_iter().enumerate() {
             let member = &mut self.members[m];
-            member.owed[stream] = (member.owed[stream] + member.demand[stream] * STEP_MS / 1000.0).min(40.0);
+            member.owed[stream] =
+                (member.owed[stream] + member.demand[stream] * STEP_MS / 1000.0).min(40.0);
             while self.members[m].owed[stream] >= 1.0 {
                 self.members[m].owed[stream] -= 1.0;
                 self.admit(m, class, account);
             }
         }
-        let connections = self.members[m].budgets.applicable(Resource::Connections, "", None);
+        let connections = self.members[m]
+            .budgets
+            .applicable(Resource::Connections, "", None);
         if !connections.is_empty() && self.members[m].connections > 6 {
             self.try_acquire(m, &connections);
         }
@@ -287,7 +307,13 @@
             return;
         }
         for i in limits {
-            let name = self.members[m].budgets.specs().nth(i).expect("it is one of them").name.clone();
+            let name = self.members[m]
+                .budgets
+                .specs()
+                .nth(i)
+                .expect("it is one of them")
+                .name
+                .clone();
             let until = self.now + 600.0 * (0.2 + 0.8 * self.draw.unit());
             self.members[m].in_use.push((until, name));
         }
@@ -299,7 +325,10 @@
     fn try_acquire(&mut self, m: usize, which: &[usize]) -> bool {
         let local = self.local_time(m);
         let used = self.used(m);
-        match self.members[m].budgets.try_acquire(local, which, |i| used[i]) {
+        match self.members[m]
+            .budgets
+            .try_acquire(local, which, |i| used[i])
+        {
             Ok(()) => {
                 self.counts.admitted += 1;
                 self.recorder.tag(TAG_ADMITTED);
@@ -319,7 +348,11 @@
         let member = &self.members[m];
         let of = |spec: &BudgetSpec| match spec.resource {
             Resource::Connections => member.connections,
-            _ => member.in_use.iter().filter(|(_, name)| *name == spec.name).count() as u64,
+            _ => member
+                .in_use
+                .iter()
+                .filter(|(_, name)| *name == spec.name)
+                .count() as u64,
         };
         member.budgets.specs().map(of).collect()
     }
@@ -345,7 +378,10 @@
         let local = self.local_time(m);
         let used = self.used(m);
         let member = &mut self.members[m];
-        if member.outstanding.is_some_and(|(_, asked)| self.now - asked > POLL_TIMEOUT_MS) {
+        if member
+            .outstanding
+            .is_some_and(|(_, asked)| self.now - asked > POLL_TIMEOUT_MS)
+        {
             member.outstanding = None;
             member.next_poll = self.now + 50.0;
         }
@@ -362,7 +398,9 @@
         }
         member.sequence += 1;
         member.outstanding = Some((member.sequence, self.now));
-        let request = member.budgets.poll_request(local, member.sequence, |i| used[i]);
+        let request = member
+            .budgets
+            .poll_request(local, member.sequence, |i| used[i]);
         let is_cut = member.cut_until > self.now;
         self.counts.full_statements += u64::from(request.full_statement.is_some());
         self.recorder.tag(TAG_REQUEST);
