--- a/crates/budgets/src/leader/mod.rs
+++ b/crates/budgets/src/leader/mod.rs
@@ -5,6 +5,7 @@
 //! state all its holdings. All times are milliseconds of the leader's own monotonic clock.
 
 mod division;
+mod member_status;
 
 use crate::message::{AppliedResponse, BudgetStatus, DemandReport, Epoch, Holding};
 use crate::message::{PollRequest, PollResponse, Position};
@@ -12,6 +13,7 @@
 use crate::{BudgetTimings, InjectedBug};
 use beamgap_fleet_types::{clock, MemberId};
 use division::{BudgetDivision, ExpiryRules, Participant, StatedHoldings, MEMBER_RETENTION_LEASES};
+use member_status::MemberStatus;
 use std::collections::BTreeMap;
 
 /// When a member polls again while shares are being moved, in milliseconds.
@@ -34,48 +36,6 @@
     pub members: &'a BTreeMap<MemberId, u64>,
 }
 
-/// What the leader keeps of a member.
-#[derive(Clone, Debug, Default, PartialEq)]
-struct MemberStatus {
-    last_sequence: u64,
-    last_poll_at: f64,
-    zone: String,
-    draining: bool,
-    /// The epoch in which it has stated all its holdings.
-    stated_in: Option<Epoch>,
-    /// The request whose response it holds by.
-    applied_sequence: u64,
-    /// The request that was answered last.
-    answered_sequence: u64,
-}
-
-impl MemberStatus {
-    /// Whether it has polled recently enough to hold something, and is not draining.
-    fn is_present(&self, now: f64, timings: &BudgetTimings) -> bool {
-        !self.draining && now - self.last_poll_at < timings.share_ms
-    }
-
-    fn record_poll(&mut self, now: f64, request: &PollRequest) {
-        self.last_sequence = request.sequence;
-        self.last_poll_at = now;
-        self.draining = request.draining;
-        self.zone.clone_from(&request.zone);
-    }
-
-    /// Records what the member has applied, and that its request is about to be answered.
-    fn record_statement(&mut self, epoch: Epoch, sequence: u64, stated: &StatedHoldings) {
-        match stated {
-            StatedHoldings::Complete(_) => {
-                self.stated_in = Some(epoch);
-                self.applied_sequence = 0;
-            }
-            StatedHoldings::LastResponseApplied => self.applied_sequence = self.answered_sequence,
-            StatedHoldings::LastResponseMissed => {}
-        }
-        self.answered_sequence = sequence;
-    }
-}
-
 /// The leader of the fleet's budgets. It forgets everything when the leadership changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetLeader {
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -134,7 +134,7 @@
     /// Wrong on purpose: takes a grant for confirmed.
     pub(crate) fn confirm_without_response(&mut self, member: &MemberId) {
         self.update(member, f64::NEG_INFINITY, |entry| {
-            entry.confirmed = entry.granted
+            entry.confirmed = entry.granted;
         });
     }
 
--- a/crates/budgets/tests/common/fleet.rs
+++ b/crates/budgets/tests/common/fleet.rs
@@ -1,6 +1,7 @@
 //! A fleet on a set clock: the program's own leader and members, links that delay and lose, clocks that drift apart. What
 //! was admitted is checked from outside, in true time.
 
+use super::front::{Clock, Delivery, Front, Message, OutstandingPoll, UnitInUse};
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
 use beamgap_budgets::member::BudgetMember;
 use beamgap_budgets::message::{PollRequest, PollResponse};
@@ -23,77 +24,6 @@
 /// Most requests that wait in the buffers of a member that stands still.
 const MAX_WAITING: f64 = 400.0;
 
-/// A clock that reads `true time * rate + offset`.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    pub rate: f64,
-    offset: f64,
-}
-
-impl Clock {
-    fn draw(draw: &mut Draw) -> Clock {
-        let rate = 1.0 + MAX_DRIFT * (2.0 * draw.unit() - 1.0) * 0.99;
-        let offset = 1e6 * draw.unit();
-        Clock { rate, offset }
-    }
-
-    fn read(&self, true_time: f64) -> f64 {
-        true_time * self.rate + self.offset
-    }
-}
-
-struct OutstandingPoll {
-    sequence: u64,
-    sent_at: f64,
-}
-
-pub struct Front {
-    pub member: BudgetMember,
-    pub id: MemberId,
-    pub clock: Clock,
-    pub alive: bool,
-    /// Stands still until then.
-    pub stopped_until: f64,
-    /// Reaches no leader until then.
-    pub cut_off_until: f64,
-    /// Requests per second that arrive, by budget.
-    pub demand: Vec<f64>,
-    sequence: u64,
-    next_poll_at: f64,
-    outstanding: Option<OutstandingPoll>,
-    /// Requests that have arrived and wait, by budget.
-    waiting: Vec<f64>,
-}
-
-impl Front {
-    fn is_running(&self, now: f64) -> bool {
-        self.alive && self.stopped_until <= now
-    }
-}
-
-/// A unit of a concurrency limit in use, by a dead member, too.
-pub struct UnitInUse {
-    until: f64,
-    member: MemberId,
-}
-
-enum Message {
-    Request {
-        front: usize,
-        request: PollRequest,
-    },
-    Response {
-        front: usize,
-        incarnation: u64,
-        response: PollResponse,
-    },
-}
-
-struct Delivery {
-    at: f64,
-    message: Message,
-}
-
 pub struct Fleet {
     pub now: f64,
     pub specs: Vec<BudgetSpec>,
--- a/crates/budgets/tests/common/mod.rs
+++ b/crates/budgets/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! A simulated fleet for the tests of budgets, and how its admissions are checked.
 
 pub mod fleet;
+pub mod front;
 
 use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
 use std::collections::BTreeMap;
--- a/crates/budgets/tests/replay/world.rs
+++ b/crates/budgets/tests/replay/world.rs
@@ -3,10 +3,9 @@
 //! It calls the public interface only, and records everything that a call gives back.
 
 mod events;
+mod messages;
 
-use super::recorder::{
-    Recorder, TAG_ADMITTED, TAG_AMONG, TAG_EARLY_POLL, TAG_NO_EARLY_POLL, TAG_RESPONSE,
-};
+use super::recorder::{Recorder, TAG_ADMITTED, TAG_AMONG, TAG_EARLY_POLL, TAG_NO_EARLY_POLL};
 use super::recorder::{TAG_REJECTED, TAG_REPORT, TAG_REQUEST, TAG_SHARE};
 use super::specs::draw_specs;
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
@@ -190,80 +189,6 @@
         self.now * self.members[m].clock.0 + self.members[m].clock.1
     }
 
-    /// Messages that have come by now are handled; those for a member that stands still wait.
-    fn deliver(&mut self) {
-        let now = self.now;
-        let all = std::mem::take(&mut self.in_flight);
-        let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|(at, _)| *at <= now);
-        self.in_flight = later;
-        for (_, message) in due {
-            match message {
-                Message::Request(m, request) => self.deliver_request(m, &request),
-                Message::Response(m, incarnation, response) => {
-                    self.deliver_response(m, incarnation, response);
-                }
-            }
-        }
-    }
-
-    fn deliver_request(&mut self, m: usize, request: &PollRequest) {
-        let leader_now = self.leader_now();
-        let agreed = AgreedState {
-            version: self.versions.len() as u64,
-            specs: &self.versions[self.versions.len() - 1],
-            members: &self.agreed_members,
-        };
-        let response = self.leader.handle_poll(leader_now, &agreed, request);
-        self.counts.polls += 1;
-        if response.renewed {
-            self.counts.renewed += 1;
-        } else {
-            self.counts.not_renewed += 1;
-        }
-        self.recorder.tag(TAG_RESPONSE);
-        self.recorder.encoded(&response);
-        self.send(Message::Response(
-            m,
-            request.member.incarnation,
-            response.clone(),
-        ));
-        if self.draw.unit() < 0.03 {
-            self.send(Message::Response(m, request.member.incarnation, response));
-        }
-    }
-
-    fn deliver_response(&mut self, m: usize, incarnation: u64, response: PollResponse) {
-        let local = self.local_time(m);
-        let member = &mut self.members[m];
-        if !member.alive || member.id.incarnation != incarnation {
-            return;
-        }
-        if member.stopped_until > self.now {
-            self.in_flight.push((
-                member.stopped_until,
-                Message::Response(m, incarnation, response),
-            ));
-            return;
-        }
-        if member
-            .outstanding
-            .is_some_and(|(sequence, _)| sequence == response.sequence)
-        {
-            member.outstanding = None;
-            member.next_poll = self.now + self.times.floor_ms / 6.0;
-        }
-        member.budgets.handle_response(local, response);
-    }
-
-    fn send(&mut self, message: Message) {
-        if self.draw.unit() < self.loss {
-            self.counts.lost += 1;
-            return;
-        }
-        let at = self.now + self.draw.unit() * 30.0;
-        self.in_flight.push((at, message));
-    }
-
     /// A member takes on the newest version some time after it came into force.
     fn adopt(&mut self, m: usize) {
         let newest = self.versions.len() as u64;
