--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -5,6 +5,7 @@
 //! tasks in [`operations`], that of budgets in [`shared`].
 
 pub mod breaks;
+pub mod budget_checker;
 pub mod case;
 pub mod checker;
 pub mod client;
@@ -14,7 +15,6 @@
 pub mod operations;
 pub mod process;
 pub mod relay;
-pub mod shared;
 pub mod target;
 pub mod world;
 
--- a/src/fleet/document.rs
+++ b/src/fleet/document.rs
@@ -1,6 +1,7 @@
 //! A fleet's policy document with all of its blocks: those that `crates/policy` reads, and the budgets.
 
-use beamgap_budgets::spec::{self, Amount, Of, Spec};
+use beamgap_budgets::reader;
+use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
 use beamgap_config::{Place, Problem};
 use beamgap_policy::diff::{self, Difference};
 use beamgap_policy::document::{self, ParsedPolicy};
@@ -13,7 +14,7 @@
     /// The policy, with the places of all keys.
     pub parsed: ParsedPolicy,
     /// The fleet's budgets, by name.
-    pub budgets: Vec<Spec>,
+    pub budgets: Vec<BudgetSpec>,
 }
 
 /// What a front end validates a policy against.
@@ -30,8 +31,8 @@
 /// # Errors
 /// All problems, each with its place, key and fix.
 pub fn parse(file: &str, text: &str) -> Result<FleetPolicy, Vec<Problem>> {
-    let parsed = document::parse_with_blocks(file, text, vec![spec::schema()])?;
-    let budgets = spec::read(&parsed.document)?;
+    let parsed = document::parse_with_blocks(file, text, vec![reader::schema()])?;
+    let budgets = reader::read(&parsed.document)?;
     Ok(FleetPolicy { parsed, budgets })
 }
 
@@ -59,7 +60,7 @@
 fn budget_problems(
     file: &str,
     parsed: &ParsedPolicy,
-    budget: &Spec,
+    budget: &BudgetSpec,
     context: &ValidationContext,
 ) -> Vec<Problem> {
     let place = parsed.place_of_block("budgets", "name", &budget.name);
@@ -78,11 +79,11 @@
 fn too_short_a_holding_time(
     file: &str,
     place: Place,
-    budget: &Spec,
+    budget: &BudgetSpec,
     context: &ValidationContext,
 ) -> Option<Problem> {
-    let Amount::Stock { longest, .. } = budget.amount else { return None };
-    if budget.of != Of::Open {
+    let Amount::Concurrency { max_duration_ms: longest, .. } = budget.amount else { return None };
+    if budget.resource != Resource::OpenRequests {
         return None;
     }
     let applies_to = |class: &String| budget.class.as_ref().is_none_or(|only| only == class);
@@ -129,5 +130,5 @@
 }
 
 fn budgets_as_text(policy: &FleetPolicy) -> BTreeMap<String, String> {
-    policy.budgets.iter().map(|budget| (budget.name.clone(), budget.told())).collect()
+    policy.budgets.iter().map(|budget| (budget.name.clone(), budget.description())).collect()
 }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -2,8 +2,8 @@
 //!
 //! They are encoded by position: the order of variants and fields is the format on the wire and in the log.
 
-use beamgap_budgets::leader::{
-    Ask as BudgetPollRequest, Reply as BudgetPollResponse, Standing as BudgetStatus,
+use beamgap_budgets::message::{
+    BudgetStatus, PollRequest as BudgetPollRequest, PollResponse as BudgetPollResponse,
 };
 use beamgap_leases::{
     Command as TaskCommand, PollRequest as LeasePollRequest, PollResponse as LeasePollResponse, Task,
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -9,11 +9,12 @@
     PendingSummary, PolicyText, TaskStatus,
 };
 use super::test_hooks::TestHooks;
-use beamgap_budgets::leader::{
-    Ask as BudgetPollRequest, Lead as BudgetLeader, Reply as BudgetPollResponse, Standing as BudgetStatus,
+use beamgap_budgets::leader::{AgreedState, BudgetLeader};
+use beamgap_budgets::message::{
+    BudgetStatus, PollRequest as BudgetPollRequest, PollResponse as BudgetPollResponse,
 };
-use beamgap_budgets::spec::Spec as BudgetSpec;
-use beamgap_budgets::Times as BudgetTimings;
+use beamgap_budgets::spec::BudgetSpec;
+use beamgap_budgets::BudgetTimings;
 use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
@@ -81,7 +82,7 @@
     /// An empty one. A new fleet gets `timings`; `seed` differs for each incarnation of the member.
     pub fn new(timings: PolicyTimings, seed: u64, hooks: &TestHooks) -> FleetStateMachine {
         let clock_bounds = ClockBounds { max_drift: timings.max_drift, ..ClockBounds::default() };
-        let budget_timings = BudgetTimings::of_right(timings.lease_ms, timings.max_drift);
+        let budget_timings = BudgetTimings::for_lease(timings.lease_ms, timings.max_drift);
         FleetStateMachine {
             policy: RolloutState::default(),
             policy_leader: PolicyLeader::with_injected_bug(hooks.policy_bug),
@@ -103,7 +104,7 @@
         let specs = read.map(|read| read.budgets).unwrap_or_default();
         self.budgets = VersionBudgets { version: Some(version), specs };
         let timings = self.policy.timings.unwrap_or(self.initial_timings);
-        self.budget_leader.timed(BudgetTimings::of_right(timings.lease_ms, timings.max_drift));
+        self.budget_leader.set_timings(BudgetTimings::for_lease(timings.lease_ms, timings.max_drift));
     }
 
     /// Tells the tasks which of them the active policy forbids.
@@ -153,9 +154,12 @@
         if budget_request.member != policy_request.member {
             return BudgetPollResponse::default();
         }
-        let version = self.policy.version();
-        let specs = &self.budgets.specs;
-        self.budget_leader.answer(now, version, specs, &self.policy.members, budget_request)
+        let agreed = AgreedState {
+            version: self.policy.version(),
+            specs: &self.budgets.specs,
+            members: &self.policy.members,
+        };
+        self.budget_leader.handle_poll(now, &agreed, budget_request)
     }
 
     /// Whether a command is one that a member may submit: of a lease that it holds.
@@ -255,12 +259,16 @@
     fn budget_statuses(&mut self, now: f64) -> Vec<BudgetStatus> {
         self.read_budgets();
         self.tick_budgets(now);
-        self.budget_leader.standings()
+        self.budget_leader.status()
     }
 
     fn tick_budgets(&mut self, now: f64) {
-        let version = self.policy.version();
-        self.budget_leader.tick(now, version, &self.budgets.specs, &self.policy.members);
+        let agreed = AgreedState {
+            version: self.policy.version(),
+            specs: &self.budgets.specs,
+            members: &self.policy.members,
+        };
+        self.budget_leader.tick(now, &agreed);
     }
 
     fn handle(&mut self, now: f64, request: FleetRequest) -> Handled {
@@ -356,7 +364,7 @@
     fn set_leadership(&mut self, now: f64, is_leader: bool) {
         self.policy_leader.set_leadership(now, is_leader);
         self.lease_leader.set_leadership(now, is_leader);
-        self.budget_leader.role(now, is_leader);
+        self.budget_leader.set_leadership(now, is_leader);
     }
 
     fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest {
