--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -1,370 +1,260 @@
-//! The gate before the core: which requests come in, under which version, and what the decision module is offered of the
-//! list of engines. It holds the front end's right to admit, and asks the council for it.
+//! Admission control: which requests a front end admits under the fleet's policy and budgets, and which engines the
+//! decision module is offered.
+//!
+//! - [`AdmissionControl::admit`] decides on one request from memory alone.
+//! - [`AdmissionControl::process`] talks to the consensus leader: it renews the lease to admit requests, the leases of
+//!   tasks and the shares of budgets in one poll.
+//!
+//! All times are in milliseconds of the member's clock.
+
+mod engines;
+mod history;
+mod log;
+mod polling;
+mod rejection;
+
+pub use rejection::RejectReason;
 
 use super::budgets::{Further, Held, Shares};
-use super::document::{parse_and_validate, ValidationContext};
-use super::machine::{decode, encode, Answer, FleetMachine, Question};
+use super::document::ValidationContext;
+use super::machine::FleetMachine;
 use super::settings::Fleet;
 use super::tasks::Keeper;
 use super::trial::{machine_clock, Trial};
-use crate::{EngineId, Member, MemberState, Settings as ModuleSettings};
-use beamgap_config::Problem;
-use beamgap_council::{Council, Settings};
+use crate::{Member, Settings as ModuleSettings};
+use beamgap_council::{Council, Settings as CouncilSettings};
 use beamgap_fleet_types::MemberId;
 use beamgap_policy::document::{Policy, FORMAT_VERSION};
-use beamgap_policy::rollout::{InjectedBug, MemberAction, PolicyMember, ValidationError, Version};
-use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy, Rejection, RequestLimits};
+use beamgap_policy::rollout::{InjectedBug, PolicyMember, Version};
+use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy, RequestLimits};
 use beamgap_policy::validation::KnownNames;
+use engines::ListedEngines;
+use log::AdmissionLog;
+use polling::PollState;
 use std::cell::RefCell;
-use std::collections::BTreeMap;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-const NO_RIGHT_BACKOFF: f64 = 500.0; // ms; a new leader is there within a second or two
-const RULE_BACKOFF: f64 = 1000.0; // ms; policies stand for long
-const BUDGET_BACKOFF: f64 = 500.0; // ms; a part may move here by then
-const SHORT_TOLD: f64 = 10_000.0; // ms between lines on what budgets refuse
-const PLAIN: f64 = 5000.0; // ms; an older leader may be replaced by then
-const HURRY: f64 = 30.0; // ms between questions while a step of a task waits for the council
-const FILE: &str = "policy"; // what stands for the file's name where members check a text
-
-/// What an admitted request lives under.
+/// What an admitted request is subject to until it ends.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// The version.
+    /// The version under which it was admitted.
     pub version: Version,
-    /// What binds it.
+    /// The limits of its class.
     pub limits: RequestLimits,
-    /// What the version says of engines.
+    /// The policy of that version.
     pub policy: Rc<CompiledPolicy>,
-    /// What it holds of the fleet's stocks until it is over.
+    /// What it holds of the fleet's budgets until it ends.
     pub held: Rc<Held>,
-    /// Its leave for further attempts, where a budget bounds them.
+    /// Permission for retries, where a budget limits them.
     pub further: Option<Further>,
 }
 
-/// The gate.
-pub struct Gate {
+/// A request that asks to be admitted.
+#[derive(Clone, Copy, Debug)]
+pub struct AdmissionRequest<'a> {
+    /// Its id.
+    pub id: &'a str,
+    /// The number of its class.
+    pub class: usize,
+    /// Its account, if it has one.
+    pub account: Option<&'a str>,
+    /// Requests that are in flight at this front end.
+    pub in_flight: usize,
+}
+
+/// What admission control needs to know of the front end that it runs in.
+#[derive(Clone, Copy, Debug)]
+pub struct LocalSettings<'a> {
+    /// The node's name, for the log.
+    pub node: &'a str,
+    /// The decision module's settings.
+    pub module: &'a ModuleSettings,
+    /// Zones of the front end; the first is its own.
+    pub zones: &'a [String],
+    /// Differs between front ends.
+    pub seed: u64,
+}
+
+/// Requests counted since the start.
+#[derive(Clone, Copy, Debug, Default)]
+struct AdmissionCounts {
+    admitted: u64,
+    rejected: u64,
+}
+
+/// Admission control of one front end.
+pub struct AdmissionControl {
     council: Council,
-    hold: PolicyMember,
-    here: ValidationContext,
-    classes: Vec<String>,
-    ruling: Rc<CompiledPolicy>,
+    member: PolicyMember,
+    validation: ValidationContext,
+    policy: Rc<CompiledPolicy>,
     meter: AdmissionMeter,
     tasks: Keeper,
     shares: Rc<RefCell<Shares>>,
-    /// The question that is out: its round, and when it was asked.
-    asked: (u64, f64),
-    /// Until then only the policy is asked for: the leader runs an older program, which knows no tasks.
-    plain_until: f64,
-    trial: Trial,
-    /// The list as it was told, to offer it anew when the policy changes.
-    listed: BTreeMap<EngineId, Member>,
-    /// The loop's turn's reading, for a fault that tests plant.
-    turn: f64,
-    was_shut: bool,
-    counts: (u64, u64),
-    /// Refused for want of a budget since that was last told, by its name; and when it was.
-    short: (BTreeMap<String, u64>, f64),
+    poll: PollState,
+    engines: ListedEngines,
+    counts: AdmissionCounts,
+    log: AdmissionLog,
+    test_hooks: Trial,
+    /// When the event loop's iteration began; only an injected bug uses it.
+    iteration_started_at: f64,
 }
 
-fn one_line(problems: &[Problem]) -> String {
-    problems.iter().map(Problem::to_string).collect::<Vec<_>>().join("; ")
-}
-
-impl Gate {
-    /// Takes part in the fleet. `wake` ends the loop's wait when the council has answered.
+impl AdmissionControl {
+    /// Takes part in the fleet. `wake` ends the event loop's wait when the leader has answered.
+    ///
+    /// # Errors
+    /// The address for other members can't be listened on, or consensus can't start.
     pub fn start(
         fleet: &Fleet,
-        module: &ModuleSettings,
-        zones: &[String],
-        seed: u64,
+        local: LocalSettings<'_>,
         wake: impl Fn() + Send + Sync + 'static,
-    ) -> io::Result<Gate> {
+    ) -> io::Result<AdmissionControl> {
         fleet.trial.hold_leash();
-        let listener = fleet.listen.map(std::net::TcpListener::bind).transpose()?;
-        // A life is told from others by when it began: two processes never begin within the same nanosecond by one name.
-        let life = machine_clock().to_bits() ^ u64::from(std::process::id()).rotate_left(48) ^ seed;
-        let settings = Settings {
-            fleet: fleet.name.clone(),
-            member: fleet.member.clone(),
-            deciders: fleet.deciders.clone(),
-            seat: fleet.seat,
-            folder: fleet.folder.clone(),
-            seed: life,
-            clock: fleet.trial.clock(),
-            plants: fleet.trial.plants(),
-        };
+        let listener = fleet.listen.map(TcpListener::bind).transpose()?;
+        let incarnation = new_incarnation(local.seed);
         let wake: Arc<dyn Fn() + Send + Sync> = Arc::new(wake);
-        let woken = wake.clone();
-        let zone = zones.first().map(String::as_str).unwrap_or_default();
-        let tasks = Keeper::new(&fleet.member, life, zone, fleet.trial, wake);
-        let machine =
-            FleetMachine::new(fleet.times, life, fleet.trial.plant, fleet.trial.leases, fleet.trial.budgets);
-        let machine = Arc::new(Mutex::new(machine));
-        let council = Council::start(settings, listener, fleet.trial.disk(), machine, move || woken())?;
-        let classes: Vec<String> = module.classes.iter().map(|c| c.name.clone()).collect();
-        let accounts = module.tenants.iter().map(|t| t.name.clone()).collect();
-        let deadlines = module.classes.iter().map(|c| c.deadline.as_millis()).collect();
-        let names = KnownNames { classes: classes.clone(), accounts, zones: zones.to_vec() };
-        let shares = Shares::new(&fleet.member, life, zone, &classes, fleet.trial);
-        Ok(Gate {
+        let zone = local.zones.first().map(String::as_str).unwrap_or_default();
+        let tasks = Keeper::new(&fleet.member, incarnation, zone, fleet.trial, wake.clone());
+        let settings = council_settings(fleet, incarnation);
+        let machine = Arc::new(Mutex::new(state_machine(fleet, incarnation)));
+        let council = Council::start(settings, listener, fleet.trial.disk(), machine, move || wake())?;
+        let validation = validation_context(&local);
+        let classes = &validation.names.classes;
+        let shares = Shares::new(&fleet.member, incarnation, zone, classes, fleet.trial);
+        let id = MemberId::new(fleet.member.clone(), incarnation);
+        Ok(AdmissionControl {
             council,
-            hold: PolicyMember::new(
-                MemberId::new(fleet.member.clone(), life),
-                FORMAT_VERSION,
-                fleet.trial.plant,
-            ),
-            here: ValidationContext { names, class_deadlines_ms: deadlines },
-            ruling: Rc::new(CompiledPolicy::new(Policy::default(), &classes)),
-            classes,
+            member: PolicyMember::new(id, FORMAT_VERSION, fleet.trial.plant),
+            policy: Rc::new(CompiledPolicy::new(Policy::default(), classes)),
+            validation,
             meter: AdmissionMeter::default(),
             tasks,
             shares: Rc::new(RefCell::new(shares)),
-            asked: (0, 0.0),
-            plain_until: f64::NEG_INFINITY,
-            trial: fleet.trial,
-            listed: BTreeMap::new(),
-            turn: 0.0,
-            was_shut: true,
-            counts: (0, 0),
-            short: (BTreeMap::new(), f64::NEG_INFINITY),
+            poll: PollState::default(),
+            engines: ListedEngines::default(),
+            counts: AdmissionCounts::default(),
+            log: AdmissionLog::new(local.node),
+            test_hooks: fleet.trial,
+            iteration_started_at: 0.0,
         })
     }
 
-    /// The front end is about to end: it gives up what it holds of the fleet's tasks.
-    pub fn drain(&mut self) {
+    /// The front end shuts down: it gives up what it holds of the fleet's tasks and budgets.
+    pub fn start_draining(&mut self) {
         self.tasks.drain();
         self.shares.borrow_mut().drain();
     }
 
-    /// Where this decider listens for other members.
-    pub fn address(&self) -> Option<SocketAddr> {
+    /// Where this voter listens for other members; none if it is no voter.
+    pub fn listen_address(&self) -> Option<SocketAddr> {
         self.council.address()
     }
 
     /// The member's clock now.
     pub fn now(&self) -> f64 {
-        self.trial.taken(machine_clock())
+        self.test_hooks.taken(machine_clock())
     }
 
-    /// How long until the council is to be asked again, in milliseconds.
-    pub fn due_in(&self) -> f64 {
-        (self.hold.next_poll_at() - self.now()).max(0.0)
+    /// Why no request is admitted now, if so.
+    pub fn blocked_reason(&self) -> Option<String> {
+        self.member.blocked_reason(self.now())
     }
 
-    /// Whether a request may come in now; with the time after which to come back, if not.
-    pub fn admit(
-        &mut self,
-        id: &str,
-        class: usize,
-        account: Option<&str>,
-        open: usize,
-    ) -> Result<Admitted, f64> {
-        // Read for this request: the process may have stood still since the loop's turn began.
-        let machine = machine_clock();
-        let now =
-            if self.trial.plant == InjectedBug::StaleClock { self.turn } else { self.trial.taken(machine) };
-        let admitted = match self.hold.admits(now) {
-            None => Err(("right", NO_RIGHT_BACKOFF)),
-            Some(version) => match self.meter.admit(now, &self.ruling, class, account, open) {
-                Ok(limits) => match Shares::admit(&self.shares, now, class, account) {
-                    Ok((held, further)) => {
-                        let (policy, held) = (self.ruling.clone(), Rc::new(held));
-                        Ok(Admitted { version, limits, policy, held, further })
-                    }
-                    Err(budget) => {
-                        *self.short.0.entry(budget).or_default() += 1;
-                        Err(("budget", BUDGET_BACKOFF))
-                    }
-                },
-                Err(Rejection::ClassRejected) => Err(("class", RULE_BACKOFF)),
-                Err(Rejection::RateExceeded) => Err(("rate", RULE_BACKOFF)),
-                Err(Rejection::AccountShareExceeded) => Err(("share", RULE_BACKOFF)),
-                Err(Rejection::TooManyInFlight) => Err(("open", RULE_BACKOFF)),
-            },
+    /// Admits a request or not.
+    ///
+    /// # Errors
+    /// Why it is not admitted, with the time for Retry-After.
+    pub fn admit(&mut self, request: AdmissionRequest<'_>) -> Result<Admitted, RejectReason> {
+        // Read for this request: the process may have been stopped since the loop's iteration began.
+        let machine_time = machine_clock();
+        let now = if self.test_hooks.plant == InjectedBug::StaleClock {
+            self.iteration_started_at
+        } else {
+            self.test_hooks.taken(machine_time)
         };
-        if self.trial.history {
-            match &admitted {
-                Ok(a) => {
-                    let (version, account) = (a.version, account.unwrap_or_default());
-                    eprintln!(
-                        "history admit t={machine:.3} id={id} class={class} v={version} account={account}"
-                    )
-                }
-                Err((why, _)) => eprintln!("history refuse t={machine:.3} id={id} class={class} why={why}"),
-            }
-        }
-        match admitted {
-            Ok(admitted) => {
-                self.counts.0 += 1;
-                Ok(admitted)
-            }
-            Err((_, backoff)) => {
-                self.counts.1 += 1;
-                Err(backoff)
-            }
-        }
-    }
-
-    /// News of the list: as the decision module is to have it.
-    pub fn offer(&mut self, whole: bool, members: Vec<Member>) -> Vec<Member> {
-        if whole {
-            self.listed.clear();
+        let result = self.admit_at(now, request);
+        if self.test_hooks.history {
+            history::write_admission(machine_time, request, &result);
         }
-        for member in &members {
-            if member.state == MemberState::Gone {
-                self.listed.remove(&member.engine);
-            } else {
-                self.listed.insert(member.engine.clone(), member.clone());
-            }
+        match &result {
+            Ok(_) => self.counts.admitted += 1,
+            Err(_) => self.counts.rejected += 1,
         }
-        members.into_iter().map(|member| narrowed(&self.ruling, member)).collect()
+        result
     }
 
-    /// What the council has answered, and what is to be asked: changes for the module's list, and lines for the log.
-    /// `open` requests are open at this front end.
-    pub fn turn(&mut self, open: usize) -> (Vec<Member>, Vec<String>) {
-        let (mut changed, mut lines) = (Vec::new(), Vec::new());
-        self.turn = self.now();
-        let answers: Vec<_> = self.council.answers().collect();
-        for (round, answer) in answers {
-            let now = self.now();
-            match answer.as_deref().and_then(decode::<Answer>) {
-                Some(Answer::Renewed(reply)) => {
-                    for act in self.hold.handle_response(now, reply) {
-                        self.act(act, &mut changed, &mut lines);
-                    }
-                }
-                Some(Answer::All(reply, leases, shares)) => {
-                    if round == self.asked.0 {
-                        self.tasks.reply(self.asked.1, leases);
-                        self.shares.borrow_mut().reply(now, shares);
-                    }
-                    for act in self.hold.handle_response(now, reply) {
-                        self.act(act, &mut changed, &mut lines);
-                    }
-                }
-                Some(Answer::Both(reply, leases)) => {
-                    if round == self.asked.0 {
-                        self.tasks.reply(self.asked.1, leases);
-                    }
-                    for act in self.hold.handle_response(now, reply) {
-                        self.act(act, &mut changed, &mut lines);
-                    }
-                }
-                Some(Answer::Unreadable) => {
-                    self.plain_until = now + PLAIN;
-                    self.hold.poll_failed(now, round);
-                }
-                _ => self.hold.poll_failed(now, round),
+    fn admit_at(&mut self, now: f64, request: AdmissionRequest<'_>) -> Result<Admitted, RejectReason> {
+        let AdmissionRequest { class, account, in_flight, .. } = request;
+        let version = self.member.admits(now).ok_or(RejectReason::NoLease)?;
+        let limits = self.meter.admit(now, &self.policy, class, account, in_flight)?;
+        match Shares::admit(&self.shares, now, class, account) {
+            Ok((held, further)) => {
+                let policy = self.policy.clone();
+                Ok(Admitted { version, limits, policy, held: Rc::new(held), further })
             }
-        }
-        let now = self.now();
-        self.tasks.work(now);
-        if self.tasks.hurries(now) {
-            self.hold.poll_no_later_than(self.asked.1 + HURRY);
-        }
-        if let Some(soon) = self.shares.borrow().hurries(now) {
-            self.hold.poll_no_later_than(self.asked.1 + soon);
-        }
-        let due = self.hold.next_poll_at() <= now;
-        let note = || format!("admitted={} refused={}", self.counts.0, self.counts.1);
-        if let Some(ask) = due.then(note).and_then(|note| self.hold.poll_request(now, &note)) {
-            let round = ask.sequence;
-            self.asked = (round, now);
-            let question = match now < self.plain_until {
-                true => Question::Renew(ask),
-                false if self.shares.borrow().is_empty() => {
-                    Question::Both(ask, self.tasks.ask(), self.tasks.wants(now, open))
-                }
-                false => {
-                    let shares = self.shares.borrow_mut().ask(now, round);
-                    Question::All(ask, self.tasks.ask(), self.tasks.wants(now, open), shares)
-                }
-            };
-            if !self.council.ask(round, encode(&question)) {
-                self.hold.poll_failed(now, round);
+            Err(budget) => {
+                self.log.count_budget_rejection(&budget);
+                Err(RejectReason::BudgetExhausted { budget })
             }
         }
-        if !self.short.0.is_empty() && now - self.short.1 >= SHORT_TOLD {
-            self.short.1 = now;
-            let told = std::mem::take(&mut self.short.0).into_iter();
-            lines.extend(told.map(|(budget, n)| format!("fleet: budget {budget}: refused {n} lately")));
-        }
-        let why_not = self.hold.blocked_reason(self.now());
-        if why_not.is_some() != self.was_shut {
-            self.was_shut = why_not.is_some();
-            let version = self.hold.lease().map_or(0, |lease| lease.version);
-            lines.push(match &why_not {
-                Some(why) => format!("fleet: admits nothing: {why}"),
-                None => format!("fleet: admits under version {version}"),
-            });
-        }
-        (changed, lines)
     }
 
-    fn act(&mut self, act: MemberAction, changed: &mut Vec<Member>, lines: &mut Vec<String>) {
-        match act {
-            MemberAction::Validate(change) => {
-                let read = parse_and_validate(FILE, &change.policy_text, &self.here);
-                let member = self.hold.id().name.clone();
-                let fault = |p: &Problem| ValidationError { member: member.clone(), message: p.to_string() };
-                let faults: Vec<ValidationError> = read.err().iter().flatten().map(fault).collect();
-                lines.push(format!("fleet: checked change={} faults={}", change.id, faults.len()));
-                self.hold.validated(self.now(), &change.id, faults);
-            }
-            MemberAction::Activate { version, policy_text: text } => {
-                match parse_and_validate(FILE, &text, &self.here) {
-                    Ok(whole) => {
-                        let ruling = Rc::new(CompiledPolicy::new(whole.parsed.policy, &self.classes));
-                        let before = std::mem::replace(&mut self.ruling, ruling);
-                        self.shares.borrow_mut().uses(self.now(), version, whole.budgets);
-                        let offered = |ruling: &CompiledPolicy, m: &Member| narrowed(ruling, m.clone()).state;
-                        let other =
-                            self.listed.values().filter(|m| offered(&before, m) != offered(&self.ruling, m));
-                        changed.extend(other.map(|m| narrowed(&self.ruling, m.clone())));
-                        self.hold.activated(version);
-                        lines.push(format!("fleet: policy version={version} in use"));
-                        if self.trial.history {
-                            let hash = text
-                                .bytes()
-                                .fold(0u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-                            eprintln!("history use t={:.3} v={version} hash={hash:x}", machine_clock());
-                        }
-                    }
-                    Err(problems) => {
-                        let why = one_line(&problems);
-                        lines.push(format!("fleet: policy version={version} can't be used: {why}"));
-                        self.hold.activation_failed(version, why);
-                    }
-                }
-            }
-        }
+    /// Takes in news of the engine list, and gives it as the decision module is to have it. `replaces_all` tells that
+    /// the list is complete.
+    pub fn engines_listed(&mut self, replaces_all: bool, engines: Vec<Member>) -> Vec<Member> {
+        self.engines.update(replaces_all, &engines);
+        engines.into_iter().map(|engine| engines::under_policy(&self.policy, engine)).collect()
     }
 
-    /// Connections that each engine may have from here, if a budget bounds them; of those that it has, `used` is the
-    /// most, and `vain` tells that more were wanted.
-    pub fn links(&mut self, used: usize, vain: bool) -> Option<usize> {
+    /// Most connections that each engine may have from here, if a budget limits them. `used` is the most that one
+    /// engine has; `more_wanted` tells that more could be used.
+    pub fn max_connections_per_engine(&mut self, used: usize, more_wanted: bool) -> Option<usize> {
         let now = self.now();
-        self.shares.borrow_mut().links(now, used as u64, vain).map(|most| most as usize)
+        let most = self.shares.borrow_mut().links(now, used as u64, more_wanted);
+        most.map(|most| most as usize)
     }
 
-    /// Its part of what cold engines bear, if a budget divides that: one of how many front ends it is, and which.
-    pub fn cold(&self) -> Option<(f64, u64)> {
+    /// This front end's part of the load on engines that warm up, if a budget divides that: one of how many front ends
+    /// it is, and which.
+    pub fn warm_up_share(&self) -> Option<(f64, u64)> {
         self.shares.borrow().cold(self.now())
     }
+}
 
-    /// Why nothing is admitted now, if so.
-    pub fn why_not(&self) -> Option<String> {
-        self.hold.blocked_reason(self.now())
+/// An incarnation unlike that of any other process: no two begin within the same nanosecond under one name.
+fn new_incarnation(seed: u64) -> u64 {
+    machine_clock().to_bits() ^ u64::from(std::process::id()).rotate_left(48) ^ seed
+}
+
+fn council_settings(fleet: &Fleet, incarnation: u64) -> CouncilSettings {
+    CouncilSettings {
+        fleet: fleet.name.clone(),
+        member: fleet.member.clone(),
+        deciders: fleet.deciders.clone(),
+        seat: fleet.seat,
+        folder: fleet.folder.clone(),
+        seed: incarnation,
+        clock: fleet.trial.clock(),
+        plants: fleet.trial.plants(),
     }
 }
 
-/// An engine as the policy has it offered: one that it leaves out takes nothing new, and ends what it has.
-fn narrowed(ruling: &CompiledPolicy, member: Member) -> Member {
-    let out = member.state == MemberState::Serving && ruling.excludes(&member.engine.0, &member.zone);
-    Member { state: if out { MemberState::Draining } else { member.state }, ..member }
+fn state_machine(fleet: &Fleet, incarnation: u64) -> FleetMachine {
+    let hooks = &fleet.trial;
+    FleetMachine::new(fleet.times, incarnation, hooks.plant, hooks.leases, hooks.budgets)
+}
+
+fn validation_context(local: &LocalSettings<'_>) -> ValidationContext {
+    let module = local.module;
+    let names = KnownNames {
+        classes: module.classes.iter().map(|class| class.name.clone()).collect(),
+        accounts: module.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+        zones: local.zones.to_vec(),
+    };
+    let class_deadlines_ms = module.classes.iter().map(|class| class.deadline.as_millis()).collect();
+    ValidationContext { names, class_deadlines_ms }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! - [`settings`]: the `fleet` block of the operator's file.
 //! - [`machine`]: policy as commands and questions of the council.
-//! - [`admission`]: which requests come in, under which version; what the decision module is offered of the list.
-//! - [`document`]: a policy's text with all that stands in it.
+//! - [`admission`]: which requests are admitted, under which version; which engines the decision module is offered.
+//! - [`document`]: a policy's text with all of its blocks.
 //! - [`budgets`]: what the fleet has in common, divided among its front ends.
 //! - [`tasks`]: leases for tasks of the whole fleet, and what is acted on.
 //! - [`trial`], [`trial_disk`]: clocks, faults and a disk that tests set.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -21,7 +21,7 @@
 pub mod shutdown;
 pub mod slots;
 pub mod tables;
-use crate::fleet::admission::Gate;
+use crate::fleet::admission::{AdmissionControl, AdmissionRequest};
 use crate::Repeat;
 use backend::mysql::MysqlBoxes;
 use backend::warehouse::Warehouses;
@@ -76,9 +76,9 @@
     control_listeners: Vec<(Kind, TcpListener)>,
     /// The service for proxies, which has a thread of its own; none if it is off.
     xds: Option<Feed>,
-    /// The gate of a fleet with a policy, and when the council is next to be asked; none if it is off.
-    gate: Option<Gate>,
-    gate_due: Option<Handle>,
+    /// Admission control of a fleet with a policy, and when its leader is next to be polled; none if it is off.
+    admission: Option<AdmissionControl>,
+    admission_due: Option<Handle>,
     waker: Option<Arc<Waker>>,
     /// What the file said at the start of all that a reload does not apply.
     at_start: BTreeMap<String, OwnedValue>,
@@ -151,7 +151,9 @@
             let shutdown = GracefulShutdown::new(now, deadlines.fold(0.0, f64::max));
             self.exchange.shut_down_by(now, shutdown.response_deadline(), &mut self.deadlines);
             self.shutdown = Some(shutdown);
-            self.gate.iter_mut().for_each(Gate::drain);
+            if let Some(admission) = &mut self.admission {
+                admission.start_draining();
+            }
             self.log.push(format!("ending: open={}", self.exchange.open_requests()));
             self.deadlines.set(now, Wake::Shutdown);
         }
@@ -172,19 +174,20 @@
         self.exchange.open_requests()
     }
 
-    /// Takes in what the council has answered, and asks it for the right to admit when that is due.
+    /// Takes in what the fleet's leader has answered, and polls it for the lease to admit requests when that is due.
     fn fleet(&mut self) {
-        let Some(gate) = &mut self.gate else { return };
+        let Some(admission) = &mut self.admission else { return };
         self.exchange.let_go(self.clock.now());
-        let (changed, mut lines) = gate.turn(self.exchange.open_requests());
+        let changed = admission.process(self.exchange.open_requests());
         let now = self.clock.now();
         let (used, vain) = self.warehouses.links_used();
-        let most = gate.links(used, vain);
-        self.exchange.cold_among(gate.cold());
-        let due = now + gate.due_in();
-        self.log.append(&mut lines);
-        self.gate_due.take().into_iter().for_each(|before| self.deadlines.clear(before));
-        self.gate_due = Some(self.deadlines.set(due, Wake::Fleet));
+        let most = admission.max_connections_per_engine(used, vain);
+        self.exchange.cold_among(admission.warm_up_share());
+        let due = now + admission.next_poll_in();
+        if let Some(before) = self.admission_due.take() {
+            self.deadlines.clear(before);
+        }
+        self.admission_due = Some(self.deadlines.set(due, Wake::Fleet));
         let mut heard = Vec::new();
         let Node { poll, deadlines, log, warehouses, closing, .. } = self;
         warehouses.keep_links(
@@ -200,22 +203,27 @@
         }
     }
 
-    /// Lets a request in under the policy in force, or turns it away.
+    /// Admits a request under the active policy, or rejects it.
     fn admit(&mut self, heard: Heard) -> Option<Heard> {
         let mut ask = match heard {
             Heard::Asked(ask) => ask,
             other => return Some(other),
         };
-        let Some(gate) = &mut self.gate else { return Some(Heard::Asked(ask)) };
-        let (class, account, open) = (ask.class.0, ask.tenant.as_deref(), self.exchange.open_requests());
-        match gate.admit(&ask.name, class, account, open) {
+        let Some(admission) = &mut self.admission else { return Some(Heard::Asked(ask)) };
+        let request = AdmissionRequest {
+            id: &ask.name,
+            class: ask.class.0,
+            account: ask.tenant.as_deref(),
+            in_flight: self.exchange.open_requests(),
+        };
+        match admission.admit(request) {
             Ok(admitted) => {
                 ask.budget = admitted.limits.deadline_ms.map_or(ask.budget, |most| ask.budget.min(most));
                 ask.admitted = Some(admitted);
                 Some(Heard::Asked(ask))
             }
-            Err(backoff) => {
-                self.exchange.turn_away(ask.asker, backoff);
+            Err(reason) => {
+                self.exchange.turn_away(ask.asker, reason.retry_after_ms());
                 None
             }
         }
@@ -235,7 +243,7 @@
         let with_address = |s: crate::Standing| Some((s.clone(), self.warehouses.address(&s.engine)?));
         View {
             shutting_down: self.shutdown.is_some(),
-            why_not: self.gate.as_ref().and_then(Gate::why_not),
+            why_not: self.admission.as_ref().and_then(AdmissionControl::blocked_reason),
             admitted: gateway.admitted_share(),
             engines: gateway.standings().into_iter().filter_map(with_address).collect(),
             clients: self.xds.as_ref().map(Feed::status),
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -1,6 +1,7 @@
 //! How a node is put together.
 
 use super::*;
+use crate::fleet::admission::LocalSettings;
 
 impl Node {
     /// Builds the node and listens; it serves as soon as it is turned.
@@ -46,14 +47,20 @@
             config.bulletin.map(|address| Bulletin::new(address, config.zones, kinds, config.last, lots));
         let xds = config.xds.map(Feed::start).transpose()?;
         let mut waker = None;
-        let gate = match &config.fleet {
+        let admission = match &config.fleet {
             Some(fleet) => {
                 let wakes = Arc::new(Waker::new(poll.registry(), Owner::Fixed(RELOAD).token())?);
                 waker = Some(wakes.clone());
                 // Where the loop can't be woken, it looks by itself when the next question is due.
                 let wake = move || drop(wakes.wake());
                 exchange.keep_zones();
-                Some(Gate::start(fleet, exchange.settings(), &zones, lots, wake)?)
+                let local = LocalSettings {
+                    node: &config.name,
+                    module: exchange.settings(),
+                    zones: &zones,
+                    seed: lots,
+                };
+                Some(AdmissionControl::start(fleet, local, wake)?)
             }
             None => None,
         };
@@ -74,8 +81,8 @@
             control: Control::new(config.control.cluster),
             control_listeners,
             xds,
-            gate,
-            gate_due: None,
+            admission,
+            admission_due: None,
             waker,
             at_start: config.at_start,
             shutdown: None,
@@ -91,7 +98,7 @@
             node.log.push(format!("listen: xds address={}", xds.address()));
             node.deadlines.set(node.clock.now(), Wake::Xds);
         }
-        if let Some(address) = node.gate.as_ref().and_then(Gate::address) {
+        if let Some(address) = node.admission.as_ref().and_then(AdmissionControl::listen_address) {
             node.log.push(format!("listen: fleet address={address}"));
         }
         let mut heard = Vec::new();
--- a/src/node/turns.rs
+++ b/src/node/turns.rs
@@ -97,7 +97,7 @@
                 deadlines.set(now + control::xds::FEED_MS, Wake::Xds);
             }
             // `fleet` looks after each turn.
-            Wake::Fleet => self.gate_due = None,
+            Wake::Fleet => self.admission_due = None,
         }
         self.settle(heard);
     }
@@ -148,8 +148,8 @@
                 self.log.push(format!("list: no={number} engine={engine} address={address} state={state:?}"));
             }
             let members: Vec<_> = listings.into_iter().map(|listing| listing.member).collect();
-            let members = match &mut self.gate {
-                Some(gate) => gate.offer(kind != crate::ListKind::Changes, members),
+            let members = match &mut self.admission {
+                Some(admission) => admission.engines_listed(kind != crate::ListKind::Changes, members),
                 None => members,
             };
             heard.push(Heard::Members(kind, number, members));
@@ -161,7 +161,7 @@
         loop {
             let now = self.clock.now();
             for heard in heard.drain(..) {
-                let heard = if self.gate.is_some() { self.admit(heard) } else { Some(heard) };
+                let heard = if self.admission.is_some() { self.admit(heard) } else { Some(heard) };
                 let heard = heard.into_iter();
                 heard.for_each(|heard| self.exchange.hear(now, heard, &mut self.deadlines));
             }
