--- a/examples/fleet_budgets.rs
+++ b/examples/fleet_budgets.rs
@@ -6,7 +6,7 @@
 //! - `look`: what an admission costs with budgets and without.
 
 use beamgap::fleet::budgets::FleetBudgets;
-use beamgap::fleet::trial::{machine_clock, Trial};
+use beamgap::fleet::test_hooks::{machine_clock, TestHooks};
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
 use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
 use beamgap_budgets::{BudgetTimings, InjectedBug};
@@ -183,7 +183,7 @@
 
 /// A member that holds all of these budgets.
 fn holder_of(specs: &[BudgetSpec]) -> FleetBudgets {
-    let mut budgets = FleetBudgets::new("n0", 1, "", &["lookup".to_owned()], Trial::default());
+    let mut budgets = FleetBudgets::new("n0", 1, "", &["lookup".to_owned()], TestHooks::default());
     let timings = BudgetTimings::for_lease(600_000.0, 0.0);
     let mut leader = BudgetLeader::new(1, timings, InjectedBug::None);
     leader.set_leadership(machine_clock(), true);
--- a/src/commands/fleet/status.rs
+++ b/src/commands/fleet/status.rs
@@ -6,10 +6,10 @@
 use crate::cli::Ask;
 use crate::commands::{Asker, End, UNKNOWN};
 use beamgap::fleet::message::{FleetRequest, FleetResponse, FleetStatus, MemberSummary};
-use beamgap_budgets::leader::Standing as BudgetStatus;
+use beamgap_budgets::message::BudgetStatus;
 use beamgap_consensus::connection::{PeerRequest, PeerResponse, VoterStatus};
 use beamgap_consensus::VoterSlot;
-use beamgap_policy::rollout::Mark as LeaseKind;
+use beamgap_policy::rollout::LeaseKind;
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -121,10 +121,11 @@
 }
 
 fn budget_json(budget: &BudgetStatus) -> Value {
-    let parts = budget.parts.iter().map(|((member, incarnation), share, demand)| {
-        json!({"member": member, "life": format!("{incarnation:x}"), "part": share, "wants": demand})
+    let parts = budget.members.iter().map(|held| {
+        let incarnation = format!("{:x}", held.member.incarnation);
+        json!({"member": held.member.name, "life": incarnation, "part": held.share, "wants": held.demand})
     });
-    json!({"budget": budget.name, "is": budget.told, "unknown": budget.unknown,
+    json!({"budget": budget.name, "is": budget.description, "unknown": budget.unknown,
         "parts": parts.collect::<Vec<_>>()})
 }
 
@@ -176,11 +177,13 @@
 }
 
 fn budget_text(budget: &BudgetStatus) -> String {
-    let mut text = format!("budget {}: {}\n", budget.name, budget.told);
-    for ((member, incarnation), share, demand) in &budget.parts {
-        let share = share * 100.0;
-        let demand = demand * 100.0;
-        text += &format!("  {member:<12} life {incarnation:x}  has {share:.1}%, wants {demand:.1}%\n");
+    let mut text = format!("budget {}: {}\n", budget.name, budget.description);
+    for held in &budget.members {
+        let name = &held.member.name;
+        let incarnation = held.member.incarnation;
+        let share = held.share * 100.0;
+        let demand = held.demand * 100.0;
+        text += &format!("  {name:<12} life {incarnation:x}  has {share:.1}%, wants {demand:.1}%\n");
     }
     if budget.unknown > 0.0 {
         let unknown = budget.unknown * 100.0;
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -271,7 +271,9 @@
                 println!("{} taken back", of.id);
                 return Ok(());
             }
-            Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(outcome), .. })) if outcome != ChangeOutcome::Validating => {
+            Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(outcome), .. }))
+                if outcome != ChangeOutcome::Validating =>
+            {
                 return Err((NO, format!("too late: {} is {}", of.id, outcome_text(&outcome))));
             }
             _ => asker.sleep(WITHDRAW_RETRY_MS),
--- a/src/commands/task.rs
+++ b/src/commands/task.rs
@@ -52,7 +52,9 @@
     fn request(self, before: &Task) -> FleetRequest {
         let task = before.spec.name.clone();
         match self {
-            TaskChange::StartRun => FleetRequest::SubmitTaskCommand(Command::StartRun { task, run: before.runs + 1, day: 0 }),
+            TaskChange::StartRun => {
+                FleetRequest::SubmitTaskCommand(Command::StartRun { task, run: before.runs + 1, day: 0 })
+            }
             TaskChange::Pause => FleetRequest::SubmitTaskCommand(Command::SetPaused { task, paused: true }),
             TaskChange::Resume => FleetRequest::SubmitTaskCommand(Command::SetPaused { task, paused: false }),
             TaskChange::Release => FleetRequest::ReleaseLease(task),
--- a/src/fleet/budgets/mod.rs
+++ b/src/fleet/budgets/mod.rs
@@ -8,7 +8,7 @@
 pub use in_use::HeldUnits;
 pub use retries::FleetRetryBudget;
 
-use super::trial::Trial;
+use super::test_hooks::TestHooks;
 use beamgap_budgets::member::BudgetMember;
 use beamgap_budgets::message::{PollRequest, PollResponse};
 use beamgap_budgets::spec::{BudgetSpec, Resource};
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct FleetBudgets {
     member: BudgetMember,
-    trial: Trial,
+    test_hooks: TestHooks,
     classes: Vec<String>,
     /// Units in use by the name of their budget. They go on counting whatever else a new version changes.
     counters: BTreeMap<String, InUseCounter>,
@@ -63,10 +63,16 @@
 
 impl FleetBudgets {
     /// A member that has just started: no budget is in use.
-    pub fn new(name: &str, incarnation: u64, zone: &str, classes: &[String], trial: Trial) -> FleetBudgets {
+    pub fn new(
+        name: &str,
+        incarnation: u64,
+        zone: &str,
+        classes: &[String],
+        test_hooks: TestHooks,
+    ) -> FleetBudgets {
         FleetBudgets {
-            member: BudgetMember::new(MemberId::new(name, incarnation), zone, trial.budgets),
-            trial,
+            member: BudgetMember::new(MemberId::new(name, incarnation), zone, test_hooks.budget_bug),
+            test_hooks,
             classes: classes.to_vec(),
             counters: BTreeMap::new(),
             limits: Vec::new(),
--- a/src/fleet/budgets/retries.rs
+++ b/src/fleet/budgets/retries.rs
@@ -2,7 +2,7 @@
 
 use super::bindings::Binding;
 use super::FleetBudgets;
-use crate::fleet::trial::machine_clock;
+use crate::fleet::test_hooks::machine_clock;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -18,10 +18,10 @@
     pub fn try_acquire(&self, request_id: &str) -> bool {
         let mut budgets = self.budgets.borrow_mut();
         let machine_time = machine_clock();
-        let now = budgets.trial.taken(machine_time);
+        let now = budgets.test_hooks.member_time(machine_time);
         let may_retry =
             self.binding.retries.is_empty() || budgets.try_acquire(now, &self.binding.retries).is_ok();
-        if may_retry && budgets.trial.history {
+        if may_retry && budgets.test_hooks.write_history {
             eprintln!("history further t={machine_time:.3} id={request_id}");
         }
         may_retry
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -145,12 +145,12 @@
     };
     let usual = PolicyTimings::default();
     let times = PolicyTimings {
-        switch_bound: number("switch_ms", usual.switch_bound, 200.0, 60_000.0)?,
-        right: number("right_ms", usual.right, 1_000.0, 600_000.0)?,
-        check: number("check_ms", usual.check, 200.0, 60_000.0)?,
-        drift: number("drift", usual.drift, 0.0, 0.2)?,
+        switch_bound_ms: number("switch_ms", usual.switch_bound_ms, 200.0, 60_000.0)?,
+        lease_ms: number("right_ms", usual.lease_ms, 1_000.0, 600_000.0)?,
+        validation_ms: number("check_ms", usual.validation_ms, 200.0, 60_000.0)?,
+        max_drift: number("drift", usual.max_drift, 0.0, 0.2)?,
     };
-    if times.right < 2.0 * times.switch_bound {
+    if times.lease_ms < 2.0 * times.switch_bound_ms {
         return wrong("right_ms", "is under twice the switch_bound: a leader's death would stop the fleet");
     }
     let test_hooks = TestHooks::from_env(env).or_else(|e| wrong("trial", e.to_string()))?;
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -110,7 +110,8 @@
     /// Tells the tasks which of them the active policy forbids.
     fn forbid_tasks(&mut self) {
         let read = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
-        let names = read.map(|read| read.parsed.policy.forbidden_tasks.into_iter().collect()).unwrap_or_default();
+        let names =
+            read.map(|read| read.parsed.policy.forbidden_tasks.into_iter().collect()).unwrap_or_default();
         self.tasks.apply(&TaskCommand::SetForbidden(names));
     }
 
--- a/src/fleet/tasks/call.rs
+++ b/src/fleet/tasks/call.rs
@@ -101,8 +101,10 @@
             Err(expired) => return expired.record(),
         };
         let token = permitted.token();
-        self.hooks
-            .between_look_and_act(&format!("t={:.3} task={task} step={step} token={token}", machine_clock()));
+        self.hooks.between_look_and_action(&format!(
+            "t={:.3} task={task} step={step} token={token}",
+            machine_clock()
+        ));
         let request = StepRequest { run: action.run, step, task: &task, token };
         let outcome = post(&action.url, action.timeout_ms, &request);
         permitted.record(outcome)
--- a/src/fleet/tasks/mod.rs
+++ b/src/fleet/tasks/mod.rs
@@ -27,7 +27,12 @@
 
 impl TaskRunner {
     /// The runner of a member that has just started. `wake` is called when an action has ended.
-    pub fn new(member: MemberId, zone: &str, hooks: TestHooks, wake: Arc<dyn Fn() + Send + Sync>) -> TaskRunner {
+    pub fn new(
+        member: MemberId,
+        zone: &str,
+        hooks: TestHooks,
+        wake: Arc<dyn Fn() + Send + Sync>,
+    ) -> TaskRunner {
         let clock: Clock = hooks.clock();
         let injected_bug: InjectedBug = hooks.lease_bug;
         TaskRunner {
--- a/src/fleet/test_hooks.rs
+++ b/src/fleet/test_hooks.rs
@@ -5,7 +5,7 @@
 //! `leash`, `look=300`, `plant=NAME`.
 
 use super::test_disk::PowerCutDisk;
-use beamgap_budgets::Plant as BudgetBug;
+use beamgap_budgets::InjectedBug as BudgetBug;
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::{Clock, InjectedBugs};
 use beamgap_leases::InjectedBug as LeaseBug;
@@ -143,11 +143,11 @@
             "no-lease-wait" => self.lease_bug = LeaseBug::NoWait,
             "holds-on" => self.lease_bug = LeaseBug::HoldsOn,
             "act-first" => self.lease_bug = LeaseBug::ActFirst,
-            "new-leader-gives" => self.budget_bug = BudgetBug::NoWait,
-            "given-twice" => self.budget_bug = BudgetBug::GivenTwice,
-            "full-bucket" => self.budget_bug = BudgetBug::FullBucket,
-            "no-end" => self.budget_bug = BudgetBug::NoEnd,
-            "dead-is-over" => self.budget_bug = BudgetBug::DeadIsOver,
+            "new-leader-gives" => self.budget_bug = BudgetBug::NewLeaderDoesNotWait,
+            "given-twice" => self.budget_bug = BudgetBug::ReassignedBeforeConfirmed,
+            "full-bucket" => self.budget_bug = BudgetBug::FullBurstOnArrival,
+            "no-end" => self.budget_bug = BudgetBug::UsedAfterExpiry,
+            "dead-is-over" => self.budget_bug = BudgetBug::DeadMemberUsageForgotten,
             _ => return false,
         }
         true
--- a/src/node/exchange/mod.rs
+++ b/src/node/exchange/mod.rs
@@ -10,8 +10,8 @@
 use super::clock::{from_micros, to_micros};
 use super::deadlines::{Deadlines, Handle, Wake};
 use super::slots::{Key, Slots};
+use crate::fleet::admission::Admitted;
 use crate::fleet::budgets::HeldUnits;
-use crate::fleet::gate::Admitted;
 use crate::{
     Action, Attempt, AttemptEnd, ClassId, EngineEntry, EngineId, EngineState, Event, Gateway, ListKind,
     LoadReport, Micros, Outcome, Progress, Repeat, Request, RequestId, Settings, SettingsError,
--- a/src/node/exchange/shutdown.rs
+++ b/src/node/exchange/shutdown.rs
@@ -6,7 +6,7 @@
 impl Exchange {
     /// A request is over here. What it holds of the fleet's stocks counts on where it may still run somewhere.
     pub(super) fn linger(&mut self, open: Open) {
-        let Some(held) = open.ask.admitted.map(|admitted| admitted.held).filter(|_| open.unsure) else {
+        let Some(held) = open.ask.admitted.map(|admitted| admitted.held_units).filter(|_| open.unsure) else {
             return;
         };
         if let Some(longest) = held.max_duration_ms() {
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -13,9 +13,9 @@
 use beamgap_consensus::disk::{FileDisk, SharedDisk};
 use beamgap_consensus::store::{Store, VoterIdentity};
 use beamgap_consensus::{ConsensusNode, HandledRequest, InjectedBugs, RestoreError, Settings, StateMachine};
-use beamgap_leases::state::{Lease, Outcome as StepOutcome, Run, Step, Task};
-use beamgap_policy::rollout::state::{Outcome, Record};
-use beamgap_policy::rollout::{Fault, Times};
+use beamgap_fleet_types::MemberId;
+use beamgap_leases::{FencingToken, Lease, Outcome as StepOutcome, Run, StepRecord, Task};
+use beamgap_policy::rollout::{ChangeOutcome, ChangeRecord, PolicyTimings, ValidationError};
 use flate2::read::GzDecoder;
 use std::io::Read;
 use std::net::TcpListener;
@@ -101,7 +101,7 @@
 impl Started {
     fn on(folder: &Path) -> Started {
         let hooks = TestHooks::default();
-        let machine = FleetStateMachine::new(Times::default(), 1, &hooks);
+        let machine = FleetStateMachine::new(PolicyTimings::default(), 1, &hooks);
         let machine = Arc::new(Mutex::new(Observed { machine, restored: 0, applied: 0 }));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let settings = Settings {
@@ -149,16 +149,16 @@
     }
 }
 
-fn record(id: &str, outcome: Outcome) -> Record {
-    Record { id: id.to_owned(), by: "ada".to_owned(), outcome }
+fn record(id: &str, outcome: ChangeOutcome) -> ChangeRecord {
+    ChangeRecord { id: id.to_owned(), requested_by: "ada".to_owned(), outcome }
 }
 
-fn lease((name, life): (&str, u64), token: u64) -> Option<Lease> {
-    Some(Lease { who: (name.to_owned(), life), token })
+fn lease((name, incarnation): (&str, u64), token: u64) -> Option<Lease> {
+    Some(Lease { holder: MemberId::new(name, incarnation), token: FencingToken::new(token) })
 }
 
-fn step(step: u32, token: u64, member: &str, outcome: StepOutcome) -> Step {
-    Step { run: 1, step, token, member: member.to_owned(), outcome }
+fn step(step: u32, token: u64, member: &str, outcome: StepOutcome) -> StepRecord {
+    StepRecord { run: 1, step, token: FencingToken::new(token), member: member.to_owned(), outcome }
 }
 
 #[test]
@@ -183,13 +183,13 @@
     assert_eq!(status.version, 1);
     let pending = PendingSummary { id: "c4".to_owned(), by: "ada".to_owned(), committed: false };
     assert_eq!(status.pending, Some(pending));
-    assert_eq!(status.timings, Some(Times { right: 600_000.0, ..Times::default() }));
+    assert_eq!(status.timings, Some(PolicyTimings { lease_ms: 600_000.0, ..PolicyTimings::default() }));
     let members: Vec<_> = status.members.iter().map(|m| (m.name.as_str(), m.incarnation)).collect();
     assert_eq!(members, [FRONT_1, FRONT_2]);
 
     let policy = PolicyText { version: 1, text: POLICY.to_owned() };
     assert_eq!(started.ask(&FleetRequest::PolicyText(None)), FleetResponse::PolicyText(Some(policy)));
-    let budgets = document::read("policy", POLICY).unwrap().budgets;
+    let budgets = document::parse("policy", POLICY).unwrap().budgets;
     let FleetResponse::Budgets(standings) = started.ask(&FleetRequest::Budgets) else {
         panic!("other answer")
     };
@@ -197,14 +197,15 @@
     let divided: Vec<_> = standings.iter().map(|budget| budget.name.as_str()).collect();
     assert_eq!((named, divided), (vec!["all", "munster"], vec!["all", "munster"]));
 
-    let rejected = vec![Fault { member: "front-1".to_owned(), text: "policy:2:1: unknown key".to_owned() }];
+    let rejected =
+        vec![ValidationError { member: "front-1".to_owned(), message: "policy:2:1: unknown key".to_owned() }];
     let history = vec![
-        record("c1", Outcome::InForce(1)),
-        record("c2", Outcome::TurnedDown(rejected)),
-        record("c3", Outcome::TakenBack),
+        record("c1", ChangeOutcome::Active(1)),
+        record("c2", ChangeOutcome::Rejected(rejected)),
+        record("c3", ChangeOutcome::Withdrawn),
     ];
     assert_eq!(started.ask(&FleetRequest::History), FleetResponse::History(history));
-    let checking = OutcomeReport { outcome: Some(Outcome::Checking), members_behind: 0 };
+    let checking = OutcomeReport { outcome: Some(ChangeOutcome::Validating), members_behind: 0 };
     assert_eq!(started.ask(&FleetRequest::Outcome("c4".to_owned())), FleetResponse::Outcome(checking));
 }
 
@@ -216,15 +217,24 @@
     let [compact, sweep, watch] = tasks.as_slice() else { panic!("{tasks:?}") };
 
     assert_eq!(compact.lease, lease(FRONT_2, 3));
-    let run = Run { no: 1, next: 2, tried: 1, open: Some(3), halted: None };
+    let run = Run {
+        number: 1,
+        next_step: 2,
+        attempts: 1,
+        open_token: Some(FencingToken::new(3)),
+        halted_reason: None,
+    };
     assert_eq!((compact.run.as_ref(), compact.runs), (Some(&run), 1));
     assert_eq!(
-        (compact.spec.name.as_str(), compact.spec.lease, compact.spec.steps),
+        (compact.spec.name.as_str(), compact.spec.lease_ms, compact.spec.step_count),
         ("compact", 30_000.0, 4)
     );
 
     assert_eq!(sweep.lease, None);
-    assert_eq!((sweep.run.as_ref(), sweep.day), (Some(&Run { no: 1, ..Run::default() }), 20_000));
+    assert_eq!(
+        (sweep.run.as_ref(), sweep.last_started_day),
+        (Some(&Run { number: 1, ..Run::default() }), 20_000)
+    );
     assert!(sweep.paused && !compact.paused && !watch.paused);
     assert_eq!((sweep.spec.name.as_str(), sweep.spec.zones.as_slice()), ("sweep", &["z1".to_owned()][..]));
 
@@ -236,9 +246,9 @@
     let history = [
         step(0, 1, "front-1", StepOutcome::Done),
         step(1, 1, "front-1", StepOutcome::Unknown("its lease ended".to_owned())),
-        step(2, 3, "front-2", StepOutcome::NeverRan("connection refused".to_owned())),
+        step(2, 3, "front-2", StepOutcome::NotRun("connection refused".to_owned())),
     ];
-    assert_eq!(one[0].task.record, history);
+    assert_eq!(one[0].task.history, history);
 }
 
 #[test]
--- a/tests/test_hooks.rs
+++ b/tests/test_hooks.rs
@@ -1,9 +1,9 @@
 //! The words of the fault harness' environment variable.
 
 use beamgap::fleet::test_hooks::{machine_clock, ClockJump, TestHooks, TestHooksError};
-use beamgap_budgets::Plant as BudgetBug;
-use beamgap_leases::Plant as LeaseBug;
-use beamgap_policy::rollout::Plant as PolicyBug;
+use beamgap_budgets::InjectedBug as BudgetBug;
+use beamgap_leases::InjectedBug as LeaseBug;
+use beamgap_policy::rollout::InjectedBug as PolicyBug;
 
 #[test]
 fn each_word_sets_its_hook() {
@@ -53,11 +53,11 @@
         assert_eq!(hooks(name), TestHooks { lease_bug: bug, ..TestHooks::default() });
     }
     for (name, bug) in [
-        ("new-leader-gives", BudgetBug::NoWait),
-        ("given-twice", BudgetBug::GivenTwice),
-        ("full-bucket", BudgetBug::FullBucket),
-        ("no-end", BudgetBug::NoEnd),
-        ("dead-is-over", BudgetBug::DeadIsOver),
+        ("new-leader-gives", BudgetBug::NewLeaderDoesNotWait),
+        ("given-twice", BudgetBug::ReassignedBeforeConfirmed),
+        ("full-bucket", BudgetBug::FullBurstOnArrival),
+        ("no-end", BudgetBug::UsedAfterExpiry),
+        ("dead-is-over", BudgetBug::DeadMemberUsageForgotten),
     ] {
         assert_eq!(hooks(name), TestHooks { budget_bug: bug, ..TestHooks::default() });
     }
