--- a/crates/leases/src/clock_bounds.rs
+++ b/crates/leases/src/clock_bounds.rs
@@ -22,12 +22,14 @@
 }
 
 impl ClockBounds {
-    /// For how many milliseconds a holder may use a lease, by its own clock, counted from when it asked for it.
+    /// For how many milliseconds a holder may use a lease, by its own clock, counted from when it
+    /// asked for it.
     pub fn usable_for(&self, length_ms: f64) -> f64 {
         length_ms * (1.0 - self.max_drift - self.safety_margin).max(0.0)
     }
 
-    /// The milliseconds after which a lease has expired at its holder, as measured by any other clock.
+    /// The milliseconds after which a lease has expired at its holder, as measured by any other
+    /// clock.
     pub fn expired_everywhere_after(&self, length_ms: f64) -> f64 {
         clock::expired_everywhere_after(length_ms, self.max_drift)
     }
--- a/crates/leases/src/command.rs
+++ b/crates/leases/src/command.rs
@@ -6,7 +6,8 @@
 use beamgap_fleet_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// A change of the replicated state. [`State::apply`](crate::State::apply) takes commands in the order of the log.
+/// A change of the replicated state. [`State::apply`](crate::State::apply) takes commands in the
+/// order of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// These are the tasks from now on. Others are removed as soon as their leases have ended.
@@ -18,7 +19,8 @@
         /// The member.
         holder: MemberId,
     },
-    /// A lease has ended: it was given up, or it has expired everywhere. A step that is open may have run.
+    /// A lease has ended: it was given up, or it has expired everywhere. A step that is open may
+    /// have run.
     EndLease {
         /// The task.
         task: String,
--- a/crates/leases/src/held_lease.rs
+++ b/crates/leases/src/held_lease.rs
@@ -22,7 +22,8 @@
 pub(crate) struct HeldLease {
     pub(crate) view: LeaseView,
     pub(crate) valid_until: f64,
-    /// Whether the member has given it up. Another may act as soon as that is committed: nothing more is done under it.
+    /// Whether the member has given it up. Another may act as soon as that is committed: nothing
+    /// more is done under it.
     pub(crate) given_up: bool,
     /// The step that a permit was given for, so that each begun step gets one only.
     permitted_step: Option<u32>,
@@ -44,7 +45,8 @@
         }
     }
 
-    /// The same lease as the leader sees it now. Something has changed, so the next command may be sent at once.
+    /// The same lease as the leader sees it now. Something has changed, so the next command may be
+    /// sent at once.
     pub(crate) fn updated(self, view: LeaseView) -> HeldLease {
         HeldLease {
             view,
--- a/crates/leases/src/injected_bug.rs
+++ b/crates/leases/src/injected_bug.rs
@@ -6,7 +6,8 @@
     /// None.
     #[default]
     None,
-    /// A leader ends a lease as soon as its bare length is over, and holders leave no safety margin.
+    /// A leader ends a lease as soon as its bare length is over, and holders leave no safety
+    /// margin.
     NoMargin,
     /// A new leader does not wait for leases that the leader before it may have renewed.
     NoWait,
--- a/crates/leases/src/leader.rs
+++ b/crates/leases/src/leader.rs
@@ -1,7 +1,8 @@
-//! The leader's part: it renews leases, ends those that were not renewed, grants free ones, and starts runs.
+//! The leader's part: it renews leases, ends those that were not renewed, grants free ones, and
+//! starts runs.
 //!
-//! Its knowledge is volatile: another leader begins with none of it. Times are of the leader's own monotonic clock, in
-//! milliseconds.
+//! Its knowledge is volatile: another leader begins with none of it. Times are of the leader's own
+//! monotonic clock, in milliseconds.
 
 use crate::clock_bounds::ClockBounds;
 use crate::command::Command;
@@ -49,9 +50,11 @@
     leading_since: Option<f64>,
     members: BTreeMap<MemberId, MemberStatus>,
     renewals: BTreeMap<FencingToken, Renewal>,
-    /// Whether a majority has confirmed this leader: from then on, all that earlier leaders committed is applied.
+    /// Whether a majority has confirmed this leader: from then on, all that earlier leaders
+    /// committed is applied.
     confirmed: bool,
-    /// Leases whose end was proposed, and when. They are not renewed, as the end may be committed at any moment.
+    /// Leases whose end was proposed, and when. They are not renewed, as the end may be committed
+    /// at any moment.
     ending: BTreeMap<FencingToken, f64>,
     proposals: BTreeMap<String, Proposal>,
     /// When runs were started, as far as this leader knows.
@@ -70,7 +73,8 @@
         }
     }
 
-    /// Tells whether this process leads from now on. With a change of that, everything is forgotten.
+    /// Tells whether this process leads from now on. With a change of that, everything is
+    /// forgotten.
     pub fn set_leadership(&mut self, now: f64, is_leader: bool) {
         if is_leader == self.leading_since.is_some() {
             return;
@@ -91,8 +95,8 @@
         self.ending.insert(token, now);
     }
 
-    /// Answers a member and renews its leases. Must be called only after a majority has confirmed this leader, later
-    /// than the request came in.
+    /// Answers a member and renews its leases. Must be called only after a majority has confirmed
+    /// this leader, later than the request came in.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -136,8 +140,8 @@
 
     /// Gives the commands to propose as time passes.
     ///
-    /// `minute` is the wall clock's count of minutes since 1970, if it is known. It decides when daily runs are due, and
-    /// nothing else.
+    /// `minute` is the wall clock's count of minutes since 1970, if it is known. It decides when
+    /// daily runs are due, and nothing else.
     pub fn tick(&mut self, now: f64, minute: Option<u64>, state: &State) -> Vec<Command> {
         let Some(leading_since) = self.leading_since else {
             return Vec::new();
@@ -165,8 +169,9 @@
         commands
     }
 
-    /// Notes leases that are seen for the first time. An earlier leader can have renewed them only before this one
-    /// led; a lease that was granted under this leader is unknown to its holder until it is notified from here.
+    /// Notes leases that are seen for the first time. An earlier leader can have renewed them only
+    /// before this one led; a lease that was granted under this leader is unknown to its holder
+    /// until it is notified from here.
     fn track_new_leases(&mut self, now: f64, state: &State) {
         let announced = !self.confirmed;
         let skips_wait = announced && self.injected_bug == InjectedBug::NoWait;
@@ -261,8 +266,8 @@
         })
     }
 
-    /// Starts a run that is due. A leader that does not know when the last run was started counts from when it first
-    /// saw the task without a run.
+    /// Starts a run that is due. A leader that does not know when the last run was started counts
+    /// from when it first saw the task without a run.
     fn start_due_run(&mut self, now: f64, minute: Option<u64>, task: &Task) -> Option<Command> {
         if task.run.is_some() || task.paused || task.forbidden || task.removed {
             return None;
@@ -297,7 +302,8 @@
     counts
 }
 
-/// The day, counted from 1970, whose daily run may be started in this minute; none outside of the window.
+/// The day, counted from 1970, whose daily run may be started in this minute; none outside of the
+/// window.
 fn day_of_due_run(minute: u64, start: u32, window: u32) -> Option<u64> {
     let since_first_start = minute.checked_sub(u64::from(start))?;
     let minutes_per_day = u64::from(MINUTES_PER_DAY);
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,38 +1,43 @@
 //! Leases for the tasks of a fleet: at most one member acts on a task at a time.
 //!
-//! Pure state machines: no clock, no I/O, no randomness. The program, the protocol model and the tests drive the same
-//! code.
+//! Pure state machines: no clock, no I/O, no randomness. The program, the protocol model and the
+//! tests drive the same code.
 //!
 //! # What it promises
 //!
-//! The promises are numbered in `docs/leases.md`. In short: no two members hold the lease of a task at once as long as
-//! clocks keep within [`ClockBounds`]; tokens grow; a step that was recorded as done or that may have run is not begun
-//! again, unless the task allows that; a task whose holder is gone moves to another member.
+//! The promises are numbered in `docs/leases.md`. In short: no two members hold the lease of a task
+//! at once as long as clocks keep within [`ClockBounds`]; tokens grow; a step that was recorded as
+//! done or that may have run is not begun again, unless the task allows that; a task whose holder
+//! is gone moves to another member.
 //!
-//! It does not promise that an action takes place only once: a process may stand still between the check of its lease
-//! and its action. Therefore each action carries a [`FencingToken`], and its target refuses older ones.
+//! It does not promise that an action takes place only once: a process may stand still between the
+//! check of its lease and its action. Therefore each action carries a [`FencingToken`], and its
+//! target refuses older ones.
 //!
 //! # How it works
 //!
-//! A holder uses a lease until its length, less drift and margin, has passed on its own clock since it *sent* the poll
-//! that renewed it. The leader answers a poll only after a majority confirmed its leadership *later* than the poll
-//! came in. It ends a lease that it has not renewed for longer than the lease's length on any clock within the drift,
-//! counted from the beginning of its leadership if it never renewed it. Only then can another lease be granted. The
-//! bound follows Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
+//! A holder uses a lease until its length, less drift and margin, has passed on its own clock since
+//! it *sent* the poll that renewed it. The leader answers a poll only after a majority confirmed
+//! its leadership *later* than the poll came in. It ends a lease that it has not renewed for longer
+//! than the lease's length on any clock within the drift, counted from the beginning of its
+//! leadership if it never renewed it. Only then can another lease be granted. The bound follows
+//! Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
 //! Consistency" (SOSP 1989).
 //!
 //! # Where to start
 //!
 //! - [`State`] is what [`Command`]s of the replicated log make of the [`Task`]s.
-//! - [`LeaseLeader`] runs at the leader, [`LeaseHolder`] at each member; they exchange [`PollRequest`] and
-//!   [`PollResponse`].
+//! - [`LeaseLeader`] runs at the leader, [`LeaseHolder`] at each member; they exchange
+//!   [`PollRequest`] and [`PollResponse`].
 //! - [`ActionPermit`] is what a member needs to act.
 //!
 //! # Example
 //!
 //! ```
 //! use beamgap_fleet_types::MemberId;
-//! use beamgap_leases::{ClockBounds, Command, InjectedBug, LeaseHolder, LeaseLeader, Schedule, State, TaskSpec};
+//! use beamgap_leases::{
+//!     ClockBounds, Command, InjectedBug, LeaseHolder, LeaseLeader, Schedule, State, TaskSpec,
+//! };
 //!
 //! let mut state = State::default();
 //! let spec = TaskSpec::new("compaction", Schedule::Always, "http://storage.test/compact");
@@ -48,7 +53,7 @@
 //!     state.apply(&command);
 //! }
 //!
-//! // The member is notified of it with its next poll, and may act until the lease is about to expire.
+//! // The member is notified of it with its next poll. It may act until the lease expires.
 //! let response = leader.handle_request(1100.0, &state, &member.poll_request());
 //! member.handle_response(1100.0, response);
 //! let permit = member.permit("compaction", 1200.0, 100.0).expect("the lease is held");
--- a/crates/leases/src/member.rs
+++ b/crates/leases/src/member.rs
@@ -1,4 +1,5 @@
-//! The member's part: it holds leases, renews all of them with one poll, and gives a permit for each action.
+//! The member's part: it holds leases, renews all of them with one poll, and gives a permit for
+//! each action.
 //!
 //! Times are of the member's own monotonic clock, which must count suspension, in milliseconds.
 
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Begins a graceful shutdown: the member takes no more leases and gives up those that it holds.
+    /// Begins a graceful shutdown: the member takes no more leases and gives up those that it
+    /// holds.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Takes in the response to a request that was sent at `sent_at`. Leases are renewed from that time on.
+    /// Takes in the response to a request that was sent at `sent_at`. Leases are renewed from that
+    /// time on.
     pub fn handle_response(&mut self, sent_at: f64, response: PollResponse) {
         if self
             .known_change_count
@@ -128,15 +131,16 @@
         self.held.get(task).map(|held| &held.view)
     }
 
-    /// Queues the command that records an outcome. It is sent until it has taken effect or the lease is lost.
+    /// Queues the command that records an outcome. It is sent until it has taken effect or the
+    /// lease is lost.
     pub fn queue_outcome(&mut self, command: Option<Command>) {
         if let Some(command) = command {
             self.outcomes.push(command);
         }
     }
 
-    /// The commands to send with the next poll: outcomes, steps to begin, leases to give up. No step is begun while
-    /// the member `is_busy`.
+    /// The commands to send with the next poll: outcomes, steps to begin, leases to give up. No
+    /// step is begun while the member `is_busy`.
     pub fn pending_commands(&mut self, now: f64, is_busy: bool) -> Vec<Command> {
         let mut commands = self.outcomes.due_commands(now, &self.held);
         let mut by_priority: Vec<&mut HeldLease> = self.held.values_mut().collect();
@@ -148,8 +152,8 @@
         commands
     }
 
-    /// A permit to act on a task: on the step whose beginning is committed, or, for a task without steps, at any time.
-    /// The action may last for `duration_ms`.
+    /// A permit to act on a task: on the step whose beginning is committed, or, for a task without
+    /// steps, at any time. The action may last for `duration_ms`.
     ///
     /// # Errors
     ///
@@ -164,7 +168,8 @@
         held.permit(now, duration_ms, self.injected_bug)
     }
 
-    /// Queues the outcome of a step that was begun, but whose action was not started for lack of a permit.
+    /// Queues the outcome of a step that was begun, but whose action was not started for lack of a
+    /// permit.
     pub fn record_not_run(&mut self, task: &str, outcome: Outcome) {
         let Some(held) = self.held.get_mut(task) else {
             return;
--- a/crates/leases/src/outcome_queue.rs
+++ b/crates/leases/src/outcome_queue.rs
@@ -29,7 +29,8 @@
         self.0.is_empty()
     }
 
-    /// Drops outcomes that are recorded or whose lease is lost, and gives those that are to be sent now.
+    /// Drops outcomes that are recorded or whose lease is lost, and gives those that are to be sent
+    /// now.
     pub(crate) fn due_commands(
         &mut self,
         now: f64,
--- a/crates/leases/src/permit.rs
+++ b/crates/leases/src/permit.rs
@@ -22,8 +22,8 @@
     StepNotBegun,
 }
 
-/// A permit to act once on a task. Only [`LeaseHolder::permit`](crate::LeaseHolder::permit) gives one, from a lease that
-/// has not expired. It can't be copied, and starting the action uses it up.
+/// A permit to act once on a task. Only [`LeaseHolder::permit`](crate::LeaseHolder::permit) gives
+/// one, from a lease that has not expired. It can't be copied, and starting the action uses it up.
 ///
 /// ```compile_fail
 /// fn twice(permit: beamgap_leases::ActionPermit) {
@@ -34,7 +34,8 @@
 /// ```compile_fail
 /// use beamgap_leases::{ActionPermit, FencingToken};
 /// // Only a lease gives one.
-/// let permit = ActionPermit { task: String::new(), token: FencingToken::new(1), step: None, valid_until: 1e9 };
+/// let token = FencingToken::new(1);
+/// let permit = ActionPermit { task: String::new(), token, step: None, valid_until: 1e9 };
 /// ```
 ///
 /// ```compile_fail
--- a/crates/leases/src/placement.rs
+++ b/crates/leases/src/placement.rs
@@ -1,13 +1,15 @@
 //! Which member gets the lease of a task.
 //!
-//! Of the members that answer, may hold the task and do not shut down, those go first that have been present for
-//! [`SETTLING_TIME_MS`], then those that hold the fewest leases, then by a hash of task and member.
+//! Of the members that answer, may hold the task and do not shut down, those go first that have
+//! been present for [`SETTLING_TIME_MS`], then those that hold the fewest leases, then by a hash of
+//! task and member.
 
 use crate::task::Task;
 use beamgap_fleet_types::MemberId;
 use std::collections::BTreeMap;
 
-/// A member that has been present for less than this gets a lease only if no other fits, in milliseconds.
+/// A member that has been present for less than this gets a lease only if no other fits, in
+/// milliseconds.
 pub const SETTLING_TIME_MS: f64 = 5000.0;
 /// A member that was not heard of for longer than this gets no lease, in milliseconds.
 const MEMBER_TIMEOUT_MS: f64 = 1700.0;
--- a/crates/leases/src/spec.rs
+++ b/crates/leases/src/spec.rs
@@ -12,7 +12,8 @@
 
 /// Shortest and longest lease, in milliseconds.
 const LEASE_RANGE_MS: std::ops::RangeInclusive<f64> = 1000.0..=600_000.0;
-/// Longest step, as a fraction of the lease: a holder renews each third of it, and a step must fit into what is left.
+/// Longest step, as a fraction of the lease: a holder renews each third of it, and a step must fit
+/// into what is left.
 const MAX_STEP_PER_LEASE: f64 = 0.5;
 /// Largest number of attempts at a step that did not run.
 const MAX_ATTEMPTS: u32 = 100;
@@ -77,7 +78,8 @@
     pub backoff_ms: f64,
     /// Among the tasks of one holder, those with a higher priority go first.
     pub priority: u8,
-    /// Whether the target refuses older tokens. If not, two holders may act at once when a process stands still.
+    /// Whether the target refuses older tokens. If not, two holders may act at once when a process
+    /// stands still.
     pub requires_fencing: bool,
     /// What the holder does; the program that embeds this crate gives it a meaning.
     pub action: String,
--- a/crates/leases/src/state.rs
+++ b/crates/leases/src/state.rs
@@ -56,7 +56,8 @@
             .take(MAX_TASKS);
         let specs: BTreeMap<&str, &TaskSpec> =
             valid.map(|spec| (spec.name.as_str(), spec)).collect();
-        // The holder of a removed task may act until it hears of that: the name is not free before the lease has ended.
+        // The holder of a removed task may act until it hears of that: the name is not free before
+        // the lease has ended.
         for (name, task) in &mut self.tasks {
             task.removed = !specs.contains_key(name.as_str());
         }
--- a/crates/leases/src/task.rs
+++ b/crates/leases/src/task.rs
@@ -156,7 +156,8 @@
             .is_some_and(|run| run.open_token.is_some())
     }
 
-    /// Ends the open step with this outcome, adds it to the history, and moves the run on or halts it.
+    /// Ends the open step with this outcome, adds it to the history, and moves the run on or halts
+    /// it.
     pub(crate) fn finish_step(&mut self, outcome: Outcome) {
         let Some(run) = self.run.as_mut() else { return };
         let Some(token) = run.open_token.take() else {
@@ -198,11 +199,12 @@
     fn advance(&mut self, record: &StepRecord, spec: &TaskSpec) {
         match (&record.outcome, spec.on_unknown) {
             (Outcome::Done, _) | (Outcome::Unknown(_), OnUnknownOutcome::Skip) => {
-                self.go_to_next_step()
+                self.go_to_next_step();
             }
             (Outcome::Unknown(_), OnUnknownOutcome::Repeat) => {}
             (Outcome::Unknown(reason), OnUnknownOutcome::Halt) => {
-                // An operator who resumes the run has decided about this step: it goes on behind it.
+                // An operator who resumes the run has decided about this step: it goes on behind
+                // it.
                 self.go_to_next_step();
                 self.halt(record, &format!("may have run ({reason})"));
             }
--- a/crates/leases/src/token.rs
+++ b/crates/leases/src/token.rs
@@ -3,10 +3,12 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a lease. It grows with every lease that is granted, whatever its task, over the whole life of a fleet.
+/// The number of a lease. It grows with every lease that is granted, whatever its task, over the
+/// whole life of a fleet.
 ///
-/// A target that has seen a newer token of a task refuses older ones: this protects it from a holder that stood still
-/// between its last look at the clock and its action. The default, 0, is the token of no lease.
+/// A target that has seen a newer token of a task refuses older ones: this protects it from a
+/// holder that stood still between its last look at the clock and its action. The default, 0, is
+/// the token of no lease.
 ///
 /// The serialized form is the bare number.
 #[derive(
--- a/crates/leases/tests/commands.rs
+++ b/crates/leases/tests/commands.rs
@@ -105,7 +105,10 @@
         on_unknown in prop_oneof![Just(OnUnknownOutcome::Halt), Just(OnUnknownOutcome::Skip)],
     ) {
         let mut state = State::default();
-        let spec = |name| TaskSpec { step_count: 3, on_unknown, ..TaskSpec::new(name, Schedule::OnDemand, "") };
+        let spec = |name| {
+            let defaults = TaskSpec::new(name, Schedule::OnDemand, "");
+            TaskSpec { step_count: 3, on_unknown, ..defaults }
+        };
         state.apply(&Command::DefineTasks(vec![spec("a"), spec("b")]));
         let mut before = state.clone();
         for command in commands {
--- a/crates/leases/tests/common/encoding.rs
+++ b/crates/leases/tests/common/encoding.rs
@@ -1,4 +1,5 @@
-//! The bytes that a replay compares. They hold no names of Rust items, so that a renaming leaves them as they are.
+//! The bytes that a replay compares. They hold no names of Rust items, so that a renaming leaves
+//! them as they are.
 
 use beamgap_leases::{ActionPermit, Command, ExpiredAction, PermitDenied};
 use serde::Serialize;
--- a/crates/leases/tests/common/mod.rs
+++ b/crates/leases/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A seeded world of members and leaders in which the state machines of this crate are driven, step by step.
+//! A seeded world of members and leaders in which the state machines of this crate are driven, step
+//! by step.
 
 pub mod encoding;
 pub mod member;
--- a/crates/leases/tests/common/world.rs
+++ b/crates/leases/tests/common/world.rs
@@ -1,4 +1,5 @@
-//! The fleet: two leaders that take turns, four members, the replicated state, and messages that are lost or late.
+//! The fleet: two leaders that take turns, four members, the replicated state, and messages that
+//! are lost or late.
 
 use super::encoding::Output;
 use super::member::{Member, Poll, Response};
@@ -243,7 +244,8 @@
         }
     }
 
-    /// Something out of the ordinary: an operator's command, a fault, or a command that no longer fits.
+    /// Something out of the ordinary: an operator's command, a fault, or a command that no longer
+    /// fits.
     fn disturb(&mut self, output: &mut Output) {
         let name = NAMES[self.random.index(NAMES.len())].to_owned();
         let member = self.random.index(MEMBERS);
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! 300 members and up to 1,000 leases on a simulated clock, with one leader and commits that take no time. The promises
-//! are those of `docs/leases.md`.
+//! 300 members and up to 1,000 leases on a simulated clock, with one leader and commits that take
+//! no time. The promises are those of `docs/leases.md`.
 
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
@@ -64,7 +64,8 @@
         self.members[member] = Some(LeaseHolder::new(id, "", InjectedBug::None));
     }
 
-    /// A tenth of a second passes: members whose poll is due poll, then the leader looks at the state.
+    /// A tenth of a second passes: members whose poll is due poll, then the leader looks at the
+    /// state.
     fn step(&mut self) {
         self.now += STEP_MS;
         let mut commands = Vec::new();
@@ -224,7 +225,8 @@
     fleet.run(2000.0);
     let spec = fleet.state.tasks["t0"].spec.clone();
     let (holder, _) = fleet.holders()["t0"];
-    let silent = fleet.members[holder].take().expect("the holder is running"); // It hears nothing of the change.
+    // The holder hears nothing of the change.
+    let silent = fleet.members[holder].take().expect("the holder is running");
     fleet.state.apply(&Command::DefineTasks(Vec::new()));
     fleet.state.apply(&Command::DefineTasks(vec![spec]));
     for _ in 0..60 {
--- a/crates/leases/tests/replay.rs
+++ b/crates/leases/tests/replay.rs
@@ -1,7 +1,9 @@
-//! Replays seeded worlds and compares what the state machines put out with a recording, step by step.
+//! Replays seeded worlds and compares what the state machines put out with a recording, step by
+//! step.
 //!
-//! A recording has one line a step: the digest of all commands, replies, permits and denials of that step and of the
-//! state behind it. To record anew: `cargo test -p beamgap-leases --test replay -- --ignored`.
+//! A recording has one line a step: the digest of all commands, replies, permits and denials of
+//! that step and of the state behind it. To record anew: `cargo test -p beamgap-leases --test
+//! replay -- --ignored`.
 
 mod common;
 
