--- a/crates/decisions/src/action.rs
+++ b/crates/decisions/src/action.rs
@@ -1,8 +1,8 @@
-//! What the module answers: actions for the program around it, in order.
+//! Actions: what the module has the program around it do.
 
 use crate::{Attempt, EngineId, Micros, RequestId, TimerId};
 
-/// What a gateway decides. Actions take effect in the order given.
+/// An action that a gateway decides. Actions take effect in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to an engine, as its next attempt.
--- a/crates/decisions/src/decide/arrival.rs
+++ b/crates/decisions/src/decide/arrival.rs
@@ -4,7 +4,7 @@
 use crate::state::request::TrackedRequest;
 use crate::{Action, Request};
 
-/// Requests of one key that may be in the queue: more can't have their turn while their clients wait.
+/// Requests of one key that may be in the queue: more could not all run while their clients wait.
 const MAX_REQUESTS_PER_KEY: usize = 256;
 
 impl Gateway {
--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: sent, heard of, ended.
+//! The life of an attempt: send, progress, end.
 
 use super::outlier_ejection::{FIRST_EJECTION, LONGEST_EJECTION};
 use super::{Gateway, WINDOW};
@@ -8,10 +8,10 @@
 /// Share of an engine's memory that is granted by threads; the rest is for light queries.
 const GRANTED_MEMORY_SHARE: f64 = 0.85;
 
-/// Times its class's mean work from which a query yields to the rest under pressure.
+/// Times its class's mean work above which a query yields to others under pressure.
 const GIANT_QUERY: f64 = 3.0;
 
-/// Time for which a table group counts as held after a note of it.
+/// Time for which a table group counts as held after an attempt was reported to wait for its holder.
 const HELD_GROUP_MEMORY: Micros = Micros::from_millis(1500);
 
 /// Priority where engines know none.
@@ -23,15 +23,17 @@
 /// Priority of a heavy query that can be in time; one more if it holds its tables.
 const IN_TIME_PRIORITY: u8 = 1;
 
-/// Priority of a heavy query that is late, or a giant under pressure: its worth is spread over much work.
+/// Priority of a heavy query that is late, or far heavier than its class on an engine under pressure.
 const LOW_PRIORITY: u8 = 0;
 
-/// What is needed of an attempt whose progress has come.
-struct AttemptProgress {
-    engine: usize,
-    age_ms: f64,
-    expected_ms: f64,
-    stalled: bool,
+/// An attempt at the moment that its progress is reported.
+pub(super) struct AttemptSnapshot {
+    pub(super) number: Attempt,
+    pub(super) engine: usize,
+    pub(super) age_ms: f64,
+    pub(super) expected_ms: f64,
+    /// Whether it ever spilled or waited.
+    pub(super) stalled: bool,
 }
 
 impl Gateway {
@@ -157,27 +159,27 @@
         self.engines[index].attempt_ended(threads, memory_mb);
     }
 
-    /// Takes in a note of an attempt's progress.
+    /// Takes in the progress of an attempt.
     pub(super) fn attempt_progressed(
         &mut self,
         sequence: u64,
-        attempt: Attempt,
-        note: Progress,
+        number: Attempt,
+        progress: Progress,
         actions: &mut Vec<Action>,
     ) {
-        let Some(progress) = self.record_progress(sequence, attempt, note) else { return };
-        let engine = progress.engine;
+        let Some(attempt) = self.record_progress(sequence, number, progress) else { return };
+        let engine = attempt.engine;
         let was_troubled = self.requests[sequence].troubled;
         self.health.zones.zone_mut(&self.engines[engine].entry.zone).engine_alive();
-        if note == Progress::WaitsForMemory {
+        if progress == Progress::WaitsForMemory {
             self.queue_met(engine, self.requests[sequence].work_ms);
             if self.is_hopeless_in_queue(sequence) {
                 self.reject_or_fail(sequence, actions);
                 return;
             }
-            self.leave_engine_queue(sequence, attempt, actions);
+            self.leave_engine_queue(sequence, number, actions);
         }
-        match note {
+        match progress {
             Progress::Spilling(_) | Progress::WaitsForMemory => {
                 if !was_troubled {
                     self.memory_trouble(sequence, engine);
@@ -189,11 +191,8 @@
                 self.engines.observe_held_group(engine, group, until);
             }
             Progress::ShareDone(share) => {
-                if !progress.stalled {
-                    let expected_total_ms = progress.age_ms / share.clamp(0.001, 1.0);
-                    let left_ms = expected_total_ms - progress.age_ms;
-                    let expected_ms = progress.expected_ms;
-                    self.resend_if_slow(sequence, attempt, expected_total_ms, left_ms, expected_ms, actions);
+                if !attempt.stalled {
+                    self.resend_if_slow(sequence, &attempt, share, actions);
                 }
             }
         }
@@ -202,13 +201,14 @@
     fn record_progress(
         &mut self,
         sequence: u64,
-        attempt: Attempt,
-        note: Progress,
-    ) -> Option<AttemptProgress> {
+        number: Attempt,
+        progress: Progress,
+    ) -> Option<AttemptSnapshot> {
         let now = self.clock.now;
-        let attempt = self.requests.get_mut(sequence).attempt_in_flight(attempt)?;
-        attempt.progressed(now, note);
-        Some(AttemptProgress {
+        let attempt = self.requests.get_mut(sequence).attempt_in_flight(number)?;
+        attempt.progressed(now, progress);
+        Some(AttemptSnapshot {
+            number,
             engine: attempt.engine,
             age_ms: now.since(attempt.sent).as_millis(),
             expected_ms: attempt.expected_ms,
--- a/crates/decisions/src/decide/dispatch.rs
+++ b/crates/decisions/src/decide/dispatch.rs
@@ -93,7 +93,7 @@
     }
 
     /// The least loaded candidate, of those with free cores unless the request is light. Light work passes the bound
-    /// where priorities speed it up; elsewhere it would crowd like any.
+    /// where priorities speed it up; elsewhere it would slow the others down like any work.
     fn least_loaded(&self, is_light: bool, candidates: Vec<usize>) -> Option<usize> {
         let bears = |engine: usize| {
             self.settings.priorities
--- a/crates/decisions/src/decide/engine_list.rs
+++ b/crates/decisions/src/decide/engine_list.rs
@@ -42,7 +42,7 @@
         self.engines.store_entry(index, entry);
     }
 
-    /// Where more is let in than memory holds, the bound starts low.
+    /// First bound of threads a core; low where engines admit more than their memory holds.
     fn initial_threads_per_core(&self) -> f64 {
         if self.settings.when_short == WhenShort::LetIn {
             CAREFUL_THREADS_PER_CORE
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Takes in how far an answer was stretched; heavy work feels a crowd most.
+    /// Takes in how far an answer was stretched; heavy work shows contention most.
     fn learn_stretch(&mut self, engine: usize, stretch: f64, work_ms: f64) {
         let stretch = stretch.min(MAX_STRETCH);
         let step = (0.1 * work_ms / self.costs.mean_work_ms.max(1.0)).clamp(0.01, 0.4);
--- a/crates/decisions/src/decide/load.rs
+++ b/crates/decisions/src/decide/load.rs
@@ -1,4 +1,4 @@
-//! How loaded each engine is: by reports, by own work, and by how crowded answers found it.
+//! How loaded each engine is: by its reports, by own work, and by how far answers are stretched.
 
 use super::{Gateway, WINDOW};
 use crate::state::decay::remaining;
@@ -15,10 +15,10 @@
 /// First bound of threads a core, all gateways together; over 1, as some wait for disks.
 pub(super) const INITIAL_THREADS_PER_CORE: f64 = 1.8;
 
-/// First bound of threads a core where more is let in than memory holds.
+/// First bound of threads a core where engines admit more than their memory holds.
 pub(super) const CAREFUL_THREADS_PER_CORE: f64 = 1.0;
 
-/// Stretch over the best above which heavy work is crowded, so that the thread bound falls.
+/// Stretch over the best above which heavy work contends for cores, so that the thread bound falls.
 pub(super) const STRETCH_HIGH: f64 = 2.2;
 
 /// Stretch over the best below which the thread bound may rise.
@@ -27,7 +27,7 @@
 /// Share of busy cores that counts as capacity.
 pub(super) const BUSY_CAPACITY: f64 = 0.85;
 
-/// Gateways that a fresh report is worth: it says as much as own work where so many others send.
+/// Weight of a fresh report against own work, in gateways: they weigh the same where so many others send.
 const REPORT_WEIGHT_GATEWAYS: f64 = 3.0;
 
 /// Half-life of what own work shows of the fleet, in milliseconds.
@@ -141,8 +141,8 @@
         self.stretch.best = stretches.fold(f64::INFINITY, f64::min).clamp(0.7, 1.3);
     }
 
-    /// Whether more threads would pass the engine's bound, which binds only under pressure. A queue counts the more
-    /// the less own threads tell.
+    /// Whether more threads would pass the engine's bound, which binds only under pressure. A queue
+    /// lowers the bound, the more so the smaller the own part of the load.
     pub(super) fn past_thread_bound(&self, index: usize, threads: f64) -> bool {
         let engine = &self.engines[index];
         let load = self.load(index);
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -6,16 +6,18 @@
 //! - `estimates`: expected work and memory, and what answers teach of them.
 //! - `flagging`: SAFELoad's cheap pass, prediction and quota.
 //! - `routing`: the order of engines for a table group; `dispatch`: send, wait or reject.
-//! - `admission`: shedding by cost under overload, and who is too late.
+//! - `admission`: shedding by cost under overload, and which requests are too late.
 //! - `load`: how loaded engines are, and the threads that each bears.
 //! - `send_rules`: the bounds that every send passes, with `ordering` by key, `retry_budget` and `slow_start`.
-//! - `attempts`: sent, heard of, ended; `retries`: cancelled and sent again, hedged.
+//! - `attempts`: send, progress and end of an attempt; `retries`: cancelling and sending again, hedging;
+//!   `completion`: answered and forgotten.
 //! - `outlier_ejection`: which engines and zones are trusted.
 //! - `tenant_quota`, `engine_list`, and `status` for outsiders.
 
 mod admission;
 mod arrival;
 mod attempts;
+mod completion;
 mod dispatch;
 mod engine_list;
 mod estimates;
@@ -64,13 +66,13 @@
 /// Half-life of the counts of table groups, in milliseconds.
 const GROUP_HALF_LIFE_MS: f64 = 20_000.0;
 
-/// Half-life of the costs of asked work, in milliseconds.
+/// Half-life of the costs of requested work, in milliseconds.
 const COST_HALF_LIFE_MS: f64 = 5000.0;
 
-/// First pause before the engine list is asked for again.
+/// First pause before the engine list is requested again.
 const FIRST_LIST_RETRY: Micros = Micros::from_millis(1000);
 
-/// Longest pause before the engine list is asked for again.
+/// Longest pause before the engine list is requested again.
 const LONGEST_LIST_RETRY: Micros = Micros::from_millis(8000);
 
 /// Decides for one workload manager. Deterministic: the same settings, seed and events give the same actions.
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -25,7 +25,7 @@
 /// Failed connections in a row that eject an engine for certain, and mark its next answer as one of a fresh start.
 const CONNECT_FAILURES_SURE: u32 = 2;
 
-/// Engines of a zone lost, and nothing heard from it since, from which the zone counts as lost.
+/// Engines lost, with no sign of life from their zone since, from which the whole zone counts as lost.
 const LOST_ENGINES_OF_ZONE: usize = 2;
 
 /// Half-life of the fleet's share of bad signs, in milliseconds.
@@ -40,7 +40,7 @@
 /// Largest share of bad signs that is reckoned with.
 const MAX_BAD_SHARE: f64 = 0.95;
 
-/// Signs that the least share of bad ones is worth.
+/// Weight of the least share of bad signs, in signs.
 const PRIOR_SIGNS: f64 = 5.0;
 
 /// Signs of the whole fleet and its zones.
@@ -128,8 +128,9 @@
         }
     }
 
-    /// Whether an engine's zone is lost. A zone goes with all its engines; who sees little of each would learn it from
-    /// one after the other: two lost with nothing from the zone speak for all, while another zone is not lost.
+    /// Whether an engine's zone is lost. A zone fails with all its engines, and a gateway that sends little to each would
+    /// learn it one engine at a time: two lost engines with no sign of life from the zone count for all of them, as long
+    /// as some other zone is not lost.
     pub(super) fn zone_is_lost(&self, index: usize) -> bool {
         let lost =
             |engine: &Engine| self.health.zones.lost_engines(&engine.entry.zone) >= LOST_ENGINES_OF_ZONE;
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -1,13 +1,14 @@
 //! Retries and hedged requests: attempts that failed, hang or lag are sent again elsewhere.
 
 use super::admission::ANSWER_MARGIN;
+use super::attempts::AttemptSnapshot;
 use super::outlier_ejection::Suspicion;
 use super::Gateway;
 use crate::state::engine::Health;
 use crate::state::request::{TrackedAttempt, TrackedRequest};
 use crate::{Action, Attempt, Repeat};
 
-/// Times the pause between notes after which silence is sure.
+/// Times the interval between reports of progress after which one is surely missed.
 const SILENCE_FACTOR: f64 = 1.3;
 
 /// Allowance for delay on top of that, in milliseconds.
@@ -28,6 +29,9 @@
 /// Times what was expected that must be left for a new plan to pay.
 const BAD_PLAN_LEFT_FACTOR: f64 = 2.0;
 
+/// Share of the work done that is reckoned with at least.
+const LEAST_SHARE_DONE: f64 = 0.001;
+
 /// Engines tried for a place without a queue; the other attempts are kept.
 const MAX_QUEUE_MOVES: usize = 3;
 
@@ -45,7 +49,7 @@
 enum Overtaking {
     /// Not now.
     No,
-    /// The attempt is slow: a hedge is worth it.
+    /// The attempt is slow: a hedged request may be faster.
     Slow,
     /// The attempt is likely lost with its engine.
     Lost,
@@ -90,22 +94,22 @@
         }
     }
 
-    /// Cancels an attempt that seems to run with a bad plan. A further attempt draws a new plan; each earlier cancel
-    /// speaks for a long query instead.
+    /// Cancels an attempt that seems to run with a bad plan, by the share of its work that is done. A further attempt
+    /// draws a new plan; each earlier cancel makes a long query likelier instead.
     pub(super) fn resend_if_slow(
         &mut self,
         sequence: u64,
-        attempt: Attempt,
-        total_ms: f64,
-        left_ms: f64,
-        expected_ms: f64,
+        attempt: &AttemptSnapshot,
+        share_done: f64,
         actions: &mut Vec<Action>,
     ) {
         let attempts = &self.requests[sequence].attempts;
         let cancels = attempts.iter().filter(|attempt| attempt.cancelled).count();
-        let slow_from_ms = BAD_PLAN_FACTOR * (1.0 + cancels as f64) * expected_ms;
-        if total_ms > slow_from_ms && left_ms > BAD_PLAN_LEFT_FACTOR * expected_ms {
-            self.cancel_and_resend(sequence, attempt, actions);
+        let total_ms = attempt.age_ms / share_done.clamp(LEAST_SHARE_DONE, 1.0);
+        let left_ms = total_ms - attempt.age_ms;
+        let slow_from_ms = BAD_PLAN_FACTOR * (1.0 + cancels as f64) * attempt.expected_ms;
+        if total_ms > slow_from_ms && left_ms > BAD_PLAN_LEFT_FACTOR * attempt.expected_ms {
+            self.cancel_and_resend(sequence, attempt.number, actions);
         }
     }
 
@@ -154,7 +158,7 @@
         lagging
     }
 
-    /// Silence after which an attempt has missed a note, in milliseconds.
+    /// Silence after which an attempt has missed a report of progress, in milliseconds.
     fn sure_silence_ms(&self) -> f64 {
         let interval = self.settings.progress_interval;
         interval.map_or(f64::INFINITY, |every| every.as_millis() * SILENCE_FACTOR + SILENCE_ALLOWANCE_MS)
@@ -185,15 +189,15 @@
         }
     }
 
-    /// Its engine is out of use, twice the patience is over, or it has missed a note of its own.
+    /// Its engine is out of use, twice the patience is over, or it has missed a report of progress.
     fn is_likely_lost(&self, request: &TrackedRequest, attempt: &TrackedAttempt, age_ms: f64) -> bool {
         let health = self.engines[attempt.engine].health.health;
         let is_out = matches!(health, Health::Ejected(_)) || self.zone_is_lost(attempt.engine);
         let quiet_ms = self.clock.since(attempt.last_progress).as_millis();
         let out_of_patience =
             self.is_light(request) && !attempt.waits && age_ms > 2.0 * Gateway::hedge_after_ms(attempt);
-        let missed_note = !attempt.waits && quiet_ms > self.sure_silence_ms();
-        (is_out && age_ms > attempt.expected_ms * 1.5) || out_of_patience || missed_note
+        let missed_report = !attempt.waits && quiet_ms > self.sure_silence_ms();
+        (is_out && age_ms > attempt.expected_ms * 1.5) || out_of_patience || missed_report
     }
 
     /// Counts an attempt's silence against its engine and zone.
--- a/crates/decisions/src/decide/status.rs
+++ b/crates/decisions/src/decide/status.rs
@@ -40,7 +40,7 @@
         self.requests.len()
     }
 
-    /// The share of the asked work that is admitted now, from 0 to 1; 0 where no engine is in use.
+    /// The share of the requested work that is admitted now, from 0 to 1; 0 where no engine is in use.
     pub fn admitted_share(&self) -> f64 {
         if self.engines.iter().any(is_in_use) {
             self.admission.admitted_share
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,4 +1,4 @@
-//! What the module is told: the list of engines, requests, and how attempts go and end.
+//! Events: the engine list, requests, and how attempts go and end.
 
 use crate::{Attempt, ClassId, EngineId, Micros, RequestId, TimerId};
 use std::collections::BTreeMap;
@@ -162,7 +162,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// What a gateway is told.
+/// An event that a gateway takes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The engine list, or changes to it.
--- a/crates/decisions/src/settings/class.rs
+++ b/crates/decisions/src/settings/class.rs
@@ -63,12 +63,12 @@
     pub threads: f64,
     /// Whether it holds its table group on its engine while it runs.
     pub holds_tables: bool,
-    /// Whether it stands still while such a holder runs on its table group there.
+    /// Whether it waits on an engine while such a holder of its table group runs there.
     pub waits_for_holder: bool,
 }
 
 impl ClassSettings {
-    /// A safe class on one thread with no bound of place or order; aim and deadline as given.
+    /// An idempotent class on one thread with no bound of place or order; latency objective and deadline as given.
     pub fn plain(name: &str, latency_objective: Micros, deadline: Micros) -> ClassSettings {
         ClassSettings {
             name: name.to_owned(),
--- a/crates/decisions/src/state/admission_state.rs
+++ b/crates/decisions/src/state/admission_state.rs
@@ -3,13 +3,13 @@
 use super::cost_histogram::CostHistogram;
 use super::decay::Tally;
 
-/// Signs of overload, and the share of the asked work that is admitted.
+/// Signs of overload, and the share of the requested work that is admitted.
 pub struct AdmissionState {
-    /// How crowded engines were found, by the work of the requests that found them so.
+    /// Signs of overload that requests met, weighted by their work.
     pub overload: Tally,
-    /// Asked work by its cost.
+    /// Requested work by its cost.
     pub costs: CostHistogram,
-    /// Share of the asked work that is admitted, from 0 to 1, the cheapest first.
+    /// Share of the requested work that is admitted, from 0 to 1, the cheapest first.
     pub admitted_share: f64,
 }
 
--- a/crates/decisions/src/state/clock.rs
+++ b/crates/decisions/src/state/clock.rs
@@ -23,7 +23,7 @@
 }
 
 impl Clock {
-    /// Moves on to the time of an event and notes a stall before it.
+    /// Moves on to the time of an event and records a stall before it.
     pub fn advance(&mut self, now: Micros) {
         let gap = self.started_at.map_or(Micros(0), |_| now.since(self.now));
         if gap > STALL_THRESHOLD {
--- a/crates/decisions/src/state/cost_histogram.rs
+++ b/crates/decisions/src/state/cost_histogram.rs
@@ -1,4 +1,4 @@
-//! Work that was asked for, by its cost for its worth.
+//! Requested work by its cost.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,11 @@
 /// Steps for each doubling of the cost.
 const STEPS_PER_DOUBLING: f64 = 3.0;
 
-/// Decaying sums of asked work by its cost (work over priority weight), in logarithmic steps.
+/// Decaying sums of requested work by its cost (work over priority weight), in logarithmic steps.
 #[derive(Default)]
 pub struct CostHistogram(BTreeMap<i32, f64>);
 
-/// Where a cost stands among all work that was asked for.
+/// Where a cost ranks among all requested work.
 pub struct CostRank {
     /// Share of the work that costs less.
     pub cheaper: f64,
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -11,7 +11,7 @@
 /// Slope of the line from estimate to truth, in logarithms, before answers are known.
 const PRIOR_SLOPE: f64 = 0.6;
 
-/// Answers that slope and deviation before any are worth.
+/// Weight of slope and deviation before any answer, in answers.
 const PRIOR_ANSWERS: f64 = 6.0;
 
 /// Answers after which the usual work of a class is known.
@@ -123,7 +123,7 @@
 #[derive(Default)]
 pub struct CostModel {
     classes: Vec<ClassCosts>,
-    /// Mean work of all answers, as of the last survey: it tells light queries from heavy ones.
+    /// Mean work of all answers, as of the last survey: it separates light queries from heavy ones.
     pub mean_work_ms: f64,
 }
 
--- a/crates/decisions/src/state/observed_load.rs
+++ b/crates/decisions/src/state/observed_load.rs
@@ -1,17 +1,17 @@
-//! What own work and reports show of the load of a kind of machine.
+//! Load of a kind of machine, by own work and reports.
 
 use super::costs::ClassCosts;
 use super::engine::Engine;
 use super::engine_table::EngineTable;
 use crate::Settings;
 
-/// Queries that the fleet's mean is worth against an own count on one engine.
+/// Weight of the fleet's mean against own queries on one engine, in queries.
 const PRIOR_QUERIES: f64 = 4.0;
 
-/// Queries that a first guess of one thread a query is worth.
+/// Weight of a first guess of one thread a query, in queries.
 const PRIOR_THREAD_QUERIES: f64 = 0.2;
 
-/// Own work on engines of which no fresh report speaks.
+/// Own work on engines without a fresh report.
 #[derive(Clone, Copy, Default)]
 struct UnreportedLoad {
     queries: f64,
@@ -27,11 +27,11 @@
     threads: f64,
     memory_mb: f64,
     cores: f64,
-    /// Cores of which reports speak, by trust.
+    /// Cores of engines with a report, weighted by trust.
     reported_cores: f64,
-    /// Threads that reports tell of there, by trust.
+    /// Threads that they report, weighted by trust.
     reported_threads: f64,
-    /// Whether some report tells of busy cores alone.
+    /// Whether some report has busy cores only.
     cores_only: bool,
     unreported: UnreportedLoad,
 }
@@ -73,12 +73,12 @@
     pub kept: f64,
     /// Gateways that share the engines.
     pub gateways: f64,
-    /// Threads a core that the stretch of answers speaks for.
+    /// Threads a core, estimated from the stretch of answers.
     pub threads_per_core_by_stretch: f64,
 }
 
 impl SurveyBasis {
-    /// Threads a core of all gateways, by own work; few own queries say little, then the stretch of answers tells.
+    /// Threads a core of all gateways, by own work or, where that is little, by the stretch of answers.
     fn threads_per_core(&self, queries: f64, threads: f64, cores: f64) -> f64 {
         (threads * self.gateways / cores.max(1e-3) * queries + self.threads_per_core_by_stretch)
             / (queries + 1.0)
@@ -94,7 +94,7 @@
     unreported: UnreportedLoad,
     /// Threads a core of all gateways.
     threads_per_core: f64,
-    /// The same where no fresh report speaks.
+    /// The same for engines without a fresh report.
     unreported_threads_per_core: f64,
     /// Share of its even part that is left to classes open to all kinds.
     pub share_left: f64,
@@ -117,7 +117,7 @@
         let all = basis.threads_per_core(self.queries, self.threads, totals.cores);
         let half_engine = totals.cores / totals.engines / 2.0;
         let blended = (all * half_engine + totals.reported_threads) / (half_engine + totals.reported_cores);
-        // Busy cores tell the least that runs.
+        // Busy cores are a lower bound of the threads that run.
         self.threads_per_core = if totals.cores_only { blended.max(all) } else { blended };
 
         // Reports come with answers, so that of many gateways each hears most from engines with little to do:
@@ -132,8 +132,8 @@
             (own * unreported.queries + self.threads_per_core) / (unreported.queries + 1.0);
     }
 
-    /// Threads of all other gateways on an engine, as far as own queries there, one in `gateways` of all, tell
-    /// against a mean that weighs as much as a few queries.
+    /// Threads of all other gateways on an engine, estimated from own queries there (one in `gateways` of all) and, with
+    /// the weight of a few queries, from the mean of its kind.
     pub fn threads_of_others(&self, engine: &Engine, gateways: f64) -> f64 {
         let trust = engine.reported.trust;
         let threads_per_core =
--- a/crates/decisions/src/state/placement.rs
+++ b/crates/decisions/src/state/placement.rs
@@ -6,7 +6,7 @@
 /// Chance that two queries ask for one group, before some were seen.
 const PRIOR_SHARE: f64 = 0.05;
 
-/// Queries (or pairs of them) that the prior and the usual share are worth.
+/// Weight of the prior and of the usual share, in queries (or pairs of them).
 const PRIOR_QUERIES: f64 = 10.0;
 
 /// Count under which a group is forgotten.
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -15,7 +15,7 @@
     pub expected_ms: f64,
     /// Whether it ever spilled or waited.
     pub stalled: bool,
-    /// Whether it waits for memory or for a holder of its tables, by its last note: no work is done.
+    /// Whether it waits for memory or for a holder of its tables, by its last report of progress: no work is done.
     pub waits: bool,
     /// Whether its silence was counted against its engine.
     pub silence_counted: bool,
@@ -44,11 +44,11 @@
         self.outcome.is_none()
     }
 
-    /// Stores a note of its progress.
-    pub fn progressed(&mut self, now: Micros, note: Progress) {
+    /// Stores a report of its progress.
+    pub fn progressed(&mut self, now: Micros, progress: Progress) {
         self.last_progress = now;
-        self.stalled |= !matches!(note, Progress::ShareDone(_));
-        self.waits = matches!(note, Progress::WaitsForMemory | Progress::WaitsForHolder);
+        self.stalled |= !matches!(progress, Progress::ShareDone(_));
+        self.waits = matches!(progress, Progress::WaitsForMemory | Progress::WaitsForHolder);
     }
 
     /// Whether it took work; an error, a failed connection or a wait took next to none.
--- a/crates/decisions/src/state/trouble_model.rs
+++ b/crates/decisions/src/state/trouble_model.rs
@@ -15,7 +15,7 @@
 /// Learning rate of the model.
 const LEARNING_RATE: f64 = 0.15;
 
-/// Weights before any answer: all features but the constant speak for trouble.
+/// Weights before any answer: all features but the constant raise the confidence.
 const INITIAL_WEIGHTS: [f64; FEATURES] = [-2.0, 1.0, 2.0, 1.0, 1.0];
 
 /// A kind of query in the miss list.
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -1,12 +1,12 @@
-//! What says that a zone is lost with all its engines.
+//! Signs that a zone is lost with all its engines.
 
 use crate::{Micros, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What speaks against one zone.
+/// Signs for and against one zone.
 #[derive(Default)]
 pub struct ZoneHealth {
-    /// Engines lost since anything came from the zone.
+    /// Engines lost since the last sign of life from the zone.
     lost_engines: BTreeSet<usize>,
     trials: u32,
     next_trial: Micros,
@@ -20,7 +20,7 @@
         self.lost_engines.clear();
     }
 
-    /// An engine took no connection, or missed a progress note that was due.
+    /// An engine took no connection, or missed a report of progress that was due.
     pub fn engine_lost(&mut self, engine: usize) {
         self.lost_engines.insert(engine);
     }
