--- a/src/settings.rs
+++ b/src/settings.rs
@@ -100,68 +100,95 @@
 /// Likewise, with lines that tell how far they fit: what has no use here, and what is assumed.
 pub fn read(given: &HashMap<String, String>) -> Parsed<(Settings, Vec<String>)> {
     let p = Pairs { given, asked: RefCell::default() };
-    let classes = p.count("Classes")?;
-    let threads = p.numbers("Domain.ThreadsByClass", classes)?;
-    let holds = p.flags("Domain.ClassLoad", classes)?;
-    let waits = p.flags("Domain.ClassWaits", classes)?;
-    let mut s = Settings::plain(Vec::new());
-    for i in 0..classes {
-        let at = |key: &str| format!("Classes.{i}.{key}");
-        let Some(deadline) = p.time(&at("HardLimit"))? else { return bad("no value", &at("HardLimit")) };
-        let window = p.time(&at("Window"))?.unwrap_or_default();
-        let group = p.one_of(
-            &at("KeyScope"),
-            &[("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)],
-            RepeatGroup::All,
-        )?;
-        let name = p.text(&at("Name")).unwrap_or("").to_owned();
-        let mut class = ClassSettings::plain(&name, p.time(&at("OnTime"))?.unwrap_or(deadline), deadline);
-        class.objective_stretch = p.number(&at("AimStretch"))?.unwrap_or(0.0);
-        class.priority_weight = p.number(&at("Value"))?.unwrap_or(1.0);
-        class.late_weight = p.number(&at("LateWorth"))?.unwrap_or(0.0);
-        class.repeat = p.one_of(
-            &at("Repeat"),
-            &[
-                ("pure", Repeat::Safe),
-                ("token", Repeat::Keyed { group, window }),
-                ("side_effect", Repeat::Unsafe),
-            ],
-            Repeat::Unsafe,
-        )?;
-        class.in_order = p.flag(&at("ByArrival"))?.unwrap_or(false);
-        class.kinds = p.list(&at("MachineTypesOpen"));
-        class.zones = p.list(&at("AzsAllowed"));
-        class.threads = threads.as_ref().map_or(1.0, |t| t[i]);
-        class.holds_tables = holds.as_ref().is_some_and(|h| h[i]);
-        class.waits_for_holder = waits.as_ref().is_some_and(|w| w[i]);
-        s.classes.push(class);
-    }
-    let kinds = p.list("MachineTypes").unwrap_or_default();
-    let cores = p.numbers("Domain.CoresByKind", kinds.len())?;
-    let memory = p.numbers("Domain.RamOfKindMb", kinds.len())?;
-    for (i, name) in kinds.into_iter().enumerate() {
-        let (cores, memory_mb) = (cores.as_ref().map(|c| c[i]), memory.as_ref().map(|m| m[i]));
-        s.kinds.push(KindSettings { name, cores, memory_mb });
-    }
-    for i in 0..p.count("Parties")? {
-        let name = p.text(&format!("Parties.{i}.Name")).unwrap_or("").to_owned();
-        s.tenants.push(TenantSettings { name, quota_per_s: p.number(&format!("Parties.{i}.QuotaPerS"))? });
-    }
+    let mut s = Settings::plain(read_classes(&p)?);
+    s.kinds = read_kinds(&p)?;
+    s.tenants = read_tenants(&p)?;
+    read_deployment(&p, &mut s)?;
+    read_limits(&p, &mut s)?;
+    s.retry_budget = read_retry_budget(&p)?;
+    s.slow_start = read_slow_start(&p)?;
+    s.drain_grace = p.time("Contract.DrainGrace")?.unwrap_or_default();
+    s.key_rest = p.time("Contract.TurnGap")?.unwrap_or_default();
+    read_engine_rules(&p, &mut s)?;
+    s.check().or_else(|e| bad(&e.to_string(), "settings that make sense"))?;
+    let fit = fit::fit(given, &p.asked.borrow());
+    Ok((s, fit))
+}
+
+fn read_classes(p: &Pairs) -> Parsed<Vec<ClassSettings>> {
+    let count = p.count("Classes")?;
+    let threads = p.numbers("Domain.ThreadsByClass", count)?;
+    let holds_tables = p.flags("Domain.ClassLoad", count)?;
+    let waits_for_holder = p.flags("Domain.ClassWaits", count)?;
+    let mut classes = Vec::new();
+    for place in 0..count {
+        let mut class = read_class(p, place)?;
+        class.threads = threads.as_ref().map_or(1.0, |threads| threads[place]);
+        class.holds_tables = holds_tables.as_ref().is_some_and(|holds| holds[place]);
+        class.waits_for_holder = waits_for_holder.as_ref().is_some_and(|waits| waits[place]);
+        classes.push(class);
+    }
+    Ok(classes)
+}
+
+fn read_class(p: &Pairs, place: usize) -> Parsed<ClassSettings> {
+    let at = |key: &str| format!("Classes.{place}.{key}");
+    let Some(deadline) = p.time(&at("HardLimit"))? else { return bad("no value", &at("HardLimit")) };
+    let window = p.time(&at("Window"))?.unwrap_or_default();
+    let groups = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)];
+    let group = p.one_of(&at("KeyScope"), &groups, RepeatGroup::All)?;
+    let name = p.text(&at("Name")).unwrap_or("").to_owned();
+    let latency_objective = p.time(&at("OnTime"))?.unwrap_or(deadline);
+    let mut class = ClassSettings::plain(&name, latency_objective, deadline);
+    class.objective_stretch = p.number(&at("AimStretch"))?.unwrap_or(0.0);
+    class.priority_weight = p.number(&at("Value"))?.unwrap_or(1.0);
+    class.late_weight = p.number(&at("LateWorth"))?.unwrap_or(0.0);
+    let repeats =
+        [("pure", Repeat::Safe), ("token", Repeat::Keyed { group, window }), ("side_effect", Repeat::Unsafe)];
+    class.repeat = p.one_of(&at("Repeat"), &repeats, Repeat::Unsafe)?;
+    class.in_order = p.flag(&at("ByArrival"))?.unwrap_or(false);
+    class.kinds = p.list(&at("MachineTypesOpen"));
+    class.zones = p.list(&at("AzsAllowed"));
+    Ok(class)
+}
+
+fn read_kinds(p: &Pairs) -> Parsed<Vec<KindSettings>> {
+    let names = p.list("MachineTypes").unwrap_or_default();
+    let cores = p.numbers("Domain.CoresByKind", names.len())?;
+    let memory_mb = p.numbers("Domain.RamOfKindMb", names.len())?;
+    let kind = |(place, name)| KindSettings {
+        name,
+        cores: cores.as_ref().map(|cores| cores[place]),
+        memory_mb: memory_mb.as_ref().map(|memory_mb| memory_mb[place]),
+    };
+    Ok(names.into_iter().enumerate().map(kind).collect())
+}
+
+fn read_tenants(p: &Pairs) -> Parsed<Vec<TenantSettings>> {
+    let mut tenants = Vec::new();
+    for place in 0..p.count("Parties")? {
+        let name = p.text(&format!("Parties.{place}.Name")).unwrap_or("").to_owned();
+        let quota_per_s = p.number(&format!("Parties.{place}.QuotaPerS"))?;
+        tenants.push(TenantSettings { name, quota_per_s });
+    }
+    Ok(tenants)
+}
+
+/// The gateways, and how load reports and the engine list reach them.
+fn read_deployment(p: &Pairs, s: &mut Settings) -> Parsed<()> {
     s.gateways = p.number("Balancers")?.unwrap_or(1.0) as u32;
     s.own_number = p.number("Me")?.unwrap_or(0.0) as u32;
     s.zone = p.text("Zone").map(str::to_owned);
     s.over_quota_weight = p.number("OverShareWorth")?.unwrap_or(1.0);
-    s.reports = p.one_of(
-        "Report.How",
-        &[("inline", Reports::InAnswers), ("on_probe", Reports::InProbes), ("off", Reports::Absent)],
-        Reports::Absent,
-    )?;
+    let reports = [("inline", Reports::InAnswers), ("on_probe", Reports::InProbes), ("off", Reports::Absent)];
+    s.reports = p.one_of("Report.How", &reports, Reports::Absent)?;
     let ask_within = p.time("Contract.AskWithin")?.unwrap_or(Micros(u64::MAX));
-    s.discovery = p.one_of(
-        "MembershipMode",
-        &[("automatic", Discovery::Pushed), ("subscribe", Discovery::Subscribed { ask_within })],
-        Discovery::Pushed,
-    )?;
+    let discovery = [("automatic", Discovery::Pushed), ("subscribe", Discovery::Subscribed { ask_within })];
+    s.discovery = p.one_of("MembershipMode", &discovery, Discovery::Pushed)?;
+    Ok(())
+}
+
+fn read_limits(p: &Pairs, s: &mut Settings) -> Parsed<()> {
     s.max_attempts = p.number("Limits.SendCap")?.map(|cap| cap as u32);
     s.hedging = p.flag("Limits.SecondCopies")?.unwrap_or(false);
     s.cancel = p.flag("Limits.Cancel")?.unwrap_or(false);
@@ -169,36 +196,40 @@
     if p.flag("Limits.RetryAfter")?.unwrap_or(false) {
         s.retry_after = p.time("Limits.MaxRetryAfter")?;
     }
-    if let Some(per_request) = p.number("Contract.ExtraRatio")? {
-        let free = p.number("Contract.MinExtra")?.unwrap_or(0.0);
-        let span = p.time("Contract.RatioSpan")?.unwrap_or(Micros(u64::MAX));
-        s.retry_budget = Some(RetryBudget { free, per_request, span });
-    } else if let Some(free) = p.number("Contract.MinExtra")? {
-        let span = p.time("Contract.RatioSpan")?.unwrap_or(Micros(u64::MAX));
-        s.retry_budget = Some(RetryBudget { free, per_request: 0.0, span });
-    }
-    if let (Some(fall_multiple), Some(fall_span)) =
-        (p.number("Contract.FallMultiple")?, p.time("Contract.Fall")?)
-    {
-        let start_share = p.number("Contract.StartCapacity")?.unwrap_or(0.0);
-        let warm_within = p.time("Contract.WarmWithin")?.unwrap_or_default();
-        s.slow_start = Some(SlowStart { start_share, warm_within, fall_multiple, fall_span });
-    }
-    s.drain_grace = p.time("Contract.DrainGrace")?.unwrap_or_default();
-    s.key_rest = p.time("Contract.TurnGap")?.unwrap_or_default();
+    Ok(())
+}
+
+fn read_retry_budget(p: &Pairs) -> Parsed<Option<RetryBudget>> {
+    let per_request = p.number("Contract.ExtraRatio")?;
+    let free = p.number("Contract.MinExtra")?;
+    if per_request.is_none() && free.is_none() {
+        return Ok(None);
+    }
+    let span = p.time("Contract.RatioSpan")?.unwrap_or(Micros(u64::MAX));
+    let budget = RetryBudget { free: free.unwrap_or(0.0), per_request: per_request.unwrap_or(0.0), span };
+    Ok(Some(budget))
+}
+
+fn read_slow_start(p: &Pairs) -> Parsed<Option<SlowStart>> {
+    let fall_multiple = p.number("Contract.FallMultiple")?;
+    let fall_span = p.time("Contract.Fall")?;
+    let (Some(fall_multiple), Some(fall_span)) = (fall_multiple, fall_span) else { return Ok(None) };
+    let start_share = p.number("Contract.StartCapacity")?.unwrap_or(0.0);
+    let warm_within = p.time("Contract.WarmWithin")?.unwrap_or_default();
+    Ok(Some(SlowStart { start_share, warm_within, fall_multiple, fall_span }))
+}
+
+/// How engines grant memory and heed priorities, and what they report.
+fn read_engine_rules(p: &Pairs, s: &mut Settings) -> Parsed<()> {
     s.grants = p.flag("Domain.Grants")?.unwrap_or(false);
     s.priorities = p.flag("Domain.Priorities")?.unwrap_or(false);
-    s.when_short = p.one_of(
-        "Domain.OutOfMemory",
-        &[("line_up", WhenShort::Waits), ("cut", WhenShort::GetsLess), ("overcommit", WhenShort::LetIn)],
-        WhenShort::Waits,
-    )?;
+    let when_short =
+        [("line_up", WhenShort::Waits), ("cut", WhenShort::GetsLess), ("overcommit", WhenShort::LetIn)];
+    s.when_short = p.one_of("Domain.OutOfMemory", &when_short, WhenShort::Waits)?;
     s.largest_grant = p.number("Domain.LargestShare")?.unwrap_or(1.0);
     s.progress_interval = p.time("Domain.TellsEvery")?.filter(|every| every.0 > 0);
     s.reports_cost = p.flag("Domain.TellsCost")?.unwrap_or(false);
-    s.check().or_else(|e| bad(&e.to_string(), "settings that make sense"))?;
-    let fit = fit::fit(given, &p.asked.borrow());
-    Ok((s, fit))
+    Ok(())
 }
 
 /// Puts one figure of a load report into its place. The simulator's wire and the sockets have names of their own.
