--- a/crates/decisions/src/decide/admission.rs
+++ b/crates/decisions/src/decide/admission.rs
@@ -1,5 +1,5 @@
-//! Admission control: under overload only a share of the requested work is admitted, the cheapest first;
-//! and what is too late for its client is rejected.
+//! Admission control: under overload only a share of the requested work is admitted, the cheapest
+//! first; and what is too late for its client is rejected.
 
 use super::Gateway;
 use crate::state::hash::{mix, unit_fraction};
@@ -37,18 +37,32 @@
 const MAX_STALL_PART: f64 = 0.75;
 
 impl Gateway {
-    /// Counts a sign of overload, from 0 (none) to 1, that a request met; it weighs more for heavy work.
+    /// Counts a sign of overload, from 0 (none) to 1, that a request met; it weighs more for heavy
+    /// work.
     pub(super) fn overload_sign(&mut self, work_ms: f64, strength: f64) {
         let weight = (work_ms / self.costs.mean_work_ms.max(1.0)).clamp(0.1, 4.0);
         let overload = &mut self.admission.overload;
-        overload.add(self.clock.now, weight, weight * strength, OVERLOAD_HALF_LIFE_MS);
+        overload.add(
+            self.clock.now,
+            weight,
+            weight * strength,
+            OVERLOAD_HALF_LIFE_MS,
+        );
     }
 
-    /// Lowers the admitted share while signs of overload pass the target, in proportion to it; raises it after.
+    /// Lowers the admitted share while signs of overload pass the target, in proportion to it;
+    /// raises it after.
     pub(super) fn update_admitted_share(&mut self, elapsed: Micros) {
-        let signs = self.admission.overload.share(self.clock.now, OVERLOAD_HALF_LIFE_MS, PRIOR_SIGNS);
+        let signs =
+            self.admission
+                .overload
+                .share(self.clock.now, OVERLOAD_HALF_LIFE_MS, PRIOR_SIGNS);
         let excess = signs - OVERLOAD_TARGET;
-        let scale = if excess > 0.0 { self.admission.admitted_share } else { 1.0 };
+        let scale = if excess > 0.0 {
+            self.admission.admitted_share
+        } else {
+            1.0
+        };
         let step = excess * scale * elapsed.as_millis().min(1000.0) * 1e-3;
         let admitted = self.admission.admitted_share - SHED_PER_SECOND * step;
         self.admission.admitted_share = admitted.clamp(LEAST_ADMITTED_SHARE, 1.0);
@@ -56,7 +70,11 @@
 
     /// Priority weight of a request, less while its tenant is over its quota.
     fn priority_weight(&self, request: &TrackedRequest) -> f64 {
-        let kept = if request.over_quota { self.settings.over_quota_weight } else { 1.0 };
+        let kept = if request.over_quota {
+            self.settings.over_quota_weight
+        } else {
+            1.0
+        };
         (self.class(request).priority_weight * kept).max(1e-6)
     }
 
@@ -65,14 +83,15 @@
         request.work_ms / self.priority_weight(request)
     }
 
-    /// Whether a request costs more than what is admitted now; among those of one cost a hash decides.
+    /// Whether a request costs more than what is admitted now; among those of one cost a hash
+    /// decides.
     pub(super) fn is_too_costly(&self, request: &TrackedRequest) -> bool {
         let rank = self.admission.costs.rank(self.cost(request));
         rank.cheaper + rank.equal * unit_fraction(mix(request.hash)) > self.admission.admitted_share
     }
 
-    /// Whether a request should wait no longer: late and of no use then, not to be done before its client leaves, or
-    /// lost if this gateway stalls.
+    /// Whether a request should wait no longer: late and of no use then, not to be done before its
+    /// client leaves, or lost if this gateway stalls.
     pub(super) fn is_too_late(&self, request: &TrackedRequest) -> bool {
         let patience_ms = request.request.time_left.as_millis();
         let run_ms = (RUN_MARGIN * request.work_ms / self.threads(request)).min(patience_ms / 2.0)
--- a/crates/decisions/src/decide/arrival.rs
+++ b/crates/decisions/src/decide/arrival.rs
@@ -18,8 +18,12 @@
         let estimate = self.estimate(&request);
         request.work_ms = estimate.work_ms;
         request.memory_mb = estimate.memory_mb;
-        self.costs.class_mut(request.request.class.0).requested_work_ms += request.work_ms;
-        self.admission.costs.count(self.cost(&request), request.work_ms);
+        self.costs
+            .class_mut(request.request.class.0)
+            .requested_work_ms += request.work_ms;
+        self.admission
+            .costs
+            .count(self.cost(&request), request.work_ms);
         let queue_length = self.join_key_queue(sequence, &request);
         self.count_group(request.request.table_group);
         self.requests.insert(sequence, request);
--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -11,7 +11,8 @@
 /// Times its class's mean work above which a query yields to others under pressure.
 const GIANT_QUERY: f64 = 3.0;
 
-/// Time for which a table group counts as held after an attempt was reported to wait for its holder.
+/// Time for which a table group counts as held after an attempt was reported to wait for its
+/// holder.
 const HELD_GROUP_MEMORY: Micros = Micros::from_millis(1500);
 
 /// Priority where engines know none.
@@ -23,7 +24,8 @@
 /// Priority of a heavy query that can be in time; one more if it holds its tables.
 const IN_TIME_PRIORITY: u8 = 1;
 
-/// Priority of a heavy query that is late, or far heavier than its class on an engine under pressure.
+/// Priority of a heavy query that is late, or far heavier than its class on an engine under
+/// pressure.
 const LOW_PRIORITY: u8 = 0;
 
 /// An attempt at the moment that its progress is reported.
@@ -47,7 +49,8 @@
         let request = &self.requests[sequence];
         let threads = self.threads(request);
         let memory_mb = self.memory_for(request, index);
-        let expected_ms = request.work_ms / threads.max(1.0) * self.engines[index].stretch.blended.max(1.0);
+        let expected_ms =
+            request.work_ms / threads.max(1.0) * self.engines[index].stretch.blended.max(1.0);
         let is_retry = !request.attempts.is_empty();
         let repeats_work = request.last_attempt_took_work();
         self.push_send(request, index, memory_mb, actions);
@@ -62,15 +65,33 @@
         }
     }
 
-    fn push_send(&self, request: &TrackedRequest, index: usize, memory_mb: f64, actions: &mut Vec<Action>) {
+    fn push_send(
+        &self,
+        request: &TrackedRequest,
+        index: usize,
+        memory_mb: f64,
+        actions: &mut Vec<Action>,
+    ) {
         let id = request.request.id.clone();
-        let granted_mb = if self.settings.grants { memory_mb.ceil() as u64 } else { 0 };
+        let granted_mb = if self.settings.grants {
+            memory_mb.ceil() as u64
+        } else {
+            0
+        };
         if self.settings.priorities || granted_mb > 0 {
             let priority = self.priority(request, index);
-            actions.push(Action::SetTerms { request: id.clone(), memory_mb: granted_mb, priority });
+            actions.push(Action::SetTerms {
+                request: id.clone(),
+                memory_mb: granted_mb,
+                priority,
+            });
         }
         let engine = self.engines[index].entry.engine.clone();
-        actions.push(Action::Forward { request: id, engine, give_up_after: None });
+        actions.push(Action::Forward {
+            request: id,
+            engine,
+            give_up_after: None,
+        });
     }
 
     /// Counts a send on its engine.
@@ -82,15 +103,20 @@
         let engine = &mut self.engines[index];
         engine.attempt_sent(threads, memory_mb);
         if engine.started.is_some() || engine.health.connect_failures_in_row > 0 {
-            let span = self.settings.slow_start.map_or(WINDOW, |rule| rule.warm_within);
+            let span = self
+                .settings
+                .slow_start
+                .map_or(WINDOW, |rule| rule.warm_within);
             engine.warmup_work_sent(now, work_ms, span);
         }
         if self.class(request).holds_tables {
-            self.engines.hold_group(index, request.request.table_group, request.deadline);
+            self.engines
+                .hold_group(index, request.request.table_group, request.deadline);
         }
     }
 
-    /// Memory that is set aside for a request on an engine: its need, or its part by threads where grants count.
+    /// Memory that is set aside for a request on an engine: its need, or its part by threads where
+    /// grants count.
     fn memory_for(&self, request: &TrackedRequest, index: usize) -> f64 {
         let engine = &self.engines[index];
         let threads = self.threads(request);
@@ -111,8 +137,8 @@
             return LIGHT_PRIORITY;
         }
         let class_work_ms = self.costs.class(request.request.class.0).work_ms;
-        let is_giant =
-            request.work_ms > GIANT_QUERY * class_work_ms && self.is_pressed(index, self.load(index));
+        let is_giant = request.work_ms > GIANT_QUERY * class_work_ms
+            && self.is_pressed(index, self.load(index));
         if self.can_be_in_time(request) && !is_giant {
             IN_TIME_PRIORITY + u8::from(self.class(request).holds_tables)
         } else {
@@ -122,10 +148,14 @@
 
     /// Takes in the end of an attempt, and sends its request again, answers it or forgets it.
     pub(super) fn attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let Some(sequence) = self.requests.sequence_of(&end.request) else { return };
+        let Some(sequence) = self.requests.sequence_of(&end.request) else {
+            return;
+        };
         let request = self.requests.get_mut(sequence);
         let work_ms = request.work_ms;
-        let Some(attempt) = request.attempt_in_flight(end.attempt) else { return };
+        let Some(attempt) = request.attempt_in_flight(end.attempt) else {
+            return;
+        };
         attempt.outcome = Some(end.outcome);
         let index = attempt.engine;
         let memory_mb = attempt.memory_mb;
@@ -153,7 +183,8 @@
     fn release_engine(&mut self, sequence: u64, index: usize, memory_mb: f64) {
         let request = &self.requests[sequence];
         if self.class(request).holds_tables {
-            self.engines.release_group(index, request.request.table_group);
+            self.engines
+                .release_group(index, request.request.table_group);
         }
         let threads = self.threads(request);
         self.engines[index].attempt_ended(threads, memory_mb);
@@ -167,10 +198,15 @@
         progress: Progress,
         actions: &mut Vec<Action>,
     ) {
-        let Some(attempt) = self.record_progress(sequence, number, progress) else { return };
+        let Some(attempt) = self.record_progress(sequence, number, progress) else {
+            return;
+        };
         let engine = attempt.engine;
         let was_troubled = self.requests[sequence].troubled;
-        self.health.zones.zone_mut(&self.engines[engine].entry.zone).engine_alive();
+        self.health
+            .zones
+            .zone_mut(&self.engines[engine].entry.zone)
+            .engine_alive();
         if progress == Progress::WaitsForMemory {
             self.queue_met(engine, self.requests[sequence].work_ms);
             if self.is_hopeless_in_queue(sequence) {
--- a/crates/decisions/src/decide/completion.rs
+++ b/crates/decisions/src/decide/completion.rs
@@ -1,4 +1,5 @@
-//! Completion: a request is answered, rejected or failed, and forgotten once nothing of it is in flight.
+//! Completion: a request is answered, rejected or failed, and forgotten once nothing of it is in
+//! flight.
 
 use super::Gateway;
 use crate::{Action, Micros};
@@ -16,7 +17,8 @@
 const JITTER_RANGE: u64 = 600;
 
 impl Gateway {
-    /// Answers a request that is given up, at once: rejected where trying again is harmless, else failed.
+    /// Answers a request that is given up, at once: rejected where trying again is harmless, else
+    /// failed.
     pub(super) fn reject_or_fail(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let retry_after = self.retry_after();
         let request = &self.requests[sequence];
@@ -24,14 +26,18 @@
         let harmless = may_be_refused || request.first_that_may_have_run().is_none();
         let id = request.request.id.clone();
         if harmless {
-            actions.push(Action::Reject { request: id, retry_after });
+            actions.push(Action::Reject {
+                request: id,
+                retry_after,
+            });
         } else {
             actions.push(Action::Fail { request: id });
         }
         self.finish(sequence, actions);
     }
 
-    /// When a rejected client should come back: the fuller the fleet the later, spread so that not all come as one.
+    /// When a rejected client should come back: the fuller the fleet the later, spread so that not
+    /// all come as one.
     fn retry_after(&mut self) -> Option<Micros> {
         let jitter = LEAST_JITTER + self.random.draw() % JITTER_RANGE;
         let base = (LONGEST_RETRY_AFTER - RETRY_AFTER_RANGE * self.admission.admitted_share) as u64;
@@ -39,16 +45,23 @@
         self.settings.retry_after.map(|longest| longest.min(pause))
     }
 
-    /// Nothing more is owed to the client: cancels what is in flight; at the last outcome forgets the request and
-    /// passes its key on.
+    /// Nothing more is owed to the client: cancels what is in flight; at the last outcome forgets
+    /// the request and passes its key on.
     pub(super) fn finish(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         self.requests.waiting.remove(&sequence);
         let may_cancel = self.settings.cancel;
         let request = self.requests.get_mut(sequence);
         request.answered = true;
-        let cancelled = if may_cancel { request.cancel_all() } else { Vec::new() };
+        let cancelled = if may_cancel {
+            request.cancel_all()
+        } else {
+            Vec::new()
+        };
         for attempt in cancelled {
-            actions.push(Action::Cancel { request: request.request.id.clone(), attempt });
+            actions.push(Action::Cancel {
+                request: request.request.id.clone(),
+                attempt,
+            });
         }
         if request.in_flight() > 0 {
             return;
@@ -62,8 +75,10 @@
     /// Answers waiting requests whose time is up.
     pub(super) fn finish_overdue(&mut self, actions: &mut Vec<Action>) {
         let waiting = self.requests.waiting_requests();
-        let overdue: Vec<u64> =
-            waiting.filter(|(_, request)| self.is_too_late(request)).map(|(sequence, _)| sequence).collect();
+        let overdue: Vec<u64> = waiting
+            .filter(|(_, request)| self.is_too_late(request))
+            .map(|(sequence, _)| sequence)
+            .collect();
         for sequence in overdue {
             self.reject_or_fail(sequence, actions);
         }
--- a/crates/decisions/src/decide/dispatch.rs
+++ b/crates/decisions/src/decide/dispatch.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The engines that are usable now. Behind the holder of its tables a load would only keep memory: it waits here,
-    /// for the first engine to be free.
+    /// The engines that are usable now. Behind the holder of its tables a load would only keep
+    /// memory: it waits here, for the first engine to be free.
     fn candidates(&self, sequence: u64, ranked: Vec<usize>) -> Vec<usize> {
         let request = &self.requests[sequence];
         let group = request.request.table_group;
@@ -62,16 +62,19 @@
         candidates
     }
 
-    /// The first candidate with room; light work, and work for which cores are free, goes to the least loaded where
-    /// none has room.
+    /// The first candidate with room; light work, and work for which cores are free, goes to the
+    /// least loaded where none has room.
     fn choose_engine(&self, request: &TrackedRequest, candidates: Vec<usize>) -> Option<usize> {
         let flagged = request.flagged == Some(true);
         let passes = self.passes_as_light(request);
         let costly = !passes && self.is_too_costly(request);
-        let first_with_room = candidates.iter().copied().find(|engine| self.has_room(request, *engine));
+        let first_with_room = candidates
+            .iter()
+            .copied()
+            .find(|engine| self.has_room(request, *engine));
         // Under overload, costly work goes only to engines that show no pressure.
-        let choice =
-            first_with_room.filter(|engine| !costly || !self.is_pressed(*engine, self.load(*engine)));
+        let choice = first_with_room
+            .filter(|engine| !costly || !self.is_pressed(*engine, self.load(*engine)));
         if choice.is_some() || costly || flagged {
             return choice;
         }
@@ -92,8 +95,9 @@
             && (!flagged || self.free_memory_mb(engine) >= request.memory_mb)
     }
 
-    /// The least loaded candidate, of those with free cores unless the request is light. Light work passes the bound
-    /// where priorities speed it up; elsewhere it would slow the others down like any work.
+    /// The least loaded candidate, of those with free cores unless the request is light. Light work
+    /// passes the bound where priorities speed it up; elsewhere it would slow the others down like
+    /// any work.
     fn least_loaded(&self, is_light: bool, candidates: Vec<usize>) -> Option<usize> {
         let bears = |engine: usize| {
             self.settings.priorities
@@ -110,7 +114,10 @@
     fn has_free_cores(&self, index: usize) -> bool {
         let engine = &self.engines[index];
         let load = self.load(index);
-        match engine.report_trusted(LEAST_TRUST).and_then(|report| report.busy) {
+        match engine
+            .report_trusted(LEAST_TRUST)
+            .and_then(|report| report.busy)
+        {
             Some(busy) => busy < BUSY_CAPACITY && load < engine.thread_bound,
             None => load < engine.cores,
         }
@@ -122,7 +129,11 @@
             return;
         }
         self.requests.last_dispatch = self.clock.now;
-        for ranked in self.ranked_waiting().into_iter().take(MAX_DISPATCHED_AT_ONCE) {
+        for ranked in self
+            .ranked_waiting()
+            .into_iter()
+            .take(MAX_DISPATCHED_AT_ONCE)
+        {
             self.requests.waiting.remove(&ranked.sequence);
             self.dispatch(ranked.sequence, actions);
         }
--- a/crates/decisions/src/decide/engine_list.rs
+++ b/crates/decisions/src/decide/engine_list.rs
@@ -52,7 +52,9 @@
     }
 
     pub(super) fn store_report(&mut self, engine: &EngineId, report: Option<&LoadReport>) {
-        let Some(index) = self.engines.index_of(engine) else { return };
+        let Some(index) = self.engines.index_of(engine) else {
+            return;
+        };
         let Some(report) = report else { return };
         self.engines[index].store_report(self.clock.now, report);
     }
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -1,4 +1,5 @@
-//! What a query will need, by estimate and by what answers have taught, and what each answer teaches.
+//! What a query will need, by estimate and by what answers have taught, and what each answer
+//! teaches.
 
 use super::load::{BUSY_CAPACITY, LEAST_TRUST, STRETCH_HIGH, STRETCH_LOW};
 use super::Gateway;
@@ -6,7 +7,8 @@
 use crate::state::request::TrackedRequest;
 use crate::{AttemptEnd, Micros};
 
-/// Deviations of the logarithmic estimate error that a memory need covers; about four needs in five.
+/// Deviations of the logarithmic estimate error that a memory need covers; about four needs in
+/// five.
 const MEMORY_DEVIATIONS: f64 = 0.9;
 
 /// Margin on the usual memory of a class where a request has no estimate.
@@ -67,7 +69,8 @@
         self.is_small(request) || request.work_ms <= self.costs.mean_work_ms
     }
 
-    /// Takes in what a served attempt took. `stalled`: it spilled or waited, so that its latency says nothing.
+    /// Takes in what a served attempt took. `stalled`: it spilled or waited, so that its latency
+    /// says nothing.
     pub(super) fn learn_from_answer(
         &mut self,
         sequence: u64,
@@ -78,7 +81,10 @@
         let request = &self.requests[sequence];
         let threads = self.threads(request);
         let latency_ms = end.latency.as_millis();
-        let work_ms = end.cost.map_or(latency_ms * threads, |cost| cost.work.as_millis()).max(0.1);
+        let work_ms = end
+            .cost
+            .map_or(latency_ms * threads, |cost| cost.work.as_millis())
+            .max(0.1);
         let sample = CostSample {
             work_ms,
             estimated_work_ms: request
@@ -92,21 +98,30 @@
         let class = request.request.class.0;
         self.costs.class_mut(class).learn(&sample);
         if let Some(memory_mb) = sample.memory_mb {
-            self.learn_trouble(sequence, engine, memory_mb, sample.estimated_memory_mb.is_some());
+            self.learn_trouble(
+                sequence,
+                engine,
+                memory_mb,
+                sample.estimated_memory_mb.is_some(),
+            );
         }
         if !stalled {
             self.learn_stretch(engine, latency_ms * threads / work_ms, work_ms);
         }
     }
 
-    /// Teaches the trouble model the true need of memory; one far over its estimate counts as trouble.
+    /// Teaches the trouble model the true need of memory; one far over its estimate counts as
+    /// trouble.
     fn learn_trouble(&mut self, sequence: u64, engine: usize, memory_mb: f64, was_estimated: bool) {
         let request = &self.requests[sequence];
         let troubled = request.troubled;
         let overran = memory_mb > MEMORY_OVERRUN * request.memory_mb;
         if let Some(features) = request.features {
-            // The label compares with what was free then, as waiting removes the trouble that was predicted.
-            let label = f64::from(u8::from(troubled || memory_mb > request.free_memory_then_mb));
+            // The label compares with what was free then, as waiting removes the trouble that was
+            // predicted.
+            let label = f64::from(u8::from(
+                troubled || memory_mb > request.free_memory_then_mb,
+            ));
             self.flagging.model.learn(&features, label);
         }
         if was_estimated && overran && !troubled {
@@ -119,12 +134,20 @@
         let stretch = stretch.min(MAX_STRETCH);
         let step = (0.1 * work_ms / self.costs.mean_work_ms.max(1.0)).clamp(0.01, 0.4);
         self.stretch.learn(stretch, step);
-        let busy =
-            self.engines[engine].report_trusted(LEAST_TRUST).and_then(|report| report.busy).unwrap_or(0.0);
-        let by_stretch = (stretch / self.stretch.best - STRETCH_LOW) / (STRETCH_HIGH - STRETCH_LOW) / 2.0;
+        let busy = self.engines[engine]
+            .report_trusted(LEAST_TRUST)
+            .and_then(|report| report.busy)
+            .unwrap_or(0.0);
+        let by_stretch =
+            (stretch / self.stretch.best - STRETCH_LOW) / (STRETCH_HIGH - STRETCH_LOW) / 2.0;
         let by_cores = (busy - BUSY_CAPACITY) / (1.0 - BUSY_CAPACITY);
         self.overload_sign(work_ms, by_stretch.max(by_cores).clamp(0.0, 1.0));
-        self.engines[engine].learn_stretch(self.clock.now, stretch, step, super::load::ENGINE_HALF_LIFE_MS);
+        self.engines[engine].learn_stretch(
+            self.clock.now,
+            stretch,
+            step,
+            super::load::ENGINE_HALF_LIFE_MS,
+        );
         self.move_thread_bound(engine);
     }
 }
--- a/crates/decisions/src/decide/flagging.rs
+++ b/crates/decisions/src/decide/flagging.rs
@@ -1,8 +1,8 @@
 //! Which queries are flagged as likely to overload an engine's memory.
 //!
-//! The three steps of SAFELoad ("SAFELoad: Efficient Admission Control Framework for Identifying Memory-Overloading
-//! Queries in Cloud Data Warehouses"): a cheap pass for what is harmless, a confidence from a model and a list of
-//! misses, and a quota that each flag is paid from.
+//! The three steps of SAFELoad ("SAFELoad: Efficient Admission Control Framework for Identifying
+//! Memory-Overloading Queries in Cloud Data Warehouses"): a cheap pass for what is harmless, a
+//! confidence from a model and a list of misses, and a quota that each flag is paid from.
 
 use super::Gateway;
 use crate::state::request::TrackedRequest;
@@ -39,7 +39,8 @@
         let free_memory_mb = self.free_memory_mb(home);
         let confidence = self.trouble_confidence(request, &features);
         let price = self.flag_price(home, confidence);
-        let accepted = confidence >= FLAG_CONFIDENCE && self.engines[home].flag_quota.quota >= price;
+        let accepted =
+            confidence >= FLAG_CONFIDENCE && self.engines[home].flag_quota.quota >= price;
         if accepted {
             self.engines[home].flag_quota.quota -= price;
         }
@@ -49,7 +50,8 @@
         request.flagged = Some(accepted);
     }
 
-    /// Step 1, the cheap pass: the query is small, or its engine had no memory trouble in the last window.
+    /// Step 1, the cheap pass: the query is small, or its engine had no memory trouble in the last
+    /// window.
     fn passes_cheaply(&self, request: &TrackedRequest, home: usize) -> bool {
         let quota = &self.engines[home].flag_quota;
         self.is_small(request) || quota.last_trouble + quota.trouble < 1.0
@@ -57,14 +59,19 @@
 
     /// Step 2, prediction: certain for what was missed before, else by the model.
     fn trouble_confidence(&self, request: &TrackedRequest, features: &[f64; FEATURES]) -> f64 {
-        if self.flagging.misses.contains(&request.miss_key(), self.clock.now) {
+        if self
+            .flagging
+            .misses
+            .contains(&request.miss_key(), self.clock.now)
+        {
             1.0
         } else {
             self.flagging.model.predict(features)
         }
     }
 
-    /// What the model goes by: a constant, need by memory, need by free memory, memory in use, recent trouble.
+    /// What the model goes by: a constant, need by memory, need by free memory, memory in use,
+    /// recent trouble.
     fn trouble_features(&self, request: &TrackedRequest, engine: usize) -> [f64; FEATURES] {
         let free_mb = self.free_memory_mb(engine).max(1.0);
         let engine = &self.engines[engine];
@@ -89,7 +96,8 @@
         self.flagging.misses.expire(self.clock.now);
     }
 
-    /// A query met memory trouble: it is counted for its engine; one that was not flagged is a miss, and listed.
+    /// A query met memory trouble: it is counted for its engine; one that was not flagged is a
+    /// miss, and listed.
     pub(super) fn memory_trouble(&mut self, sequence: u64, engine: usize) {
         let request = self.requests.get_mut(sequence);
         request.troubled = true;
--- a/crates/decisions/src/decide/load.rs
+++ b/crates/decisions/src/decide/load.rs
@@ -27,7 +27,8 @@
 /// Share of busy cores that counts as capacity.
 pub(super) const BUSY_CAPACITY: f64 = 0.85;
 
-/// Weight of a fresh report against own work, in gateways: they weigh the same where so many others send.
+/// Weight of a fresh report against own work, in gateways: they weigh the same where so many others
+/// send.
 const REPORT_WEIGHT_GATEWAYS: f64 = 3.0;
 
 /// Half-life of what own work shows of the fleet, in milliseconds.
@@ -58,12 +59,14 @@
 const THREAD_BOUND_PAUSE: Micros = Micros::from_millis(700);
 
 impl Gateway {
-    /// Free memory in megabytes: by a fresh report less what was sent since, else the engine's memory less what own
-    /// queries and those of others use.
+    /// Free memory in megabytes: by a fresh report less what was sent since, else the engine's
+    /// memory less what own queries and those of others use.
     pub(super) fn free_memory_mb(&self, engine: usize) -> f64 {
         let engine = &self.engines[engine];
         let reported = &engine.reported;
-        let fresh = reported.received_at.is_some_and(|at| self.clock.since(at) < MAX_REPORT_AGE);
+        let fresh = reported
+            .received_at
+            .is_some_and(|at| self.clock.since(at) < MAX_REPORT_AGE);
         let has_queue = reported.report.queued.is_some_and(|queued| queued >= 1.0);
         let free = match reported.report.memory_share.filter(|_| fresh) {
             Some(share) => engine.memory_mb * (1.0 - share) - reported.charged_mb,
@@ -83,12 +86,15 @@
         engine.threads + self.threads_of_others(engine)
     }
 
-    /// Threads that other gateways run there: by a report, fading as it ages into what own work shows against
-    /// its kind's mean. Busy cores are the least that runs: any number may wait for them.
+    /// Threads that other gateways run there: by a report, fading as it ages into what own work
+    /// shows against its kind's mean. Busy cores are the least that runs: any number may wait for
+    /// them.
     fn threads_of_others(&self, engine: &Engine) -> f64 {
         let kind = &self.kinds[engine.kind];
         let sampled = kind.threads_of_others(engine, self.gateways()) * engine.warm_share;
-        let Some(reported) = engine.reported_threads_of_others(kind) else { return sampled };
+        let Some(reported) = engine.reported_threads_of_others(kind) else {
+            return sampled;
+        };
         let trust = engine.reported.trust * self.report_weight();
         let blended = trust * reported + (1.0 - trust) * sampled;
         if engine.reported.report.in_flight.is_some() {
@@ -115,19 +121,26 @@
                 engine.health.health = Health::HalfOpen;
             }
             let stretch = &mut engine.stretch;
-            let samples = stretch.samples * remaining(now.since(stretch.last_answer), ENGINE_HALF_LIFE_MS);
-            stretch.blended =
-                (samples * stretch.own + PRIOR_ANSWERS * self.stretch.mean) / (samples + PRIOR_ANSWERS);
+            let samples =
+                stretch.samples * remaining(now.since(stretch.last_answer), ENGINE_HALF_LIFE_MS);
+            stretch.blended = (samples * stretch.own + PRIOR_ANSWERS * self.stretch.mean)
+                / (samples + PRIOR_ANSWERS);
         }
     }
 
     /// Updates what each kind of machine shows.
     pub(super) fn survey_kinds(&mut self, elapsed: Micros) {
-        update_share_left(&mut self.kinds, &self.engines, &self.settings, self.costs.all());
+        update_share_left(
+            &mut self.kinds,
+            &self.engines,
+            &self.settings,
+            self.costs.all(),
+        );
         let basis = SurveyBasis {
             kept: remaining(elapsed, FLEET_HALF_LIFE_MS),
             gateways: self.gateways(),
-            threads_per_core_by_stretch: (self.stretch.mean / self.stretch.best - IDLE_STRETCH).max(0.0),
+            threads_per_core_by_stretch: (self.stretch.mean / self.stretch.best - IDLE_STRETCH)
+                .max(0.0),
         };
         for (kind, observed) in self.kinds.iter_mut().enumerate() {
             let engines = self.engines.listed().filter(|engine| engine.kind == kind);
@@ -146,18 +159,25 @@
     pub(super) fn past_thread_bound(&self, index: usize, threads: f64) -> bool {
         let engine = &self.engines[index];
         let load = self.load(index);
-        let queue_factor = if self.has_queue(engine) { 1.0 - self.report_weight() } else { 1.0 };
+        let queue_factor = if self.has_queue(engine) {
+            1.0 - self.report_weight()
+        } else {
+            1.0
+        };
         let bound = self.warmth(engine) * engine.thread_bound * queue_factor;
         load + threads > bound.max(threads) && self.is_pressed(index, load)
     }
 
     /// Whether queries wait for memory on an engine.
     fn has_queue(&self, engine: &Engine) -> bool {
-        let reported = engine.report_trusted(LEAST_TRUST).and_then(|report| report.queued);
+        let reported = engine
+            .report_trusted(LEAST_TRUST)
+            .and_then(|report| report.queued);
         reported.is_some_and(|queued| queued >= 1.0) || engine.queue_seen_until > self.clock.now
     }
 
-    /// Whether an engine under this load shows pressure: stretched answers, a queue, or no free core.
+    /// Whether an engine under this load shows pressure: stretched answers, a queue, or no free
+    /// core.
     pub(super) fn is_pressed(&self, index: usize, load: f64) -> bool {
         let engine = &self.engines[index];
         engine.stretch.blended > STRETCH_LOW * self.stretch.best
@@ -165,7 +185,8 @@
             || load >= engine.cores
     }
 
-    /// Moves the thread bound: down fast where heavy work is stretched, up slowly where the bound is in use.
+    /// Moves the thread bound: down fast where heavy work is stretched, up slowly where the bound
+    /// is in use.
     pub(super) fn move_thread_bound(&mut self, index: usize) {
         let now = self.clock.now;
         let best = self.stretch.best;
@@ -182,8 +203,10 @@
         } else {
             return;
         };
-        engine.thread_bound =
-            bound.clamp(LOWEST_THREADS_PER_CORE * engine.cores, HIGHEST_THREADS_PER_CORE * engine.cores);
+        engine.thread_bound = bound.clamp(
+            LOWEST_THREADS_PER_CORE * engine.cores,
+            HIGHEST_THREADS_PER_CORE * engine.cores,
+        );
         engine.thread_bound_moved = now;
     }
 
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -8,9 +8,10 @@
 //! - `routing`: the order of engines for a table group; `dispatch`: send, wait or reject.
 //! - `admission`: shedding by cost under overload, and which requests are too late.
 //! - `load`: how loaded engines are, and the threads that each bears.
-//! - `send_rules`: the bounds that every send passes, with `ordering` by key, `retry_budget` and `slow_start`.
-//! - `attempts`: send, progress and end of an attempt; `retries`: cancelling and sending again, hedging;
-//!   `completion`: answered and forgotten.
+//! - `send_rules`: the bounds that every send passes, with `ordering` by key, `retry_budget` and
+//!   `slow_start`.
+//! - `attempts`: send, progress and end of an attempt; `retries`: cancelling and sending again,
+//!   hedging; `completion`: answered and forgotten.
 //! - `outlier_ejection`: which engines and zones are trusted.
 //! - `tenant_quota`, `engine_list`, and `status` for outsiders.
 
@@ -46,7 +47,8 @@
 use crate::state::request_table::RequestTable;
 use crate::state::retry_state::RetryState;
 use crate::{
-    Action, ClassSettings, Discovery, Event, Micros, Settings, SettingsError, SlowStartShare, TimerId,
+    Action, ClassSettings, Discovery, Event, Micros, Settings, SettingsError, SlowStartShare,
+    TimerId,
 };
 use flagging::FlaggingState;
 use outlier_ejection::FleetHealth;
@@ -75,7 +77,8 @@
 /// Longest pause before the engine list is requested again.
 const LONGEST_LIST_RETRY: Micros = Micros::from_millis(8000);
 
-/// Decides for one workload manager. Deterministic: the same settings, seed and events give the same actions.
+/// Decides for one workload manager. Deterministic: the same settings, seed and events give the
+/// same actions.
 #[derive(Default)]
 pub struct Gateway {
     settings: Settings,
@@ -99,7 +102,8 @@
 }
 
 impl Gateway {
-    /// A gateway that has just come up and knows nothing but its settings. `seed` feeds all its random draws.
+    /// A gateway that has just come up and knows nothing but its settings. `seed` feeds all its
+    /// random draws.
     ///
     /// # Errors
     ///
@@ -115,7 +119,8 @@
         })
     }
 
-    /// Sets its part of what engines that warm up bear; `None`: as the number of gateways in the settings says.
+    /// Sets its part of what engines that warm up bear; `None`: as the number of gateways in the
+    /// settings says.
     pub fn set_slow_start_share(&mut self, share: Option<SlowStartShare>) {
         self.settings.slow_start_share = share;
     }
@@ -127,7 +132,9 @@
             self.start(actions);
         }
         match event {
-            Event::EngineList { kind, entries, .. } => self.update_engine_list(kind, entries, actions),
+            Event::EngineList { kind, entries, .. } => {
+                self.update_engine_list(kind, entries, actions);
+            }
             Event::ListFailed => self.list_failed(),
             Event::RequestArrived(request) => self.request_arrived(request, actions),
             Event::Streaming { request, .. } => {
@@ -150,7 +157,12 @@
                 self.store_report(&engine, report.as_ref());
                 self.dispatch_waiting(actions);
             }
-            Event::AttemptProgress { request, attempt, progress, .. } => {
+            Event::AttemptProgress {
+                request,
+                attempt,
+                progress,
+                ..
+            } => {
                 if let Some(sequence) = self.requests.sequence_of(&request) {
                     self.attempt_progressed(sequence, attempt, progress, actions);
                 }
@@ -161,7 +173,10 @@
 
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.clock.start(WINDOW);
-        actions.push(Action::SetTimer { after: TICK_INTERVAL, timer: TICK_TIMER });
+        actions.push(Action::SetTimer {
+            after: TICK_INTERVAL,
+            timer: TICK_TIMER,
+        });
         if self.settings.discovery != Discovery::Pushed {
             actions.push(Action::Subscribe(true));
         }
@@ -169,18 +184,26 @@
 
     fn list_failed(&mut self) {
         let draw = self.random.draw();
-        self.list_backoff.failed(self.clock.now, draw, FIRST_LIST_RETRY, LONGEST_LIST_RETRY);
+        self.list_backoff
+            .failed(self.clock.now, draw, FIRST_LIST_RETRY, LONGEST_LIST_RETRY);
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
         let now = self.clock.now;
-        actions.push(Action::SetTimer { after: TICK_INTERVAL, timer: TICK_TIMER });
+        actions.push(Action::SetTimer {
+            after: TICK_INTERVAL,
+            timer: TICK_TIMER,
+        });
         if now >= self.clock.window_end {
             self.start_window();
         }
         if self.list_backoff.take_due(now) {
             let pushed = self.settings.discovery == Discovery::Pushed;
-            actions.push(if pushed { Action::FetchList } else { Action::Subscribe(true) });
+            actions.push(if pushed {
+                Action::FetchList
+            } else {
+                Action::Subscribe(true)
+            });
         }
         self.keys.expire(now);
         self.engines.expire_held_groups(now);
@@ -197,12 +220,17 @@
         self.clock.window_end = self.clock.now.plus(WINDOW);
         self.refill_flag_quotas();
         self.clock.shrink_longest_stall();
-        self.placement.counts.decay(remaining(WINDOW, GROUP_HALF_LIFE_MS));
-        self.admission.costs.decay(remaining(WINDOW, COST_HALF_LIFE_MS));
+        self.placement
+            .counts
+            .decay(remaining(WINDOW, GROUP_HALF_LIFE_MS));
+        self.admission
+            .costs
+            .decay(remaining(WINDOW, COST_HALF_LIFE_MS));
         self.plan_all_groups();
     }
 
-    /// Once each survey interval: mean work, each engine's and kind's load, and the share that is admitted.
+    /// Once each survey interval: mean work, each engine's and kind's load, and the share that is
+    /// admitted.
     fn survey(&mut self) {
         self.costs.update_mean_work();
         let elapsed = self.clock.since(self.clock.last_survey);
--- a/crates/decisions/src/decide/ordering.rs
+++ b/crates/decisions/src/decide/ordering.rs
@@ -8,7 +8,11 @@
 impl Gateway {
     /// The key that orders a request, if it is ordered.
     fn ordering_key<'a>(&self, request: &'a TrackedRequest) -> Option<&'a Arc<str>> {
-        request.request.key.as_ref().filter(|_| self.class(request).in_order)
+        request
+            .request
+            .key
+            .as_ref()
+            .filter(|_| self.class(request).in_order)
     }
 
     /// Puts a request into the queue of its key; returns the queue's length, 0 without a key.
@@ -21,9 +25,12 @@
 
     /// Whether a request is the first of its key and the key does not rest.
     pub(super) fn is_in_turn(&self, sequence: u64, request: &TrackedRequest) -> bool {
-        let Some(key) = self.ordering_key(request) else { return true };
+        let Some(key) = self.ordering_key(request) else {
+            return true;
+        };
         let was_sent = !request.attempts.is_empty();
-        self.keys.is_first(key, sequence) && (was_sent || !self.keys.is_resting(key, self.clock.now))
+        self.keys.is_first(key, sequence)
+            && (was_sent || !self.keys.is_resting(key, self.clock.now))
     }
 
     /// Lets a key rest after an attempt whose work may go on.
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -1,5 +1,6 @@
-//! Outlier ejection: engines that show more bad signs than the rest of the fleet are put out of use for a while, as
-//! proxies do it; after the rest an engine is half open and gets one attempt at a time until one is served.
+//! Outlier ejection: engines that show more bad signs than the rest of the fleet are put out of use
+//! for a while, as proxies do it; after the rest an engine is half open and gets one attempt at a
+//! time until one is served.
 
 use super::Gateway;
 use crate::state::decay::{remaining, Tally};
@@ -22,10 +23,12 @@
 /// Broken connections in a row, with none served between, from which they are a bad sign.
 const RESETS_BEFORE_SIGN: u32 = 3;
 
-/// Failed connections in a row that eject an engine for certain, and mark its next answer as one of a fresh start.
+/// Failed connections in a row that eject an engine for certain, and mark its next answer as one of
+/// a fresh start.
 const CONNECT_FAILURES_SURE: u32 = 2;
 
-/// Engines lost, with no sign of life from their zone since, from which the whole zone counts as lost.
+/// Engines lost, with no sign of life from their zone since, from which the whole zone counts as
+/// lost.
 const LOST_ENGINES_OF_ZONE: usize = 2;
 
 /// Half-life of the fleet's share of bad signs, in milliseconds.
@@ -74,7 +77,8 @@
 }
 
 impl Gateway {
-    /// Weighs the end of an attempt for or against its engine. `silence_counted`: its silence has counted already.
+    /// Weighs the end of an attempt for or against its engine. `silence_counted`: its silence has
+    /// counted already.
     pub(super) fn judge_outcome(
         &mut self,
         index: usize,
@@ -84,7 +88,10 @@
         actions: &mut Vec<Action>,
     ) {
         let zone = &self.engines[index].entry.zone;
-        self.health.zones.zone_mut(zone).attempt_ended(index, outcome);
+        self.health
+            .zones
+            .zone_mut(zone)
+            .attempt_ended(index, outcome);
         match outcome {
             Outcome::Served => self.engine_served(index, silence_counted),
             Outcome::Overloaded => self.queue_met(index, work_ms),
@@ -128,18 +135,25 @@
         }
     }
 
-    /// Whether an engine's zone is lost. A zone fails with all its engines, and a gateway that sends little to each would
-    /// learn it one engine at a time: two lost engines with no sign of life from the zone count for all of them, as long
-    /// as some other zone is not lost.
+    /// Whether an engine's zone is lost. A zone fails with all its engines, and a gateway that
+    /// sends little to each would learn it one engine at a time: two lost engines with no sign of
+    /// life from the zone count for all of them, as long as some other zone is not lost.
     pub(super) fn zone_is_lost(&self, index: usize) -> bool {
-        let lost =
-            |engine: &Engine| self.health.zones.lost_engines(&engine.entry.zone) >= LOST_ENGINES_OF_ZONE;
+        let lost = |engine: &Engine| {
+            self.health.zones.lost_engines(&engine.entry.zone) >= LOST_ENGINES_OF_ZONE
+        };
         lost(&self.engines[index]) && self.engines.listed().any(|other| !lost(other))
     }
 
-    /// An error may be the request's fault as well as the engine's: it counts against an engine once another
-    /// has served the same request. An engine whose errors meet only what is never repeated stays in use.
-    pub(super) fn count_errors(&mut self, sequence: u64, outcome: Outcome, actions: &mut Vec<Action>) {
+    /// An error may be the request's fault as well as the engine's: it counts against an engine
+    /// once another has served the same request. An engine whose errors meet only what is never
+    /// repeated stays in use.
+    pub(super) fn count_errors(
+        &mut self,
+        sequence: u64,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
         if outcome != Outcome::Served {
             return;
         }
@@ -150,10 +164,19 @@
     }
 
     /// Weighs a sign against an engine; ejects it where the evidence is enough.
-    pub(super) fn bad_sign(&mut self, index: usize, suspicion: Suspicion, actions: &mut Vec<Action>) {
+    pub(super) fn bad_sign(
+        &mut self,
+        index: usize,
+        suspicion: Suspicion,
+        actions: &mut Vec<Action>,
+    ) {
         let now = self.clock.now;
         let share = self.bad_share_of_others(index);
-        let own_signs = self.engines[index].health.signs.at(now, SIGN_HALF_LIFE_MS).0;
+        let own_signs = self.engines[index]
+            .health
+            .signs
+            .at(now, SIGN_HALF_LIFE_MS)
+            .0;
         self.add_evidence(index, ((1.0 + share) / (2.0 * share)).ln(), true);
         let health = &self.engines[index].health;
         let is_enough = health.suspicion > EJECTION_THRESHOLD + (1.0 + own_signs * share).ln();
@@ -177,11 +200,18 @@
     fn bad_share_of_others(&self, index: usize) -> f64 {
         let own = &self.engines[index].health.signs;
         let signs = &self.health.signs;
-        let share = signs.share_without(own, self.clock.now, SIGN_HALF_LIFE_MS, LEAST_BAD_SHARE, PRIOR_SIGNS);
+        let share = signs.share_without(
+            own,
+            self.clock.now,
+            SIGN_HALF_LIFE_MS,
+            LEAST_BAD_SHARE,
+            PRIOR_SIGNS,
+        );
         share.clamp(LEAST_BAD_SHARE, MAX_BAD_SHARE)
     }
 
-    /// Adds to the evidence against an engine, by how much likelier a faulty engine shows a sign than the others now.
+    /// Adds to the evidence against an engine, by how much likelier a faulty engine shows a sign
+    /// than the others now.
     fn add_evidence(&mut self, index: usize, log_odds: f64, bad: bool) {
         let now = self.clock.now;
         let health = &mut self.engines[index].health;
@@ -192,7 +222,8 @@
         self.health.signs.count(now, bad, SIGN_HALF_LIFE_MS);
     }
 
-    /// Puts an engine out of use for a rest that doubles each time. Unless it is `sure`, a part of the fleet stays.
+    /// Puts an engine out of use for a rest that doubles each time. Unless it is `sure`, a part of
+    /// the fleet stays.
     fn eject(&mut self, index: usize, suspicion: Suspicion, sure: bool, actions: &mut Vec<Action>) {
         let health = self.engines[index].health.health;
         let is_bounded = !sure && health == Health::Healthy && self.too_many_ejected();
@@ -207,14 +238,20 @@
             self.health.next_log = self.clock.now.plus(FIRST_EJECTION);
             let name = &engine.entry.engine.0;
             let rest_ms = rest.0 / 1000;
-            actions.push(Action::Log(format!("eject {name} for {rest_ms} ms: {}", suspicion.text())));
+            actions.push(Action::Log(format!(
+                "eject {name} for {rest_ms} ms: {}",
+                suspicion.text()
+            )));
         }
     }
 
     /// Whether one more ejection would pass the share of the fleet that may be out.
     fn too_many_ejected(&self) -> bool {
         let listed = self.engines.listed().count() as f64;
-        let unhealthy = self.engines.listed().filter(|engine| engine.health.health != Health::Healthy);
+        let unhealthy = self
+            .engines
+            .listed()
+            .filter(|engine| engine.health.health != Health::Healthy);
         unhealthy.count() as f64 + 1.0 > MAX_EJECTED_SHARE * listed
     }
 }
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -59,8 +59,9 @@
     /// After its last attempt in flight ended: sends a request again, or answers it.
     pub(super) fn retry_or_reject(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let request = &self.requests[sequence];
-        let may_open =
-            |engine: usize| self.may_send(sequence, engine) || self.engines[engine].started.is_some();
+        let may_open = |engine: usize| {
+            self.may_send(sequence, engine) || self.engines[engine].started.is_some()
+        };
         let has_engine = self.ranked_engines(request).into_iter().any(may_open);
         let is_late = self.clock.now.plus(ANSWER_MARGIN) >= request.deadline;
         let out_of_tokens = request.last_attempt_took_work() && !self.retries.has_token();
@@ -72,15 +73,23 @@
         }
     }
 
-    /// Whether a request in an engine's queue is too late to be in time: it keeps its place from one that could be,
-    /// and no work is lost with it.
+    /// Whether a request in an engine's queue is too late to be in time: it keeps its place from
+    /// one that could be, and no work is lost with it.
     pub(super) fn is_hopeless_in_queue(&self, sequence: u64) -> bool {
         let request = &self.requests[sequence];
-        !self.can_be_in_time(request) && !request.answered && self.class(request).repeat == Repeat::Safe
+        !self.can_be_in_time(request)
+            && !request.answered
+            && self.class(request).repeat == Repeat::Safe
     }
 
-    /// Cancels an attempt in an engine's queue if another engine has room: a place in the queue is lost, no work.
-    pub(super) fn leave_engine_queue(&mut self, sequence: u64, attempt: Attempt, actions: &mut Vec<Action>) {
+    /// Cancels an attempt in an engine's queue if another engine has room: a place in the queue is
+    /// lost, no work.
+    pub(super) fn leave_engine_queue(
+        &mut self,
+        sequence: u64,
+        attempt: Attempt,
+        actions: &mut Vec<Action>,
+    ) {
         let request = &self.requests[sequence];
         let threads = self.threads(request);
         let is_better = |engine: usize| {
@@ -88,14 +97,15 @@
                 && self.engines[engine].health.health == Health::Healthy
                 && !self.past_thread_bound(engine, threads)
         };
-        if request.attempts.len() < MAX_QUEUE_MOVES && self.ranked_engines(request).into_iter().any(is_better)
+        if request.attempts.len() < MAX_QUEUE_MOVES
+            && self.ranked_engines(request).into_iter().any(is_better)
         {
             self.cancel_and_resend(sequence, attempt, actions);
         }
     }
 
-    /// Cancels an attempt that seems to run with a bad plan, by the share of its work that is done. A further attempt
-    /// draws a new plan; each earlier cancel makes a long query likelier instead.
+    /// Cancels an attempt that seems to run with a bad plan, by the share of its work that is done.
+    /// A further attempt draws a new plan; each earlier cancel makes a long query likelier instead.
     pub(super) fn resend_if_slow(
         &mut self,
         sequence: u64,
@@ -122,7 +132,10 @@
             && self.retry_budget_allows();
         let is_open = !attempt.cancelled && !request.answered;
         if self.settings.cancel && may_repeat && is_open && self.retries.has_token() {
-            actions.push(Action::Cancel { request: request.request.id.clone(), attempt: number });
+            actions.push(Action::Cancel {
+                request: request.request.id.clone(),
+                attempt: number,
+            });
             self.requests.get_mut(sequence).attempts[number.0 as usize].cancelled = true;
         }
     }
@@ -146,12 +159,21 @@
     fn lagging_attempts(&self) -> Vec<LaggingAttempt> {
         let mut lagging = Vec::new();
         for (sequence, request) in self.requests.iter() {
-            let in_flight = request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight());
+            let in_flight = request
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, attempt)| attempt.in_flight());
             for (number, attempt) in in_flight {
                 let count_silence = self.is_newly_silent(attempt);
                 let overtaking = self.overtaking(request, attempt);
                 if count_silence || overtaking != Overtaking::No {
-                    lagging.push(LaggingAttempt { sequence, number, count_silence, overtaking });
+                    lagging.push(LaggingAttempt {
+                        sequence,
+                        number,
+                        count_silence,
+                        overtaking,
+                    });
                 }
             }
         }
@@ -161,7 +183,9 @@
     /// Silence after which an attempt has missed a report of progress, in milliseconds.
     fn sure_silence_ms(&self) -> f64 {
         let interval = self.settings.progress_interval;
-        interval.map_or(f64::INFINITY, |every| every.as_millis() * SILENCE_FACTOR + SILENCE_ALLOWANCE_MS)
+        interval.map_or(f64::INFINITY, |every| {
+            every.as_millis() * SILENCE_FACTOR + SILENCE_ALLOWANCE_MS
+        })
     }
 
     /// Time after which a light attempt is hedged, in milliseconds.
@@ -190,12 +214,18 @@
     }
 
     /// Its engine is out of use, twice the patience is over, or it has missed a report of progress.
-    fn is_likely_lost(&self, request: &TrackedRequest, attempt: &TrackedAttempt, age_ms: f64) -> bool {
+    fn is_likely_lost(
+        &self,
+        request: &TrackedRequest,
+        attempt: &TrackedAttempt,
+        age_ms: f64,
+    ) -> bool {
         let health = self.engines[attempt.engine].health.health;
         let is_out = matches!(health, Health::Ejected(_)) || self.zone_is_lost(attempt.engine);
         let quiet_ms = self.clock.since(attempt.last_progress).as_millis();
-        let out_of_patience =
-            self.is_light(request) && !attempt.waits && age_ms > 2.0 * Gateway::hedge_after_ms(attempt);
+        let out_of_patience = self.is_light(request)
+            && !attempt.waits
+            && age_ms > 2.0 * Gateway::hedge_after_ms(attempt);
         let missed_report = !attempt.waits && quiet_ms > self.sure_silence_ms();
         (is_out && age_ms > attempt.expected_ms * 1.5) || out_of_patience || missed_report
     }
@@ -205,7 +235,10 @@
         let attempt = &mut self.requests.get_mut(lagging.sequence).attempts[lagging.number];
         attempt.silence_counted = true;
         let engine = attempt.engine;
-        self.health.zones.zone_mut(&self.engines[engine].entry.zone).engine_lost(engine);
+        self.health
+            .zones
+            .zone_mut(&self.engines[engine].entry.zone)
+            .engine_lost(engine);
         self.bad_sign(engine, Suspicion::SilentWithWork, actions);
     }
 
@@ -222,7 +255,10 @@
         let mut candidates = self.ranked_engines(request);
         candidates.retain(|engine| *engine != current && self.is_usable(sequence, *engine));
         let threads = self.threads(request);
-        let with_room = candidates.iter().copied().find(|engine| !self.past_thread_bound(*engine, threads));
+        let with_room = candidates
+            .iter()
+            .copied()
+            .find(|engine| !self.past_thread_bound(*engine, threads));
         let urgent = is_lost && self.is_light(request);
         let fallback = candidates.first().copied().filter(|_| urgent);
         if let Some(engine) = with_room.or(fallback) {
--- a/crates/decisions/src/decide/routing.rs
+++ b/crates/decisions/src/decide/routing.rs
@@ -1,12 +1,15 @@
 //! Routing: in which order engines are tried for a request.
 //!
-//! Queries of one table group go by an order of engines that all gateways share, so that few engines hold a group
-//! in their caches: weighted rendezvous hashing, bounded by each engine's part of all queries.
+//! Queries of one table group go by an order of engines that all gateways share, so that few
+//! engines hold a group in their caches: weighted rendezvous hashing, bounded by each engine's part
+//! of all queries.
 
 use super::send_rules::is_open_to;
 use super::Gateway;
 use crate::state::engine::{Engine, Health};
-use crate::state::placement::{order_by_distance, rendezvous_distance, PlacementPlan, WeightedEngine};
+use crate::state::placement::{
+    order_by_distance, rendezvous_distance, PlacementPlan, WeightedEngine,
+};
 use crate::state::request::TrackedRequest;
 use crate::{ClassSettings, Repeat};
 use std::cmp::Ordering;
@@ -40,7 +43,11 @@
 impl Gateway {
     /// Weight of an engine in placement: cores, less what classes bound to its kind need.
     fn placement_weight(&self, class: &ClassSettings, engine: &Engine) -> f64 {
-        let share_left = if class.kinds.is_none() { self.kinds[engine.kind].share_left } else { 1.0 };
+        let share_left = if class.kinds.is_none() {
+            self.kinds[engine.kind].share_left
+        } else {
+            1.0
+        };
         engine.cores * share_left.max(LEAST_SHARE_LEFT)
     }
 
@@ -61,7 +68,9 @@
     fn empty_plan(&self, class: &ClassSettings) -> PlacementPlan {
         let is_open = |engine: &Engine| engine.listed && is_open_to(class, &engine.entry);
         let open = self.engines.iter().filter(|engine| is_open(engine));
-        let weights: f64 = open.map(|engine| self.placement_weight(class, engine)).sum();
+        let weights: f64 = open
+            .map(|engine| self.placement_weight(class, engine))
+            .sum();
         let room_per_weight = PLACEMENT_SLACK / (1.0 - 1.0 / self.gateways()).max(1e-3) / weights;
         let room = |engine: &Engine| {
             if is_open(engine) {
@@ -73,13 +82,18 @@
         PlacementPlan::with_room(self.engines.iter().map(room).collect())
     }
 
-    /// Spreads a group over the first engines in its order, each up to its part of all queries. Many gateways
-    /// that see little each never find an engine pressed: where groups are few, all would press the same few.
+    /// Spreads a group over the first engines in its order, each up to its part of all queries.
+    /// Many gateways that see little each never find an engine pressed: where groups are few, all
+    /// would press the same few.
     fn plan_group(&self, class: &ClassSettings, plan: &mut PlacementPlan, group: u64) {
         if plan.contains(group) {
             return;
         }
-        let open = self.engines.iter().enumerate().filter(|(index, _)| plan.has_room(*index));
+        let open = self
+            .engines
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| plan.has_room(*index));
         let weighted = open.map(|(index, engine)| WeightedEngine {
             engine: index,
             hash: engine.hash,
@@ -104,8 +118,9 @@
         let class = self.class(request);
         let open = self.engines.iter().enumerate();
         let open = open.filter(|(_, engine)| engine.listed && is_open_to(class, &engine.entry));
-        let mut order: Vec<RankedEngine> =
-            open.map(|(index, engine)| self.rank_engine(request, index, engine)).collect();
+        let mut order: Vec<RankedEngine> = open
+            .map(|(index, engine)| self.rank_engine(request, index, engine))
+            .collect();
         order.sort_by(RankedEngine::compare);
         order.into_iter().map(|ranked| ranked.engine).collect()
     }
@@ -117,12 +132,14 @@
         let part = plan.and_then(|plan| plan.part(group, index));
         let (avoided, unplanned, distance) = if class.holds_tables {
             // What holds its tables is spread by request, away from the group's readers.
-            let distance = self.request_distance(request, engine) / self.placement_weight(class, engine);
+            let distance =
+                self.request_distance(request, engine) / self.placement_weight(class, engine);
             (self.group_is_read_on(group, index), false, distance)
         } else if let Some(part) = part {
             (false, false, self.request_distance(request, engine) / part)
         } else {
-            let distance = rendezvous_distance(engine.hash, group) / self.placement_weight(class, engine);
+            let distance =
+                rendezvous_distance(engine.hash, group) / self.placement_weight(class, engine);
             (false, true, distance)
         };
         let minds_holders = class.waits_for_holder || class.holds_tables;
@@ -137,8 +154,13 @@
 
     /// Distance of an engine from a request, shorter in the own zone.
     fn request_distance(&self, request: &TrackedRequest, engine: &Engine) -> f64 {
-        let is_near = self.settings.zone.as_ref().is_none_or(|zone| *zone == engine.entry.zone);
-        rendezvous_distance(engine.hash, request.hash) * if is_near { 1.0 } else { OTHER_ZONE_DISTANCE }
+        let is_near = self
+            .settings
+            .zone
+            .as_ref()
+            .is_none_or(|zone| *zone == engine.entry.zone);
+        rendezvous_distance(engine.hash, request.hash)
+            * if is_near { 1.0 } else { OTHER_ZONE_DISTANCE }
     }
 
     /// Whether some class that waits for holders of a table group has it planned on an engine.
@@ -148,7 +170,8 @@
         readers.any(|(plan, _)| plan.part(group, engine).is_some())
     }
 
-    /// Whether a request may be sent to an engine, and the engine and its zone are trusted enough for it.
+    /// Whether a request may be sent to an engine, and the engine and its zone are trusted enough
+    /// for it.
     pub(super) fn is_usable(&self, sequence: u64, index: usize) -> bool {
         let engine = &self.engines[index];
         let class = self.class(&self.requests[sequence]);
@@ -158,7 +181,11 @@
         let engine_trusted =
             health == Health::Healthy || (is_free_for_trial && class.repeat != Repeat::Unsafe);
         let zone_trusted = || {
-            let trial_due = || self.health.zones.trial_due(&engine.entry.zone, self.clock.now);
+            let trial_due = || {
+                self.health
+                    .zones
+                    .trial_due(&engine.entry.zone, self.clock.now)
+            };
             !self.zone_is_lost(index) || (class.repeat == Repeat::Safe && trial_due())
         };
         engine_trusted && zone_trusted() && self.may_send(sequence, index)
--- a/crates/decisions/src/decide/send_rules.rs
+++ b/crates/decisions/src/decide/send_rules.rs
@@ -10,8 +10,15 @@
 
 /// Whether an engine is among those that a class is bound to.
 pub(super) fn is_open_to(class: &ClassSettings, engine: &EngineEntry) -> bool {
-    let kind_open = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind));
-    kind_open && class.zones.as_ref().is_none_or(|zones| zones.contains(&engine.zone))
+    let kind_open = class
+        .kinds
+        .as_ref()
+        .is_none_or(|kinds| kinds.contains(&engine.kind));
+    kind_open
+        && class
+            .zones
+            .as_ref()
+            .is_none_or(|zones| zones.contains(&engine.zone))
 }
 
 impl Gateway {
@@ -35,17 +42,28 @@
 
     /// Whether the bound on a request's attempts leaves one more.
     pub(super) fn attempts_left(&self, request: &TrackedRequest) -> bool {
-        self.settings.max_attempts.is_none_or(|cap| (request.attempts.len() as u32) < cap)
+        self.settings
+            .max_attempts
+            .is_none_or(|cap| (request.attempts.len() as u32) < cap)
     }
 
     /// Work of a request as slow start counts it.
     pub(super) fn cautious_work_ms(&self, request: &TrackedRequest) -> f64 {
-        self.costs.class(request.request.class.0).cautious_work_ms(request.work_ms)
+        self.costs
+            .class(request.request.class.0)
+            .cautious_work_ms(request.work_ms)
     }
 
     /// Whether the class allows another attempt there, where one may have run.
-    fn repeat_allowed(&self, request: &TrackedRequest, class: &ClassSettings, engine: &Engine) -> bool {
-        let Some(earlier) = request.first_that_may_have_run() else { return true };
+    fn repeat_allowed(
+        &self,
+        request: &TrackedRequest,
+        class: &ClassSettings,
+        engine: &Engine,
+    ) -> bool {
+        let Some(earlier) = request.first_that_may_have_run() else {
+            return true;
+        };
         let first = &self.engines[earlier.engine].entry;
         match class.repeat {
             Repeat::Safe => true,
--- a/crates/decisions/src/decide/status.rs
+++ b/crates/decisions/src/decide/status.rs
@@ -11,9 +11,11 @@
 impl Gateway {
     /// All engines that are listed or draining, in the order of their ids.
     pub fn engine_statuses(&self) -> Vec<EngineStatus> {
-        let is_shown = |engine: &&Engine| engine.listed || engine.entry.state == EngineState::Draining;
+        let is_shown =
+            |engine: &&Engine| engine.listed || engine.entry.state == EngineState::Draining;
         let shown = self.engines.iter().filter(is_shown);
-        let mut statuses: Vec<EngineStatus> = shown.map(|engine| self.engine_status(engine)).collect();
+        let mut statuses: Vec<EngineStatus> =
+            shown.map(|engine| self.engine_status(engine)).collect();
         statuses.sort_by(|a, b| a.engine.cmp(&b.engine));
         statuses
     }
@@ -30,7 +32,8 @@
         }
     }
 
-    /// Engines that are remembered: those listed, and those gone to which a remembered request was sent.
+    /// Engines that are remembered: those listed, and those gone to which a remembered request was
+    /// sent.
     pub fn engines_held(&self) -> usize {
         self.engines.len()
     }
@@ -40,7 +43,8 @@
         self.requests.len()
     }
 
-    /// The share of the requested work that is admitted now, from 0 to 1; 0 where no engine is in use.
+    /// The share of the requested work that is admitted now, from 0 to 1; 0 where no engine is in
+    /// use.
     pub fn admitted_share(&self) -> f64 {
         if self.engines.iter().any(is_in_use) {
             self.admission.admitted_share
--- a/crates/decisions/src/decide/tenant_quota.rs
+++ b/crates/decisions/src/decide/tenant_quota.rs
@@ -8,9 +8,15 @@
 const TENANT_RATE_MS: f64 = 5000.0;
 
 impl Gateway {
-    /// Counts a request of a tenant; returns whether the tenant is over its quota with it, all gateways together.
+    /// Counts a request of a tenant; returns whether the tenant is over its quota with it, all
+    /// gateways together.
     pub(super) fn count_tenant(&mut self, name: Option<&str>) -> bool {
-        let Some(tenant) = self.settings.tenants.iter().find(|tenant| Some(&*tenant.name) == name) else {
+        let Some(tenant) = self
+            .settings
+            .tenants
+            .iter()
+            .find(|tenant| Some(&*tenant.name) == name)
+        else {
             return false;
         };
         let requests = self.tenants.count(&tenant.name) * f64::from(self.settings.gateways);
@@ -19,6 +25,7 @@
     }
 
     pub(super) fn decay_tenant_counts(&mut self, elapsed: Micros) {
-        self.tenants.decay(remaining(elapsed, TENANT_RATE_MS * std::f64::consts::LN_2));
+        self.tenants
+            .decay(remaining(elapsed, TENANT_RATE_MS * std::f64::consts::LN_2));
     }
 }
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -93,12 +93,18 @@
 impl Outcome {
     /// Whether the attempt has certainly not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 
     /// Whether the engine may still be at work on it.
     pub fn may_still_run(self) -> bool {
-        matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+        matches!(
+            self,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        )
     }
 }
 
--- a/crates/decisions/src/ids.rs
+++ b/crates/decisions/src/ids.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub Arc<str>);
 
-/// Number of an attempt of one request, from 0 in the order of its [`Action::Forward`](crate::Action::Forward)s.
+/// Number of an attempt of one request, from 0 in the order of its
+/// [`Action::Forward`](crate::Action::Forward)s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt(pub u32);
 
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,19 +1,21 @@
 //! Decides, for a workload manager, when and where each query runs on a fleet of shared engines.
 //!
-//! Short and long queries share cores, disks and memory of a few engines. A [`Gateway`] takes [`Event`]s (the list of
-//! engines, requests, the progress and the end of attempts, a timer) and answers each with [`Action`]s (send this
-//! request there, reject it, cancel that attempt).
+//! Short and long queries share cores, disks and memory of a few engines. A [`Gateway`] takes
+//! [`Event`]s (the list of engines, requests, the progress and the end of attempts, a timer) and
+//! answers each with [`Action`]s (send this request there, reject it, cancel that attempt).
 //!
-//! What it promises: it is deterministic and pure. It does no I/O, reads no clock and starts no thread; the same
-//! settings, seed and events give the same actions in the same order. What it sends respects the rules in
-//! [`Settings`]: repeats, order by key, the retry budget, slow start.
+//! What it promises: it is deterministic and pure. It does no I/O, reads no clock and starts no
+//! thread; the same settings, seed and events give the same actions in the same order. What it
+//! sends respects the rules in [`Settings`]: repeats, order by key, the retry budget, slow start.
 //!
-//! What it does not do: it knows no wire, keeps no connection and sets no deadline by itself. The program around it
-//! carries out the actions, reports how attempts end, and answers a request whose deadline passes.
+//! What it does not do: it knows no wire, keeps no connection and sets no deadline by itself. The
+//! program around it carries out the actions, reports how attempts end, and answers a request whose
+//! deadline passes.
 //!
-//! Where to start: `Gateway::handle` in `decide/mod.rs` hands each event to the module that decides about it, and that
-//! module's page lists them all. `state` holds what is remembered and decides nothing. The mechanism is SAFELoad's,
-//! brought from one engine to a gateway before many; `docs/design.md` tells what was kept and what was added.
+//! Where to start: `Gateway::handle` in `decide/mod.rs` hands each event to the module that decides
+//! about it, and that module's page lists them all. `state` holds what is remembered and decides
+//! nothing. The mechanism is SAFELoad's, brought from one engine to a gateway before many;
+//! `docs/design.md` tells what was kept and what was added.
 //!
 //! ```
 //! use beamgap_decisions::*;
@@ -46,7 +48,9 @@
 //!     repeat: false,
 //! };
 //! gateway.handle(Micros(10), Event::RequestArrived(request), &mut actions);
-//! assert!(actions.iter().any(|action| matches!(action, Action::Forward { engine: to, .. } if *to == engine)));
+//! let is_forward =
+//!     |action: &Action| matches!(action, Action::Forward { engine: to, .. } if *to == engine);
+//! assert!(actions.iter().any(is_forward));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
@@ -64,12 +68,13 @@
 pub use action::Action;
 pub use decide::Gateway;
 pub use event::{
-    AttemptEnd, EngineEntry, EngineState, Event, ListKind, LoadReport, Outcome, Progress, Request, TrueCost,
+    AttemptEnd, EngineEntry, EngineState, Event, ListKind, LoadReport, Outcome, Progress, Request,
+    TrueCost,
 };
 pub use ids::{Attempt, ClassId, EngineId, RequestId, TimerId};
 pub use settings::{
-    ClassSettings, Discovery, KindSettings, Machine, Repeat, RepeatGroup, Reports, RetryBudget, Settings,
-    SettingsError, SlowStart, SlowStartShare, TenantSettings, WhenShort,
+    ClassSettings, Discovery, KindSettings, Machine, Repeat, RepeatGroup, Reports, RetryBudget,
+    Settings, SettingsError, SlowStart, SlowStartShare, TenantSettings, WhenShort,
 };
 pub use state::hash::mix;
 pub use state::key_queues::KeyQueues;
--- a/crates/decisions/src/settings/check.rs
+++ b/crates/decisions/src/settings/check.rs
@@ -44,17 +44,25 @@
     if value.is_finite() && value >= 0.0 {
         Ok(())
     } else {
-        Err(SettingsError::NotAQuantity { setting: setting.to_owned(), value })
+        Err(SettingsError::NotAQuantity {
+            setting: setting.to_owned(),
+            value,
+        })
     }
 }
 
 fn check_class(place: usize, class: &ClassSettings) -> Result<(), SettingsError> {
-    check_quantity(&format!("classes[{place}].aim_stretch"), class.objective_stretch)?;
+    check_quantity(
+        &format!("classes[{place}].aim_stretch"),
+        class.objective_stretch,
+    )?;
     check_quantity(&format!("classes[{place}].worth"), class.priority_weight)?;
     check_quantity(&format!("classes[{place}].late_worth"), class.late_weight)?;
     check_quantity(&format!("classes[{place}].threads"), class.threads)?;
     if class.deadline == Micros(0) {
-        return Err(SettingsError::Zero { setting: format!("classes[{place}].deadline") });
+        return Err(SettingsError::Zero {
+            setting: format!("classes[{place}].deadline"),
+        });
     }
     Ok(())
 }
@@ -67,17 +75,24 @@
     /// The first setting that does not, by its path.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return Err(SettingsError::Empty { setting: "classes".to_owned() });
+            return Err(SettingsError::Empty {
+                setting: "classes".to_owned(),
+            });
         }
         if self.gateways == 0 {
-            return Err(SettingsError::Zero { setting: "gateways".to_owned() });
+            return Err(SettingsError::Zero {
+                setting: "gateways".to_owned(),
+            });
         }
         for (place, class) in self.classes.iter().enumerate() {
             check_class(place, class)?;
         }
         for (place, kind) in self.kinds.iter().enumerate() {
             check_quantity(&format!("kinds[{place}].cores"), kind.cores.unwrap_or(0.0))?;
-            check_quantity(&format!("kinds[{place}].memory_mb"), kind.memory_mb.unwrap_or(0.0))?;
+            check_quantity(
+                &format!("kinds[{place}].memory_mb"),
+                kind.memory_mb.unwrap_or(0.0),
+            )?;
         }
         for (place, tenant) in self.tenants.iter().enumerate() {
             let quota_per_s = tenant.quota_per_s.unwrap_or(0.0);
--- a/crates/decisions/src/settings/class.rs
+++ b/crates/decisions/src/settings/class.rs
@@ -19,9 +19,17 @@
 }
 
 impl Repeat {
-    /// Whether a rejection is harmless though an attempt may have run: every engine serves or drops a repeat.
+    /// Whether a rejection is harmless though an attempt may have run: every engine serves or drops
+    /// a repeat.
     pub fn may_be_refused(self) -> bool {
-        matches!(self, Repeat::Safe | Repeat::Keyed { group: RepeatGroup::All, .. })
+        matches!(
+            self,
+            Repeat::Safe
+                | Repeat::Keyed {
+                    group: RepeatGroup::All,
+                    ..
+                }
+        )
     }
 }
 
@@ -68,7 +76,8 @@
 }
 
 impl ClassSettings {
-    /// An idempotent class on one thread with no bound of place or order; latency objective and deadline as given.
+    /// An idempotent class on one thread with no bound of place or order; latency objective and
+    /// deadline as given.
     pub fn plain(name: &str, latency_objective: Micros, deadline: Micros) -> ClassSettings {
         ClassSettings {
             name: name.to_owned(),
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings of a gateway: classes, kinds of machine, tenants, and the rules that its decisions respect.
+//! Settings of a gateway: classes, kinds of machine, tenants, and the rules that its decisions
+//! respect.
 
 mod check;
 mod class;
@@ -144,7 +145,8 @@
     pub cancel: bool,
     /// Whether [`Action::SendToPeer`](crate::Action::SendToPeer) is allowed.
     pub peers: bool,
-    /// Longest `retry_after` in an [`Action::Reject`](crate::Action::Reject); `None` where none is given.
+    /// Longest `retry_after` in an [`Action::Reject`](crate::Action::Reject); `None` where none is
+    /// given.
     pub retry_after: Option<Micros>,
     /// Bound on retries, where one is stated.
     pub retry_budget: Option<RetryBudget>,
@@ -169,7 +171,8 @@
 }
 
 impl Settings {
-    /// Settings with the given classes and nothing else stated: one gateway, pushed lists, no allowance.
+    /// Settings with the given classes and nothing else stated: one gateway, pushed lists, no
+    /// allowance.
     pub fn plain(classes: Vec<ClassSettings>) -> Settings {
         Settings {
             gateways: 1,
@@ -204,8 +207,12 @@
     pub fn machine(&self, kind: &str) -> Machine {
         let place = self.kinds.iter().position(|stated| stated.name == kind);
         let stated = place.map(|place| &self.kinds[place]);
-        let cores = stated.and_then(|kind| kind.cores).filter(|cores| *cores > 0.0);
-        let memory_mb = stated.and_then(|kind| kind.memory_mb).filter(|mb| *mb > 0.0);
+        let cores = stated
+            .and_then(|kind| kind.cores)
+            .filter(|cores| *cores > 0.0);
+        let memory_mb = stated
+            .and_then(|kind| kind.memory_mb)
+            .filter(|mb| *mb > 0.0);
         Machine {
             kind: place.unwrap_or(self.kinds.len()),
             cores: cores.unwrap_or(UNSTATED_CORES),
--- a/crates/decisions/src/state/admission_state.rs
+++ b/crates/decisions/src/state/admission_state.rs
@@ -15,7 +15,11 @@
 
 impl Default for AdmissionState {
     fn default() -> AdmissionState {
-        AdmissionState { overload: Tally::default(), costs: CostHistogram::default(), admitted_share: 1.0 }
+        AdmissionState {
+            overload: Tally::default(),
+            costs: CostHistogram::default(),
+            admitted_share: 1.0,
+        }
     }
 }
 
--- a/crates/decisions/src/state/clock.rs
+++ b/crates/decisions/src/state/clock.rs
@@ -2,7 +2,8 @@
 
 use crate::Micros;
 
-/// A gap between two events after which the gateway counts as stalled; its timer fires ten times in it.
+/// A gap between two events after which the gateway counts as stalled; its timer fires ten times in
+/// it.
 const STALL_THRESHOLD: Micros = Micros::from_millis(250);
 
 /// Time by the events that came.
--- a/crates/decisions/src/state/cost_histogram.rs
+++ b/crates/decisions/src/state/cost_histogram.rs
@@ -33,7 +33,10 @@
         let step = CostHistogram::step(cost);
         let all = self.0.values().sum::<f64>().max(1e-9);
         let cheaper: f64 = self.0.range(..step).map(|(_, work)| work).sum();
-        CostRank { cheaper: cheaper / all, equal: self.0.get(&step).unwrap_or(&0.0) / all }
+        CostRank {
+            cheaper: cheaper / all,
+            equal: self.0.get(&step).unwrap_or(&0.0) / all,
+        }
     }
 
     /// Keeps this part of each sum.
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -54,7 +54,11 @@
 
     /// Work as usual for the class, or the estimate while that is hardly known, if it is more.
     pub fn cautious_work_ms(&self, estimate_ms: f64) -> f64 {
-        let floor = if self.answers < ENOUGH_ANSWERS { estimate_ms } else { 0.0 };
+        let floor = if self.answers < ENOUGH_ANSWERS {
+            estimate_ms
+        } else {
+            0.0
+        };
         self.work_ms.max(floor)
     }
 
@@ -66,7 +70,9 @@
         if let Some(estimate) = sample.estimated_work_ms {
             self.work_fit.learn(estimate.ln(), sample.work_ms.ln());
         }
-        let Some(memory_mb) = sample.memory_mb else { return };
+        let Some(memory_mb) = sample.memory_mb else {
+            return;
+        };
         self.memory_mb += step * (memory_mb - self.memory_mb);
         if let Some(estimate) = sample.estimated_memory_mb {
             self.memory_fit.learn(estimate.ln(), memory_mb.ln());
@@ -105,17 +111,25 @@
         self.y += step * dy;
     }
 
-    /// The truth to be expected for an estimate; the prior slope and deviation count as some pairs that scatter by 1.
+    /// The truth to be expected for an estimate; the prior slope and deviation count as some pairs
+    /// that scatter by 1.
     pub fn expect(&self, x: f64) -> LogExpectation {
         if self.pairs < 1.0 {
-            return LogExpectation { log: x, deviation: PRIOR_DEVIATION };
+            return LogExpectation {
+                log: x,
+                deviation: PRIOR_DEVIATION,
+            };
         }
         let weight = PRIOR_ANSWERS;
         let all = self.pairs + weight;
         let slope = (self.pairs * self.xy + weight * PRIOR_SLOPE) / (self.pairs * self.xx + weight);
         let variance = (self.yy - slope * (2.0 * self.xy - slope * self.xx)).max(0.0);
-        let deviation = ((self.pairs * variance + weight * PRIOR_DEVIATION * PRIOR_DEVIATION) / all).sqrt();
-        LogExpectation { log: self.y + slope * (x - self.x), deviation }
+        let deviation =
+            ((self.pairs * variance + weight * PRIOR_DEVIATION * PRIOR_DEVIATION) / all).sqrt();
+        LogExpectation {
+            log: self.y + slope * (x - self.x),
+            deviation,
+        }
     }
 }
 
@@ -129,7 +143,10 @@
 
 impl CostModel {
     pub fn new(classes: usize) -> CostModel {
-        CostModel { classes: vec![ClassCosts::default(); classes], mean_work_ms: 0.0 }
+        CostModel {
+            classes: vec![ClassCosts::default(); classes],
+            mean_work_ms: 0.0,
+        }
     }
 
     pub fn class(&self, class: usize) -> &ClassCosts {
@@ -146,13 +163,20 @@
 
     /// Computes the mean work of all answers anew.
     pub fn update_mean_work(&mut self) {
-        let work: f64 = self.classes.iter().map(|costs| costs.answers * costs.work_ms).sum();
+        let work: f64 = self
+            .classes
+            .iter()
+            .map(|costs| costs.answers * costs.work_ms)
+            .sum();
         let answers: f64 = self.classes.iter().map(|costs| costs.answers).sum();
         self.mean_work_ms = work / answers.max(1.0);
     }
 
     /// The largest mean work of a class, or `least_ms` if that is more.
     pub fn heaviest_work_ms(&self, least_ms: f64) -> f64 {
-        self.classes.iter().map(|costs| costs.work_ms).fold(least_ms, f64::max)
+        self.classes
+            .iter()
+            .map(|costs| costs.work_ms)
+            .fold(least_ms, f64::max)
     }
 }
--- a/crates/decisions/src/state/decay.rs
+++ b/crates/decisions/src/state/decay.rs
@@ -45,8 +45,16 @@
         (bad / (all + prior)).min(1.0)
     }
 
-    /// The share of bad signs without those of `own`, and with `prior` more of which a part `least` is bad.
-    pub fn share_without(&self, own: &Tally, now: Micros, half_life_ms: f64, least: f64, prior: f64) -> f64 {
+    /// The share of bad signs without those of `own`, and with `prior` more of which a part `least`
+    /// is bad.
+    pub fn share_without(
+        &self,
+        own: &Tally,
+        now: Micros,
+        half_life_ms: f64,
+        least: f64,
+        prior: f64,
+    ) -> f64 {
         let (all, bad) = self.at(now, half_life_ms);
         let (own_all, own_bad) = own.at(now, half_life_ms);
         ((bad - own_bad).max(0.0) + least * prior) / ((all - own_all).max(0.0) + prior)
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -76,7 +76,12 @@
 
 impl Default for FlagQuota {
     fn default() -> FlagQuota {
-        FlagQuota { quota: 1.0, misses: 0.0, trouble: 0.0, last_trouble: 0.0 }
+        FlagQuota {
+            quota: 1.0,
+            misses: 0.0,
+            trouble: 0.0,
+            last_trouble: 0.0,
+        }
     }
 }
 
@@ -89,7 +94,8 @@
         self.misses = 0.0;
     }
 
-    /// Counts memory trouble; it refills the quota, since heavy queries in a row drain that of the window before.
+    /// Counts memory trouble; it refills the quota, since heavy queries in a row drain that of the
+    /// window before.
     pub fn count_trouble(&mut self) {
         self.trouble += 1.0;
         self.quota += 1.0;
@@ -139,7 +145,11 @@
 
 impl Engine {
     pub fn new(id: &EngineId) -> Engine {
-        Engine { hash: hash_text(&id.0), warm_share: 1.0, ..Engine::default() }
+        Engine {
+            hash: hash_text(&id.0),
+            warm_share: 1.0,
+            ..Engine::default()
+        }
     }
 
     /// Forgets what was known of the process before.
@@ -160,7 +170,8 @@
         Some(&self.reported.report).filter(|_| self.reported.trust >= least_trust)
     }
 
-    /// Stores a report. It is some time old, so it holds only a part of what was sent since the last.
+    /// Stores a report. It is some time old, so it holds only a part of what was sent since the
+    /// last.
     pub fn store_report(&mut self, now: Micros, report: &LoadReport) {
         if self.reported.report != *report {
             self.reported.charged_mb /= 2.0;
@@ -193,14 +204,18 @@
         self.warmup_sends.push_back(WarmupSend { at: now, work_ms });
     }
 
-    /// Threads of other gateways by the last report. Own queries are taken as they were when it came, so that an
-    /// own send counts at once on top.
+    /// Threads of other gateways by the last report. Own queries are taken as they were when it
+    /// came, so that an own send counts at once on top.
     pub fn reported_threads_of_others(&self, kind: &ObservedLoad) -> Option<f64> {
         let report = &self.reported.report;
-        let running = report.in_flight.map(|in_flight| in_flight - report.queued.unwrap_or(0.0));
-        let by_queries =
-            running.map(|running| (running - self.reported.own_queries_then) * kind.threads_per_query());
-        let by_cores = report.busy.map(|busy| busy * self.cores - self.reported.own_threads_then);
+        let running = report
+            .in_flight
+            .map(|in_flight| in_flight - report.queued.unwrap_or(0.0));
+        let by_queries = running
+            .map(|running| (running - self.reported.own_queries_then) * kind.threads_per_query());
+        let by_cores = report
+            .busy
+            .map(|busy| busy * self.cores - self.reported.own_threads_then);
         by_queries.or(by_cores).map(|threads| threads.max(0.0))
     }
 
--- a/crates/decisions/src/state/engine_table.rs
+++ b/crates/decisions/src/state/engine_table.rs
@@ -14,7 +14,8 @@
     held_groups: BTreeMap<(usize, u64), Micros>,
     /// Least memory of a listed engine, in megabytes.
     pub smallest_memory_mb: f64,
-    /// Least memory for one thread of a listed engine whose threads are at their first bound, in megabytes.
+    /// Least memory for one thread of a listed engine whose threads are at their first bound, in
+    /// megabytes.
     pub smallest_memory_per_thread_mb: f64,
 }
 
@@ -62,11 +63,12 @@
         }
     }
 
-    /// A place for an engine not known before: that of one that is gone and not in use, so that replacements of
-    /// engines do not make the table grow.
+    /// A place for an engine not known before: that of one that is gone and not in use, so that
+    /// replacements of engines do not make the table grow.
     pub fn insert(&mut self, id: &EngineId, in_use: impl Fn(usize) -> bool) -> usize {
         let is_gone = |engine: &Engine| engine.entry.state == EngineState::Removed;
-        let free = (0..self.engines.len()).find(|place| is_gone(&self.engines[*place]) && !in_use(*place));
+        let free =
+            (0..self.engines.len()).find(|place| is_gone(&self.engines[*place]) && !in_use(*place));
         let place = free.unwrap_or(self.engines.len());
         if free.is_some() {
             let replaced = std::mem::replace(&mut self.engines[place], Engine::new(id));
@@ -88,7 +90,8 @@
 
     /// Computes the smallest engine's figures anew, for `threads_per_core` at their bound.
     pub fn update_smallest(&mut self, threads_per_core: f64) {
-        let least = |figure: fn(&Engine) -> f64| self.listed().map(figure).fold(f64::INFINITY, f64::min);
+        let least =
+            |figure: fn(&Engine) -> f64| self.listed().map(figure).fold(f64::INFINITY, f64::min);
         let memory_mb = least(|engine| engine.memory_mb);
         let memory_per_core_mb = least(|engine| engine.memory_mb / engine.cores);
         self.smallest_memory_mb = memory_mb;
@@ -97,7 +100,9 @@
 
     /// Whether a table group counts as held on an engine.
     pub fn holds_group(&self, engine: usize, group: u64, now: Micros) -> bool {
-        self.held_groups.get(&(engine, group)).is_some_and(|until| *until > now)
+        self.held_groups
+            .get(&(engine, group))
+            .is_some_and(|until| *until > now)
     }
 
     /// Own work holds a table group until then.
--- a/crates/decisions/src/state/hash.rs
+++ b/crates/decisions/src/state/hash.rs
@@ -1,4 +1,5 @@
-//! Deterministic hashes that placement rests on. Every gateway must compute the same ones, in every version.
+//! Deterministic hashes that placement rests on. Every gateway must compute the same ones, in every
+//! version.
 
 /// Scrambles the bits of a number: the finalizer of SplitMix64.
 pub fn mix(mut x: u64) -> u64 {
@@ -9,7 +10,9 @@
 
 /// Hash of a text: FNV-1a over its bytes, scrambled by [`mix`].
 pub fn hash_text(text: &str) -> u64 {
-    mix(text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)))
+    mix(text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    }))
 }
 
 /// A hash as a fraction from 0 to 1.
@@ -25,7 +28,9 @@
 
 impl RandomSource {
     pub fn from_seed(seed: u64) -> RandomSource {
-        RandomSource { state: mix(seed ^ 0x9e37_79b9_7f4a_7c15) }
+        RandomSource {
+            state: mix(seed ^ 0x9e37_79b9_7f4a_7c15),
+        }
     }
 
     /// The next draw.
--- a/crates/decisions/src/state/key_queues.rs
+++ b/crates/decisions/src/state/key_queues.rs
@@ -1,4 +1,5 @@
-//! Order of requests that share a key: one at a time, in the order of arrival, with a rest after an unsure end.
+//! Order of requests that share a key: one at a time, in the order of arrival, with a rest after an
+//! unsure end.
 
 use crate::Micros;
 use std::collections::{HashMap, VecDeque};
@@ -21,12 +22,18 @@
 
     /// Takes a request out of the queue of its key.
     pub fn leave(&mut self, key: &Arc<str>, sequence: u64) {
-        self.queues.entry(key.clone()).or_default().retain(|queued| *queued != sequence);
+        self.queues
+            .entry(key.clone())
+            .or_default()
+            .retain(|queued| *queued != sequence);
     }
 
     /// Whether a request is the first of its key.
     pub fn is_first(&self, key: &Arc<str>, sequence: u64) -> bool {
-        self.queues.get(key).and_then(VecDeque::front).is_none_or(|first| *first == sequence)
+        self.queues
+            .get(key)
+            .and_then(VecDeque::front)
+            .is_none_or(|first| *first == sequence)
     }
 
     /// Starts a rest of a key.
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,7 +1,7 @@
 //! What the gateway remembers of engines, requests and classes. It decides nothing.
 //!
-//! Each module holds one group of state with the methods that touch it alone; `decide` reads several of them to take
-//! a decision.
+//! Each module holds one group of state with the methods that touch it alone; `decide` reads
+//! several of them to take a decision.
 
 pub mod admission_state;
 pub mod clock;
--- a/crates/decisions/src/state/observed_load.rs
+++ b/crates/decisions/src/state/observed_load.rs
@@ -78,14 +78,16 @@
 }
 
 impl SurveyBasis {
-    /// Threads a core of all gateways, by own work or, where that is little, by the stretch of answers.
+    /// Threads a core of all gateways, by own work or, where that is little, by the stretch of
+    /// answers.
     fn threads_per_core(&self, queries: f64, threads: f64, cores: f64) -> f64 {
         (threads * self.gateways / cores.max(1e-3) * queries + self.threads_per_core_by_stretch)
             / (queries + 1.0)
     }
 }
 
-/// What one kind of machine shows: decaying means of own work there, and threads a core for all gateways.
+/// What one kind of machine shows: decaying means of own work there, and threads a core for all
+/// gateways.
 #[derive(Clone, Copy, Default)]
 pub struct ObservedLoad {
     queries: f64,
@@ -101,7 +103,8 @@
 }
 
 impl ObservedLoad {
-    /// Blends what own work and fresh reports show of the engines of this kind into what was seen before.
+    /// Blends what own work and fresh reports show of the engines of this kind into what was seen
+    /// before.
     pub fn survey<'a>(&mut self, engines: impl Iterator<Item = &'a Engine>, basis: SurveyBasis) {
         let totals = KindTotals::of(engines, self);
         let blend = |before: f64, now: f64| basis.kept * before + (1.0 - basis.kept) * now;
@@ -116,12 +119,18 @@
     fn survey_threads(&mut self, totals: &KindTotals, basis: SurveyBasis) {
         let all = basis.threads_per_core(self.queries, self.threads, totals.cores);
         let half_engine = totals.cores / totals.engines / 2.0;
-        let blended = (all * half_engine + totals.reported_threads) / (half_engine + totals.reported_cores);
+        let blended =
+            (all * half_engine + totals.reported_threads) / (half_engine + totals.reported_cores);
         // Busy cores are a lower bound of the threads that run.
-        self.threads_per_core = if totals.cores_only { blended.max(all) } else { blended };
-
-        // Reports come with answers, so that of many gateways each hears most from engines with little to do:
-        // these say nothing of the others. What it has in flight there does, and is one part in `gateways` of all.
+        self.threads_per_core = if totals.cores_only {
+            blended.max(all)
+        } else {
+            blended
+        };
+
+        // Reports come with answers, so that of many gateways each hears most from engines with
+        // little to do: these say nothing of the others. What it has in flight there does, and is
+        // one part in `gateways` of all.
         let blend = |before: f64, now: f64| basis.kept * before + (1.0 - basis.kept) * now;
         let unreported = &mut self.unreported;
         unreported.queries = blend(unreported.queries, totals.unreported.queries);
@@ -132,15 +141,15 @@
             (own * unreported.queries + self.threads_per_core) / (unreported.queries + 1.0);
     }
 
-    /// Threads of all other gateways on an engine, estimated from own queries there (one in `gateways` of all) and, with
-    /// the weight of a few queries, from the mean of its kind.
+    /// Threads of all other gateways on an engine, estimated from own queries there (one in
+    /// `gateways` of all) and, with the weight of a few queries, from the mean of its kind.
     pub fn threads_of_others(&self, engine: &Engine, gateways: f64) -> f64 {
         let trust = engine.reported.trust;
         let threads_per_core =
             trust * self.threads_per_core + (1.0 - trust) * self.unreported_threads_per_core;
         let mean = (threads_per_core * engine.cores / self.threads_per_query()).max(1e-6);
-        let queries =
-            (gateways - 1.0) * (PRIOR_QUERIES + engine.queries) / (PRIOR_QUERIES * gateways / mean + 1.0);
+        let queries = (gateways - 1.0) * (PRIOR_QUERIES + engine.queries)
+            / (PRIOR_QUERIES * gateways / mean + 1.0);
         queries * self.threads_per_query()
     }
 
@@ -155,19 +164,31 @@
     }
 }
 
-/// Updates what classes bound to some kinds of machine leave of each kind's even share of work to other classes.
+/// Updates what classes bound to some kinds of machine leave of each kind's even share of work to
+/// other classes.
 pub fn update_share_left(
     kinds: &mut [ObservedLoad],
     engines: &EngineTable,
     settings: &Settings,
     costs: &[ClassCosts],
 ) {
-    let cores_of = |kind: usize| engines.listed().filter(|e| e.kind == kind).map(|e| e.cores).sum();
+    let cores_of = |kind: usize| {
+        engines
+            .listed()
+            .filter(|e| e.kind == kind)
+            .map(|e| e.cores)
+            .sum()
+    };
     let cores: Vec<f64> = (0..kinds.len()).map(cores_of).collect();
     let mut bound_work = vec![0.0; cores.len()];
     for (class, costs) in settings.classes.iter().zip(costs) {
         let Some(names) = &class.kinds else { continue };
-        let is_open = |kind: &usize| settings.kinds.get(*kind).is_some_and(|k| names.contains(&k.name));
+        let is_open = |kind: &usize| {
+            settings
+                .kinds
+                .get(*kind)
+                .is_some_and(|k| names.contains(&k.name))
+        };
         let open: Vec<usize> = (0..cores.len()).filter(is_open).collect();
         let open_cores = open.iter().map(|kind| cores[*kind]).sum::<f64>().max(0.1);
         let work_per_core = costs.requested_work_ms / open_cores;
@@ -178,6 +199,10 @@
     let requested: f64 = costs.iter().map(|costs| costs.requested_work_ms).sum();
     let even = requested / cores.iter().sum::<f64>().max(0.1);
     for (kind, bound) in kinds.iter_mut().zip(bound_work) {
-        kind.share_left = if even > 0.0 { (1.0 - bound / even).min(1.0) } else { 1.0 };
+        kind.share_left = if even > 0.0 {
+            (1.0 - bound / even).min(1.0)
+        } else {
+            1.0
+        };
     }
 }
--- a/crates/decisions/src/state/placement.rs
+++ b/crates/decisions/src/state/placement.rs
@@ -1,4 +1,5 @@
-//! Which engines a table group is planned on: weighted rendezvous hashing, bounded by each engine's part of all work.
+//! Which engines a table group is planned on: weighted rendezvous hashing, bounded by each engine's
+//! part of all work.
 
 use super::hash::mix;
 use std::collections::BTreeMap;
@@ -39,11 +40,15 @@
         self.counts.keys().copied().collect()
     }
 
-    /// A group's share of all queries: its count, and as if some more were seen at the chance that two queries ask
-    /// for one group; that is the prior until some were seen.
+    /// A group's share of all queries: its count, and as if some more were seen at the chance that
+    /// two queries ask for one group; that is the prior until some were seen.
     pub fn share(&self, group: u64) -> f64 {
         let weight = PRIOR_QUERIES;
-        let same: f64 = self.counts.values().map(|count| count * (count - 1.0).max(0.0)).sum();
+        let same: f64 = self
+            .counts
+            .values()
+            .map(|count| count * (count - 1.0).max(0.0))
+            .sum();
         let usual = (same + PRIOR_SHARE * weight) / (self.all * (self.all - 1.0).max(0.0) + weight);
         (self.counts.get(&group).unwrap_or(&0.0) + usual * weight) / (self.all + weight)
     }
@@ -66,9 +71,13 @@
 }
 
 impl PlacementPlan {
-    /// An empty plan; `room` holds for each engine the share of all queries that may be planned on it.
+    /// An empty plan; `room` holds for each engine the share of all queries that may be planned on
+    /// it.
     pub fn with_room(room: Vec<f64>) -> PlacementPlan {
-        PlacementPlan { groups: BTreeMap::new(), room }
+        PlacementPlan {
+            groups: BTreeMap::new(),
+            room,
+        }
     }
 
     pub fn contains(&self, group: u64) -> bool {
@@ -82,7 +91,10 @@
     /// The part of a group's queries that is planned on an engine.
     pub fn part(&self, group: u64, engine: usize) -> Option<f64> {
         let parts = self.groups.get(&group)?;
-        parts.iter().find(|planned| planned.engine == engine).map(|planned| planned.part)
+        parts
+            .iter()
+            .find(|planned| planned.engine == engine)
+            .map(|planned| planned.part)
     }
 
     /// Plans a group's share on engines in their order, on each up to its room.
@@ -106,7 +118,8 @@
     pub plans: Vec<PlacementPlan>,
 }
 
-/// Distance of an engine from what is placed, for the order of a weighted rendezvous: to be divided by a weight.
+/// Distance of an engine from what is placed, for the order of a weighted rendezvous: to be divided
+/// by a weight.
 pub fn rendezvous_distance(engine_hash: u64, placed: u64) -> f64 {
     -(((mix(engine_hash ^ mix(placed)) >> 11) as f64 + 1.0) / (1u64 << 53) as f64).ln()
 }
@@ -121,8 +134,11 @@
 
 /// Places of the engines in the order of their distance from what is placed.
 pub fn order_by_distance(engines: impl Iterator<Item = WeightedEngine>, placed: u64) -> Vec<usize> {
-    let distance = |engine: &WeightedEngine| rendezvous_distance(engine.hash, placed) / engine.weight;
-    let mut order: Vec<(f64, usize)> = engines.map(|engine| (distance(&engine), engine.engine)).collect();
+    let distance =
+        |engine: &WeightedEngine| rendezvous_distance(engine.hash, placed) / engine.weight;
+    let mut order: Vec<(f64, usize)> = engines
+        .map(|engine| (distance(&engine), engine.engine))
+        .collect();
     order.sort_by(|a, b| a.0.total_cmp(&b.0));
     order.into_iter().map(|(_, engine)| engine).collect()
 }
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -15,7 +15,8 @@
     pub expected_ms: f64,
     /// Whether it ever spilled or waited.
     pub stalled: bool,
-    /// Whether it waits for memory or for a holder of its tables, by its last report of progress: no work is done.
+    /// Whether it waits for memory or for a holder of its tables, by its last report of progress:
+    /// no work is done.
     pub waits: bool,
     /// Whether its silence was counted against its engine.
     pub silence_counted: bool,
@@ -48,7 +49,10 @@
     pub fn progressed(&mut self, now: Micros, progress: Progress) {
         self.last_progress = now;
         self.stalled |= !matches!(progress, Progress::ShareDone(_));
-        self.waits = matches!(progress, Progress::WaitsForMemory | Progress::WaitsForHolder);
+        self.waits = matches!(
+            progress,
+            Progress::WaitsForMemory | Progress::WaitsForHolder
+        );
     }
 
     /// Whether it took work; an error, a failed connection or a wait took next to none.
@@ -109,23 +113,35 @@
 
     /// How many attempts are in flight.
     pub fn in_flight(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.in_flight()).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.in_flight())
+            .count()
     }
 
     /// An attempt that is in flight, by its number.
     pub fn attempt_in_flight(&mut self, attempt: Attempt) -> Option<&mut TrackedAttempt> {
-        self.attempts.get_mut(attempt.0 as usize).filter(|attempt| attempt.in_flight())
+        self.attempts
+            .get_mut(attempt.0 as usize)
+            .filter(|attempt| attempt.in_flight())
     }
 
     /// The engines that answered it with an error.
     pub fn failed_engines(&self) -> impl Iterator<Item = usize> + '_ {
-        let failed = self.attempts.iter().filter(|attempt| attempt.outcome == Some(Outcome::Error));
+        let failed = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.outcome == Some(Outcome::Error));
         failed.map(|attempt| attempt.engine)
     }
 
     /// Whether an attempt in flight is cancelled, to be sent again at its outcome.
     pub fn resend_pending(&self) -> bool {
-        !self.answered && self.attempts.iter().any(|attempt| attempt.cancelled && attempt.in_flight())
+        !self.answered
+            && self
+                .attempts
+                .iter()
+                .any(|attempt| attempt.cancelled && attempt.in_flight())
     }
 
     /// Marks every attempt in flight as cancelled; returns those that were not yet.
@@ -157,6 +173,8 @@
 
     /// The first attempt that may have run, or is in flight.
     pub fn first_that_may_have_run(&self) -> Option<&TrackedAttempt> {
-        self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
 }
--- a/crates/decisions/src/state/request_table.rs
+++ b/crates/decisions/src/state/request_table.rs
@@ -47,7 +47,9 @@
     }
 
     pub fn get_mut(&mut self, sequence: u64) -> &mut TrackedRequest {
-        self.tracked.get_mut(&sequence).expect("a sequence number in use names a request")
+        self.tracked
+            .get_mut(&sequence)
+            .expect("a sequence number in use names a request")
     }
 
     /// Forgets a request; returns it.
@@ -59,7 +61,9 @@
 
     /// All requests in the order of arrival.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &TrackedRequest)> {
-        self.tracked.iter().map(|(sequence, request)| (*sequence, request))
+        self.tracked
+            .iter()
+            .map(|(sequence, request)| (*sequence, request))
     }
 
     pub fn values(&self) -> impl Iterator<Item = &TrackedRequest> {
@@ -68,6 +72,8 @@
 
     /// The requests that wait, in the order of arrival.
     pub fn waiting_requests(&self) -> impl Iterator<Item = (u64, &TrackedRequest)> {
-        self.waiting.iter().map(|sequence| (*sequence, &self.tracked[sequence]))
+        self.waiting
+            .iter()
+            .map(|sequence| (*sequence, &self.tracked[sequence]))
     }
 }
--- a/crates/decisions/src/state/retry_state.rs
+++ b/crates/decisions/src/state/retry_state.rs
@@ -1,4 +1,5 @@
-//! What retries are limited by: own tokens that requests earn, and counts for the budget in the settings.
+//! What retries are limited by: own tokens that requests earn, and counts for the budget in the
+//! settings.
 
 use crate::Micros;
 use std::collections::VecDeque;
@@ -18,7 +19,11 @@
 
 impl Default for RetryState {
     fn default() -> RetryState {
-        RetryState { tokens: MAX_TOKENS / 2.0, requests: VecDeque::new(), retries: VecDeque::new() }
+        RetryState {
+            tokens: MAX_TOKENS / 2.0,
+            requests: VecDeque::new(),
+            retries: VecDeque::new(),
+        }
     }
 }
 
@@ -44,12 +49,18 @@
 
     /// Requests that came inside a span.
     pub fn requests_within(&self, now: Micros, span: Micros) -> f64 {
-        self.requests.iter().filter(|at| now.since(**at) < span).count() as f64
+        self.requests
+            .iter()
+            .filter(|at| now.since(**at) < span)
+            .count() as f64
     }
 
     /// Retries sent inside a span, its edge included.
     pub fn retries_within(&self, now: Micros, span: Micros) -> f64 {
-        self.retries.iter().filter(|at| now.since(**at) <= span).count() as f64
+        self.retries
+            .iter()
+            .filter(|at| now.since(**at) <= span)
+            .count() as f64
     }
 
     /// Forgets what lies before a span.
--- a/crates/decisions/src/state/trouble_model.rs
+++ b/crates/decisions/src/state/trouble_model.rs
@@ -1,4 +1,5 @@
-//! Which queries meet memory trouble: a model that learns with each answer, and a list of those it missed.
+//! Which queries meet memory trouble: a model that learns with each answer, and a list of those it
+//! missed.
 
 use crate::Micros;
 use std::collections::BTreeMap;
@@ -35,14 +36,20 @@
 
 impl MissList {
     pub fn contains(&self, key: &MissKey, now: Micros) -> bool {
-        self.0.get(key).is_some_and(|at| now.since(*at) < MAX_MISS_AGE)
+        self.0
+            .get(key)
+            .is_some_and(|at| now.since(*at) < MAX_MISS_AGE)
     }
 
     /// Adds one; where the list is full the oldest is dropped.
     pub fn add(&mut self, key: MissKey, now: Micros) {
         self.0.insert(key, now);
         if self.0.len() > MAX_MISSES {
-            let oldest = self.0.iter().min_by_key(|(_, at)| **at).map(|(key, _)| *key);
+            let oldest = self
+                .0
+                .iter()
+                .min_by_key(|(_, at)| **at)
+                .map(|(key, _)| *key);
             if let Some(key) = oldest {
                 self.0.remove(&key);
             }
@@ -62,14 +69,20 @@
 
 impl Default for TroubleModel {
     fn default() -> TroubleModel {
-        TroubleModel { weights: INITIAL_WEIGHTS }
+        TroubleModel {
+            weights: INITIAL_WEIGHTS,
+        }
     }
 }
 
 impl TroubleModel {
     /// Confidence from 0 to 1 that a query meets trouble.
     pub fn predict(&self, features: &[f64; FEATURES]) -> f64 {
-        let z: f64 = features.iter().zip(&self.weights).map(|(feature, weight)| feature * weight).sum();
+        let z: f64 = features
+            .iter()
+            .zip(&self.weights)
+            .map(|(feature, weight)| feature * weight)
+            .sum();
         1.0 / (1.0 + (-z).exp())
     }
 
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -25,7 +25,8 @@
         self.lost_engines.insert(engine);
     }
 
-    /// An attempt ended there. Time-outs, resets and cancels may come from an engine that is silent: no sign.
+    /// An attempt ended there. Time-outs, resets and cancels may come from an engine that is
+    /// silent: no sign.
     pub fn attempt_ended(&mut self, engine: usize, outcome: Outcome) {
         if outcome.may_still_run() || outcome == Outcome::NotSent {
             return;
@@ -54,16 +55,22 @@
         if !self.0.contains_key(zone) {
             self.0.insert(zone.to_owned(), ZoneHealth::default());
         }
-        self.0.get_mut(zone).expect("inserted above if it was absent")
+        self.0
+            .get_mut(zone)
+            .expect("inserted above if it was absent")
     }
 
     /// How many engines of a zone are lost, with nothing from it since.
     pub fn lost_engines(&self, zone: &str) -> usize {
-        self.0.get(zone).map_or(0, |health| health.lost_engines.len())
+        self.0
+            .get(zone)
+            .map_or(0, |health| health.lost_engines.len())
     }
 
     /// Whether the next trial of a zone is due.
     pub fn trial_due(&self, zone: &str, now: Micros) -> bool {
-        self.0.get(zone).is_none_or(|health| now >= health.next_trial)
+        self.0
+            .get(zone)
+            .is_none_or(|health| now >= health.next_trial)
     }
 }
--- a/crates/decisions/src/time.rs
+++ b/crates/decisions/src/time.rs
@@ -1,6 +1,7 @@
 //! Time as the module sees it: microseconds from a start that means nothing.
 
-/// A point in time or a length of time, in microseconds. Points count from a start that means nothing.
+/// A point in time or a length of time, in microseconds. Points count from a start that means
+/// nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
