--- a/crates/decisions/src/decide/arrival.rs
+++ b/crates/decisions/src/decide/arrival.rs
@@ -4,7 +4,7 @@
 use crate::state::request::TrackedRequest;
 use crate::{Action, Request};
 
-/// Requests of one key that may be in the queue: more can't have their turn while their clients wait.
+/// Requests of one key that may be in the queue: more could not all run while their clients wait.
 const MAX_REQUESTS_PER_KEY: usize = 256;
 
 impl Gateway {
@@ -18,8 +18,12 @@
         let estimate = self.estimate(&request);
         request.work_ms = estimate.work_ms;
         request.memory_mb = estimate.memory_mb;
-        self.costs.class_mut(request.request.class.0).requested_work_ms += request.work_ms;
-        self.admission.costs.count(self.cost(&request), request.work_ms);
+        self.costs
+            .class_mut(request.request.class.0)
+            .requested_work_ms += request.work_ms;
+        self.admission
+            .costs
+            .count(self.cost(&request), request.work_ms);
         let queue_length = self.join_key_queue(sequence, &request);
         self.count_group(request.request.table_group);
         self.requests.insert(sequence, request);
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -1,13 +1,14 @@
 //! Retries and hedged requests: attempts that failed, hang or lag are sent again elsewhere.
 
 use super::admission::ANSWER_MARGIN;
+use super::attempts::AttemptSnapshot;
 use super::outlier_ejection::Suspicion;
 use super::Gateway;
 use crate::state::engine::Health;
 use crate::state::request::{TrackedAttempt, TrackedRequest};
 use crate::{Action, Attempt, Repeat};
 
-/// Times the pause between notes after which silence is sure.
+/// Times the interval between reports of progress after which one is surely missed.
 const SILENCE_FACTOR: f64 = 1.3;
 
 /// Allowance for delay on top of that, in milliseconds.
@@ -28,6 +29,9 @@
 /// Times what was expected that must be left for a new plan to pay.
 const BAD_PLAN_LEFT_FACTOR: f64 = 2.0;
 
+/// Share of the work done that is reckoned with at least.
+const LEAST_SHARE_DONE: f64 = 0.001;
+
 /// Engines tried for a place without a queue; the other attempts are kept.
 const MAX_QUEUE_MOVES: usize = 3;
 
@@ -45,7 +49,7 @@
 enum Overtaking {
     /// Not now.
     No,
-    /// The attempt is slow: a hedge is worth it.
+    /// The attempt is slow: a hedged request may be faster.
     Slow,
     /// The attempt is likely lost with its engine.
     Lost,
@@ -55,8 +59,9 @@
     /// After its last attempt in flight ended: sends a request again, or answers it.
     pub(super) fn retry_or_reject(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let request = &self.requests[sequence];
-        let may_open =
-            |engine: usize| self.may_send(sequence, engine) || self.engines[engine].started.is_some();
+        let may_open = |engine: usize| {
+            self.may_send(sequence, engine) || self.engines[engine].started.is_some()
+        };
         let has_engine = self.ranked_engines(request).into_iter().any(may_open);
         let is_late = self.clock.now.plus(ANSWER_MARGIN) >= request.deadline;
         let out_of_tokens = request.last_attempt_took_work() && !self.retries.has_token();
@@ -68,15 +73,23 @@
         }
     }
 
-    /// Whether a request in an engine's queue is too late to be in time: it keeps its place from one that could be,
-    /// and no work is lost with it.
+    /// Whether a request in an engine's queue is too late to be in time: it keeps its place from
+    /// one that could be, and no work is lost with it.
     pub(super) fn is_hopeless_in_queue(&self, sequence: u64) -> bool {
         let request = &self.requests[sequence];
-        !self.can_be_in_time(request) && !request.answered && self.class(request).repeat == Repeat::Safe
+        !self.can_be_in_time(request)
+            && !request.answered
+            && self.class(request).repeat == Repeat::Safe
     }
 
-    /// Cancels an attempt in an engine's queue if another engine has room: a place in the queue is lost, no work.
-    pub(super) fn leave_engine_queue(&mut self, sequence: u64, attempt: Attempt, actions: &mut Vec<Action>) {
+    /// Cancels an attempt in an engine's queue if another engine has room: a place in the queue is
+    /// lost, no work.
+    pub(super) fn leave_engine_queue(
+        &mut self,
+        sequence: u64,
+        attempt: Attempt,
+        actions: &mut Vec<Action>,
+    ) {
         let request = &self.requests[sequence];
         let threads = self.threads(request);
         let is_better = |engine: usize| {
@@ -84,28 +97,29 @@
                 && self.engines[engine].health.health == Health::Healthy
                 && !self.past_thread_bound(engine, threads)
         };
-        if request.attempts.len() < MAX_QUEUE_MOVES && self.ranked_engines(request).into_iter().any(is_better)
+        if request.attempts.len() < MAX_QUEUE_MOVES
+            && self.ranked_engines(request).into_iter().any(is_better)
         {
             self.cancel_and_resend(sequence, attempt, actions);
         }
     }
 
-    /// Cancels an attempt that seems to run with a bad plan. A further attempt draws a new plan; each earlier cancel
-    /// speaks for a long query instead.
+    /// Cancels an attempt that seems to run with a bad plan, by the share of its work that is done.
+    /// A further attempt draws a new plan; each earlier cancel makes a long query likelier instead.
     pub(super) fn resend_if_slow(
         &mut self,
         sequence: u64,
-        attempt: Attempt,
-        total_ms: f64,
-        left_ms: f64,
-        expected_ms: f64,
+        attempt: &AttemptSnapshot,
+        share_done: f64,
         actions: &mut Vec<Action>,
     ) {
         let attempts = &self.requests[sequence].attempts;
         let cancels = attempts.iter().filter(|attempt| attempt.cancelled).count();
-        let slow_from_ms = BAD_PLAN_FACTOR * (1.0 + cancels as f64) * expected_ms;
-        if total_ms > slow_from_ms && left_ms > BAD_PLAN_LEFT_FACTOR * expected_ms {
-            self.cancel_and_resend(sequence, attempt, actions);
+        let total_ms = attempt.age_ms / share_done.clamp(LEAST_SHARE_DONE, 1.0);
+        let left_ms = total_ms - attempt.age_ms;
+        let slow_from_ms = BAD_PLAN_FACTOR * (1.0 + cancels as f64) * attempt.expected_ms;
+        if total_ms > slow_from_ms && left_ms > BAD_PLAN_LEFT_FACTOR * attempt.expected_ms {
+            self.cancel_and_resend(sequence, attempt.number, actions);
         }
     }
 
@@ -118,7 +132,10 @@
             && self.retry_budget_allows();
         let is_open = !attempt.cancelled && !request.answered;
         if self.settings.cancel && may_repeat && is_open && self.retries.has_token() {
-            actions.push(Action::Cancel { request: request.request.id.clone(), attempt: number });
+            actions.push(Action::Cancel {
+                request: request.request.id.clone(),
+                attempt: number,
+            });
             self.requests.get_mut(sequence).attempts[number.0 as usize].cancelled = true;
         }
     }
@@ -142,22 +159,33 @@
     fn lagging_attempts(&self) -> Vec<LaggingAttempt> {
         let mut lagging = Vec::new();
         for (sequence, request) in self.requests.iter() {
-            let in_flight = request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight());
+            let in_flight = request
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, attempt)| attempt.in_flight());
             for (number, attempt) in in_flight {
                 let count_silence = self.is_newly_silent(attempt);
                 let overtaking = self.overtaking(request, attempt);
                 if count_silence || overtaking != Overtaking::No {
-                    lagging.push(LaggingAttempt { sequence, number, count_silence, overtaking });
+                    lagging.push(LaggingAttempt {
+                        sequence,
+                        number,
+                        count_silence,
+                        overtaking,
+                    });
                 }
             }
         }
         lagging
     }
 
-    /// Silence after which an attempt has missed a note, in milliseconds.
+    /// Silence after which an attempt has missed a report of progress, in milliseconds.
     fn sure_silence_ms(&self) -> f64 {
         let interval = self.settings.progress_interval;
-        interval.map_or(f64::INFINITY, |every| every.as_millis() * SILENCE_FACTOR + SILENCE_ALLOWANCE_MS)
+        interval.map_or(f64::INFINITY, |every| {
+            every.as_millis() * SILENCE_FACTOR + SILENCE_ALLOWANCE_MS
+        })
     }
 
     /// Time after which a light attempt is hedged, in milliseconds.
@@ -185,15 +213,21 @@
         }
     }
 
-    /// Its engine is out of use, twice the patience is over, or it has missed a note of its own.
-    fn is_likely_lost(&self, request: &TrackedRequest, attempt: &TrackedAttempt, age_ms: f64) -> bool {
+    /// Its engine is out of use, twice the patience is over, or it has missed a report of progress.
+    fn is_likely_lost(
+        &self,
+        request: &TrackedRequest,
+        attempt: &TrackedAttempt,
+        age_ms: f64,
+    ) -> bool {
         let health = self.engines[attempt.engine].health.health;
         let is_out = matches!(health, Health::Ejected(_)) || self.zone_is_lost(attempt.engine);
         let quiet_ms = self.clock.since(attempt.last_progress).as_millis();
-        let out_of_patience =
-            self.is_light(request) && !attempt.waits && age_ms > 2.0 * Gateway::hedge_after_ms(attempt);
-        let missed_note = !attempt.waits && quiet_ms > self.sure_silence_ms();
-        (is_out && age_ms > attempt.expected_ms * 1.5) || out_of_patience || missed_note
+        let out_of_patience = self.is_light(request)
+            && !attempt.waits
+            && age_ms > 2.0 * Gateway::hedge_after_ms(attempt);
+        let missed_report = !attempt.waits && quiet_ms > self.sure_silence_ms();
+        (is_out && age_ms > attempt.expected_ms * 1.5) || out_of_patience || missed_report
     }
 
     /// Counts an attempt's silence against its engine and zone.
@@ -201,7 +235,10 @@
         let attempt = &mut self.requests.get_mut(lagging.sequence).attempts[lagging.number];
         attempt.silence_counted = true;
         let engine = attempt.engine;
-        self.health.zones.zone_mut(&self.engines[engine].entry.zone).engine_lost(engine);
+        self.health
+            .zones
+            .zone_mut(&self.engines[engine].entry.zone)
+            .engine_lost(engine);
         self.bad_sign(engine, Suspicion::SilentWithWork, actions);
     }
 
@@ -218,7 +255,10 @@
         let mut candidates = self.ranked_engines(request);
         candidates.retain(|engine| *engine != current && self.is_usable(sequence, *engine));
         let threads = self.threads(request);
-        let with_room = candidates.iter().copied().find(|engine| !self.past_thread_bound(*engine, threads));
+        let with_room = candidates
+            .iter()
+            .copied()
+            .find(|engine| !self.past_thread_bound(*engine, threads));
         let urgent = is_lost && self.is_light(request);
         let fallback = candidates.first().copied().filter(|_| urgent);
         if let Some(engine) = with_room.or(fallback) {
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,4 +1,4 @@
-//! What the module is told: the list of engines, requests, and how attempts go and end.
+//! Events: the engine list, requests, and how attempts go and end.
 
 use crate::{Attempt, ClassId, EngineId, Micros, RequestId, TimerId};
 use std::collections::BTreeMap;
@@ -93,12 +93,18 @@
 impl Outcome {
     /// Whether the attempt has certainly not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 
     /// Whether the engine may still be at work on it.
     pub fn may_still_run(self) -> bool {
-        matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+        matches!(
+            self,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        )
     }
 }
 
@@ -162,7 +168,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// What a gateway is told.
+/// An event that a gateway takes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The engine list, or changes to it.
--- a/crates/decisions/src/settings/class.rs
+++ b/crates/decisions/src/settings/class.rs
@@ -19,9 +19,17 @@
 }
 
 impl Repeat {
-    /// Whether a rejection is harmless though an attempt may have run: every engine serves or drops a repeat.
+    /// Whether a rejection is harmless though an attempt may have run: every engine serves or drops
+    /// a repeat.
     pub fn may_be_refused(self) -> bool {
-        matches!(self, Repeat::Safe | Repeat::Keyed { group: RepeatGroup::All, .. })
+        matches!(
+            self,
+            Repeat::Safe
+                | Repeat::Keyed {
+                    group: RepeatGroup::All,
+                    ..
+                }
+        )
     }
 }
 
@@ -63,12 +71,13 @@
     pub threads: f64,
     /// Whether it holds its table group on its engine while it runs.
     pub holds_tables: bool,
-    /// Whether it stands still while such a holder runs on its table group there.
+    /// Whether it waits on an engine while such a holder of its table group runs there.
     pub waits_for_holder: bool,
 }
 
 impl ClassSettings {
-    /// A safe class on one thread with no bound of place or order; aim and deadline as given.
+    /// An idempotent class on one thread with no bound of place or order; latency objective and
+    /// deadline as given.
     pub fn plain(name: &str, latency_objective: Micros, deadline: Micros) -> ClassSettings {
         ClassSettings {
             name: name.to_owned(),
--- a/crates/decisions/src/state/clock.rs
+++ b/crates/decisions/src/state/clock.rs
@@ -2,7 +2,8 @@
 
 use crate::Micros;
 
-/// A gap between two events after which the gateway counts as stalled; its timer fires ten times in it.
+/// A gap between two events after which the gateway counts as stalled; its timer fires ten times in
+/// it.
 const STALL_THRESHOLD: Micros = Micros::from_millis(250);
 
 /// Time by the events that came.
@@ -23,7 +24,7 @@
 }
 
 impl Clock {
-    /// Moves on to the time of an event and notes a stall before it.
+    /// Moves on to the time of an event and records a stall before it.
     pub fn advance(&mut self, now: Micros) {
         let gap = self.started_at.map_or(Micros(0), |_| now.since(self.now));
         if gap > STALL_THRESHOLD {
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -1,12 +1,12 @@
-//! What says that a zone is lost with all its engines.
+//! Signs that a zone is lost with all its engines.
 
 use crate::{Micros, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What speaks against one zone.
+/// Signs for and against one zone.
 #[derive(Default)]
 pub struct ZoneHealth {
-    /// Engines lost since anything came from the zone.
+    /// Engines lost since the last sign of life from the zone.
     lost_engines: BTreeSet<usize>,
     trials: u32,
     next_trial: Micros,
@@ -20,12 +20,13 @@
         self.lost_engines.clear();
     }
 
-    /// An engine took no connection, or missed a progress note that was due.
+    /// An engine took no connection, or missed a report of progress that was due.
     pub fn engine_lost(&mut self, engine: usize) {
         self.lost_engines.insert(engine);
     }
 
-    /// An attempt ended there. Time-outs, resets and cancels may come from an engine that is silent: no sign.
+    /// An attempt ended there. Time-outs, resets and cancels may come from an engine that is
+    /// silent: no sign.
     pub fn attempt_ended(&mut self, engine: usize, outcome: Outcome) {
         if outcome.may_still_run() || outcome == Outcome::NotSent {
             return;
@@ -54,16 +55,22 @@
         if !self.0.contains_key(zone) {
             self.0.insert(zone.to_owned(), ZoneHealth::default());
         }
-        self.0.get_mut(zone).expect("inserted above if it was absent")
+        self.0
+            .get_mut(zone)
+            .expect("inserted above if it was absent")
     }
 
     /// How many engines of a zone are lost, with nothing from it since.
     pub fn lost_engines(&self, zone: &str) -> usize {
-        self.0.get(zone).map_or(0, |health| health.lost_engines.len())
+        self.0
+            .get(zone)
+            .map_or(0, |health| health.lost_engines.len())
     }
 
     /// Whether the next trial of a zone is due.
     pub fn trial_due(&self, zone: &str, now: Micros) -> bool {
-        self.0.get(zone).is_none_or(|health| now >= health.next_trial)
+        self.0
+            .get(zone)
+            .is_none_or(|health| now >= health.next_trial)
     }
 }
