--- a/fuzz/fuzz_targets/operator_file.rs
+++ b/fuzz/fuzz_targets/operator_file.rs
@@ -2,7 +2,7 @@
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|text: &str| {
-    if let Err(e) = beamgap::node::operator::read("x.hcl", text) {
+    if let Err(e) = beamgap::node::config::read_operator_file("x.hcl", text) {
         assert!(e.place.is_some_and(|place| place.starts_with("x.hcl:")));
     }
 });
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -7,7 +7,7 @@
 use beamgap::fleet::message::{decode, encode, FleetRequest, FleetResponse};
 use beamgap::fleet::settings::{self, FleetSettings};
 use beamgap::fleet::test_hooks::{machine_clock, TestHooks};
-use beamgap::node::operator;
+use beamgap::node::{config, operator};
 use beamgap_consensus::{InjectedBugs, LeaderClient, Settings};
 use std::path::Path;
 use std::process::ExitCode;
@@ -46,7 +46,7 @@
 /// The `fleet` block of an operator's file.
 fn fleet_of(path: &Path) -> Result<FleetSettings, End> {
     let name = path.display().to_string();
-    let document = operator::read(&name, &text_of(path)?).map_err(unusable)?;
+    let document = config::read_operator_file(&name, &text_of(path)?).map_err(unusable)?;
     let root = beamgap::node::json::read(document.root.json().into_bytes()).map_err(unusable)?;
     let Some(block) = simd_json::prelude::ValueObjectAccess::get(&root, "fleet") else {
         return Err(unusable(format!("{name}: has no `fleet` block; add one, docs/policy.md shows it")));
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,18 +1,31 @@
-//! The `fleet` block: which fleet, who decides, where, and the fleet's figures of time.
+//! The `fleet` section: which fleet, its voters, this member's part, and the fleet's timings.
+//!
+//! Operators know a voter as a decider, its slot as its seat, and an admission lease as a right.
 
 use super::tasks::read as tasks;
 use super::test_hooks::TestHooks;
-use crate::node::config::ConfigError;
-use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
+use crate::node::json::{OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
+use crate::node::section::{number_of, wrong as wrong_at, Bounds, ReadResult};
 use beamgap_config::schema::{Block, Key, Shape};
-use beamgap_consensus::{VoterSlot, SLOT_STRIDE};
-use beamgap_leases::spec::Spec;
-use beamgap_policy::switch::state::good_name;
-use beamgap_policy::switch::Times;
+use beamgap_consensus::VoterSlot;
+use beamgap_fleet_types::is_valid_name;
+use beamgap_leases::spec::Spec as TaskSpec;
+use beamgap_policy::switch::Times as PolicyTimings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// Slots of voters.
+const SLOT_BOUNDS: Bounds = Bounds { least: 1.0, most: 99.0 };
+/// Length of a change's switch, in milliseconds.
+const SWITCH_BOUNDS: Bounds = Bounds { least: 200.0, most: 60_000.0 };
+/// Length of an admission lease, in milliseconds.
+const LEASE_BOUNDS: Bounds = Bounds { least: 1_000.0, most: 600_000.0 };
+/// Time for members to validate a change, in milliseconds.
+const VALIDATION_BOUNDS: Bounds = Bounds { least: 200.0, most: 60_000.0 };
+/// Drift of clocks, as a fraction.
+const DRIFT_BOUNDS: Bounds = Bounds { least: 0.0, most: 0.2 };
+
 /// How a front end takes part in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
@@ -20,26 +33,26 @@
     pub name: String,
     /// This member's name.
     pub member: String,
-    /// The deciders by their seats.
+    /// The voters' addresses by slot.
     pub voters: BTreeMap<VoterSlot, SocketAddr>,
-    /// This member's seat, if it decides.
+    /// This member's slot, if it is a voter.
     pub slot: Option<VoterSlot>,
-    /// Where it listens for the others, if it decides.
+    /// The address that it listens on for other members, if it is a voter.
     pub listen: Option<SocketAddr>,
-    /// Where it keeps what was agreed on, if it decides.
+    /// Its data folder, if it is a voter.
     pub data_dir: Option<PathBuf>,
-    /// The fleet's figures, used when it is founded.
-    pub timings: Times,
-    /// The tasks of its file, for `beamgap task apply`.
-    pub tasks: Vec<Spec>,
+    /// The timings that the fleet gets when it is bootstrapped.
+    pub timings: PolicyTimings,
+    /// The tasks of the operator's file, for `beamgap task apply`.
+    pub tasks: Vec<TaskSpec>,
     /// What a test has set.
     pub test_hooks: TestHooks,
 }
 
-/// What may stand in the block.
+/// What may stand in the operator's block.
 pub fn schema() -> Block {
     let key = |name, setting, shape| Key { name, setting, shape, needed: false };
-    let decider = Block {
+    let voter = Block {
         name: "decider",
         setting: "deciders",
         many: true,
@@ -47,13 +60,14 @@
         keys: vec![Key { needed: true, ..key("address", "address", Shape::Address) }],
         blocks: Vec::new(),
     };
+    let Bounds { least, most } = SLOT_BOUNDS;
     Block {
         name: "fleet",
         setting: "fleet",
         keys: vec![
             Key { needed: true, ..key("name", "name", Shape::Text) },
             key("member", "member", Shape::Text),
-            key("seat", "seat", Shape::Count { least: 1.0, most: 99.0 }),
+            key("seat", "seat", Shape::Count { least, most }),
             key("listen", "listen", Shape::Address),
             key("folder", "folder", Shape::Text),
             key("switch_bound", "switch_ms", Shape::Duration),
@@ -62,107 +76,137 @@
             key("drift", "drift", Shape::Share),
             key("plaintext_beyond_loopback", "plaintext_beyond_loopback", Shape::Flag),
         ],
-        blocks: vec![decider, tasks::schema()],
+        blocks: vec![voter, tasks::schema()],
         ..Block::default()
     }
 }
 
-fn wrong<T>(key: &str, problem: impl Into<String>) -> Result<T, ConfigError> {
-    Err(ConfigError::new(format!("fleet.{key}"), problem))
+fn wrong<T>(key: &str, problem: impl Into<String>) -> ReadResult<T> {
+    wrong_at(&format!("fleet.{key}"), problem)
 }
 
-/// Reads the block. `node` is the front end's name, which is the member's where the block names none.
+/// Reads the section. `node` is the front end's name, which is the member's where the section names none.
+///
+/// # Errors
+/// The first setting that is missing or wrong.
 pub fn read(
     fleet: &OwnedValue,
     node: &str,
     env: &dyn Fn(&str) -> Option<String>,
-) -> Result<FleetSettings, ConfigError> {
-    let text = |key: &str| fleet.get(key).and_then(|v| v.as_str());
-    let number = |key: &str, absent: f64, least: f64, most: f64| match fleet.get(key).map(json::number) {
-        None => Ok(absent),
-        Some(Some(n)) if (least..=most).contains(&n) => Ok(n),
-        Some(_) => wrong(key, format!("is not from {least} to {most}")),
-    };
-    let Some(name) = text("name").filter(|name| good_name(name)) else {
+) -> ReadResult<FleetSettings> {
+    let Some(name) = text(fleet, "name").filter(|name| is_valid_name(name)) else {
         return wrong("name", "is not 1 to 64 letters, digits, dots and dashes");
     };
-    let member = text("member").unwrap_or(node);
-    if !good_name(member) {
+    let member = text(fleet, "member").unwrap_or(node);
+    if !is_valid_name(member) {
         return wrong("member", format!("is '{member}', not 1 to 64 letters, digits, dots and dashes"));
     }
-    let open = fleet.get("plaintext_beyond_loopback").and_then(|v| v.as_bool()).unwrap_or(false);
-    let address = |key: &str, text: &str| {
-        let Ok(address) = text.parse::<SocketAddr>() else {
-            return wrong(key, format!("is '{text}', not an address with a port"));
-        };
-        if !address.ip().is_loopback() && !open {
-            let problem =
-                "is beyond loopback, and links are neither secret nor signed in to; use 127.0.0.1, or say \
-                           `plaintext_beyond_loopback = true` if nobody else reaches that network";
-            return wrong(key, problem);
-        }
-        Ok(address)
+    let voters = read_voters(fleet)?;
+    let slot = read_slot(fleet)?;
+    let data_dir = text(fleet, "folder").map(PathBuf::from);
+    let listen = read_listen(fleet, &voters, slot, data_dir.is_some())?;
+    let timings = read_timings(fleet)?;
+    let test_hooks = TestHooks::from_env(env).or_else(|error| wrong("trial", error.to_string()))?;
+    Ok(FleetSettings {
+        name: name.to_owned(),
+        member: member.to_owned(),
+        voters,
+        slot,
+        listen,
+        data_dir,
+        timings,
+        tasks: tasks::read(fleet)?,
+        test_hooks,
+    })
+}
+
+fn text<'a>(section: &'a OwnedValue, key: &str) -> Option<&'a str> {
+    section.get(key).and_then(|value| value.as_str())
+}
+
+fn number(fleet: &OwnedValue, key: &str, default: f64, bounds: Bounds) -> ReadResult<f64> {
+    number_of(fleet, key, &format!("fleet.{key}"), default, bounds)
+}
+
+/// An address that other members reach. Beyond loopback the section must allow it.
+fn read_address(fleet: &OwnedValue, key: &str, text: &str) -> ReadResult<SocketAddr> {
+    let Ok(address) = text.parse::<SocketAddr>() else {
+        return wrong(key, format!("is '{text}', not an address with a port"));
     };
-    let mut deciders = BTreeMap::new();
-    let list = fleet.get("deciders").and_then(|list| list.as_array()).map_or(&[][..], |list| list.as_slice());
-    for (i, decider) in list.iter().enumerate() {
-        let at = |key: &str| format!("deciders[{i}].{key}");
-        let of = |key: &str| decider.get(key).and_then(|v| v.as_str()).unwrap_or_default();
-        let seat = of("seat").parse::<VoterSlot>().ok().filter(|seat| (1..SLOT_STRIDE).contains(seat));
-        let Some(seat) = seat.filter(|seat| *seat < 100 && !deciders.contains_key(seat)) else {
-            return wrong(
-                &at("seat"),
-                format!("is '{}', not a number from 1 to 99 that stands once", of("seat")),
-            );
+    let allows_plaintext = fleet.get("plaintext_beyond_loopback").and_then(|value| value.as_bool());
+    if !address.ip().is_loopback() && allows_plaintext != Some(true) {
+        let problem =
+            "is beyond loopback, and links are neither secret nor signed in to; use 127.0.0.1, or say \
+                       `plaintext_beyond_loopback = true` if nobody else reaches that network";
+        return wrong(key, problem);
+    }
+    Ok(address)
+}
+
+fn read_voters(fleet: &OwnedValue) -> ReadResult<BTreeMap<VoterSlot, SocketAddr>> {
+    let list = fleet.get("deciders").and_then(|list| list.as_array());
+    let list = list.map_or(&[][..], |list| list.as_slice());
+    let mut voters = BTreeMap::new();
+    for (i, voter) in list.iter().enumerate() {
+        let slot_text = text(voter, "seat").unwrap_or_default();
+        let slot = slot_text.parse::<VoterSlot>().ok();
+        let slot = slot.filter(|slot| (1..=99).contains(slot) && !voters.contains_key(slot));
+        let Some(slot) = slot else {
+            let problem = format!("is '{slot_text}', not a number from 1 to 99 that stands once");
+            return wrong(&format!("deciders[{i}].seat"), problem);
         };
-        deciders.insert(seat, address(&at("address"), of("address"))?);
+        let address = text(voter, "address").unwrap_or_default();
+        voters.insert(slot, read_address(fleet, &format!("deciders[{i}].address"), address)?);
     }
-    if !matches!(deciders.len(), 1 | 3 | 5) {
-        let n = deciders.len();
-        return wrong(
-            "deciders",
-            format!("are {n}; write three or five decider blocks (one for trying out)"),
-        );
+    let count = voters.len();
+    if !matches!(count, 1 | 3 | 5) {
+        let problem = format!("are {count}; write three or five decider blocks (one for trying out)");
+        return wrong("deciders", problem);
     }
-    let seat = number("seat", 0.0, 1.0, 99.0)? as VoterSlot;
-    let seat = (seat > 0).then_some(seat);
-    let folder = text("folder").map(PathBuf::from);
-    let listen = match (seat, text("listen")) {
-        (None, Some(_)) => return wrong("listen", "is for deciders; give it a seat, or take this out"),
-        (None, None) => None,
-        (Some(seat), listen) => {
-            let Some(known) = deciders.get(&seat) else {
-                return wrong("seat", format!("is {seat}, which no decider block names"));
-            };
-            if folder.is_none() {
-                return wrong(
-                    "folder",
-                    "is missing: a decider keeps what was agreed on; add `folder = \"PATH\"`",
-                );
-            }
-            Some(listen.map_or(Ok(*known), |text| address("listen", text))?)
+    Ok(voters)
+}
+
+fn read_slot(fleet: &OwnedValue) -> ReadResult<Option<VoterSlot>> {
+    let slot = number(fleet, "seat", 0.0, SLOT_BOUNDS)? as VoterSlot;
+    Ok((slot > 0).then_some(slot))
+}
+
+/// The address that a voter listens on: its own setting, or that of its slot.
+fn read_listen(
+    fleet: &OwnedValue,
+    voters: &BTreeMap<VoterSlot, SocketAddr>,
+    slot: Option<VoterSlot>,
+    has_data_dir: bool,
+) -> ReadResult<Option<SocketAddr>> {
+    let listen = text(fleet, "listen");
+    let Some(slot) = slot else {
+        if listen.is_some() {
+            return wrong("listen", "is for deciders; give it a seat, or take this out");
         }
+        return Ok(None);
+    };
+    let Some(address) = voters.get(&slot) else {
+        return wrong("seat", format!("is {slot}, which no decider block names"));
     };
-    let usual = Times::default();
-    let times = Times {
-        switch_bound: number("switch_ms", usual.switch_bound, 200.0, 60_000.0)?,
-        right: number("right_ms", usual.right, 1_000.0, 600_000.0)?,
-        check: number("check_ms", usual.check, 200.0, 60_000.0)?,
-        drift: number("drift", usual.drift, 0.0, 0.2)?,
+    if !has_data_dir {
+        return wrong("folder", "is missing: a decider keeps what was agreed on; add `folder = \"PATH\"`");
+    }
+    match listen {
+        Some(text) => read_address(fleet, "listen", text).map(Some),
+        None => Ok(Some(*address)),
+    }
+}
+
+fn read_timings(fleet: &OwnedValue) -> ReadResult<PolicyTimings> {
+    let default = PolicyTimings::default();
+    let timings = PolicyTimings {
+        switch_bound: number(fleet, "switch_ms", default.switch_bound, SWITCH_BOUNDS)?,
+        right: number(fleet, "right_ms", default.right, LEASE_BOUNDS)?,
+        check: number(fleet, "check_ms", default.check, VALIDATION_BOUNDS)?,
+        drift: number(fleet, "drift", default.drift, DRIFT_BOUNDS)?,
     };
-    if times.right < 2.0 * times.switch_bound {
+    if timings.right < 2.0 * timings.switch_bound {
         return wrong("right_ms", "is under twice the switch_bound: a leader's death would stop the fleet");
     }
-    let test_hooks = TestHooks::from_env(env).or_else(|e| wrong("trial", e.to_string()))?;
-    Ok(FleetSettings {
-        name: name.to_owned(),
-        member: member.to_owned(),
-        voters: deciders,
-        slot: seat,
-        listen,
-        data_dir: folder,
-        timings: times,
-        tasks: tasks::read(fleet)?,
-        test_hooks,
-    })
+    Ok(timings)
 }
--- a/src/fleet/tasks/read.rs
+++ b/src/fleet/tasks/read.rs
@@ -1,7 +1,7 @@
 //! The `task` blocks of the operator's file. They take effect by `beamgap task apply`, for the whole fleet.
 
-use crate::node::config::ConfigError;
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
+use crate::node::section::ConfigError;
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_leases::spec::{Spec, Unknown, When};
 use beamgap_leases::{STEPS_MOST, TASKS_MOST};
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,8 +5,7 @@
 mod log;
 mod run;
 
-use beamgap::node::config::Config;
-use beamgap::node::operator;
+use beamgap::node::config::{read_operator_file, Config};
 use beamgap_xds::client::watch;
 use beamgap_xds::core::stream::Variant;
 use clap::Parser;
@@ -42,7 +41,7 @@
     let name = check.file.display().to_string();
     let hcl = check.file.extension().is_some_and(|e| e == "hcl");
     let checked = match (hcl, &check.config) {
-        (true, None) => operator::read(&name, &text(&check.file)?).map(|_| ()),
+        (true, None) => read_operator_file(&name, &text(&check.file)?).map(|_| ()),
         (true, Some(config)) => {
             let (config, operator) = (text(config)?, text(&check.file)?);
             Config::read_both(config.into_bytes(), Some((&name, &operator)), &env).map(|_| ())
--- a/src/node/config/known.rs
+++ b/src/node/config/known.rs
@@ -1,9 +1,13 @@
 //! The bulletin's events of the start, in JSON.
 
-use super::*;
+use crate::node::bulletin::{Listing, News};
+use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
+use crate::node::section::{address, wrong, ReadResult};
+use crate::{EngineId, ListKind, Member, MemberState};
+use std::sync::Arc;
 
 /// Reads `known`: the bulletin's events so far, in JSON.
-pub(super) fn read_known(known: &OwnedValue) -> Read<Vec<News>> {
+pub(super) fn read_known(known: &OwnedValue) -> ReadResult<Vec<News>> {
     let Some(items) = known.get("items").and_then(|items| items.as_array()) else {
         return wrong("known.items", "is not a list");
     };
@@ -32,7 +36,7 @@
     Ok(news)
 }
 
-fn read_target(target: &OwnedValue, path: &str) -> Read<Listing> {
+fn read_target(target: &OwnedValue, path: &str) -> ReadResult<Listing> {
     let at = |key: &str| format!("{path}.{key}");
     let text = |key: &str| match target.get(key).and_then(|v| v.as_str()) {
         Some(text) => Ok(text),
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -1,69 +1,53 @@
-//! The one place where settings are read, checked and given defaults. Every error names the faulty key.
+//! The one place where the settings are read as a whole: it joins the sections, each of which is read, checked and given
+//! its defaults by a module of its own. Every error names the faulty key.
 
+mod control;
 mod known;
 pub mod mysql;
+mod pairs;
+mod schema;
 mod xds;
 
-use super::bulletin::{Listing, News};
-use super::json::{self, *};
+use super::bulletin::News;
+use super::json::{self, OwnedValue, ValueAsObject, ValueAsScalar, ValueObjectAccess};
 use super::operator;
+use super::section::{address, text_of, wrong, ReadResult};
+use crate::fleet::settings as fleet_settings;
 use crate::settings::read as read_settings;
-use crate::{ClassId, EngineId, ListKind, Member, MemberState, Micros, Repeat, Settings};
-use beamgap_xds::core::picture::{ColdTerms, Listener, Terms};
+use crate::{KindSettings, Micros, Settings};
+use beamgap_config::schema::Block;
+use beamgap_config::Document;
 use beamgap_xds::transport::Service;
+pub use control::ControlSettings;
 use known::read_known;
 use mysql::read_mysql;
 pub use mysql::{Account, MysqlSettings, OrderBy, Rule};
-use std::collections::{BTreeMap, HashMap};
-use std::fmt;
+use pairs::Pairs;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::sync::Arc;
-use xds::read_xds;
 
-const SOCKETS: f64 = 1024.0; // where no limit is told: the usual soft limit of a process
-const MEMORY_MB: f64 = 192.0; // where no limit is told: the least that the platform gives
-const DIAL_MS: f64 = 250.0; // where no time-out for connecting is told
-const IDLE_MS: f64 = 15_000.0; // where it is not told when idle connections are closed
-const STREAMS: f64 = 100.0; // attempts on one connection, where not told
-const BOX_CONNECTIONS: usize = 48; // to one MySQL box, where not told: six sessions on each of eight cores
-const OPEN_MOST: f64 = 30_000.0; // open requests, where not told
-const REST_MORE: Micros = Micros::from_millis(100); // that a key rests longer: what ended here may end there later
-const BACKOFF_MOST: Micros = Micros::from_millis(1000); // longest advice to a refused client, where not told
+pub use super::section::ConfigError;
 
-/// A setting that is missing or wrong.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigError {
-    /// The faulty key, as a path.
-    pub key: String,
-    /// What is wrong with it, and what to do where that can be told.
-    pub problem: String,
-    /// Where it stands, as `FILE:LINE:COLUMN`, if that is in an operator's file.
-    pub place: Option<String>,
-}
-
-impl ConfigError {
-    /// An error at a key, of which no place is known.
-    pub fn new(key: impl Into<String>, problem: impl Into<String>) -> ConfigError {
-        ConfigError { key: key.into(), problem: problem.into(), place: None }
-    }
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let place = self.place.iter().map(|place| format!("{place}: ")).collect::<String>();
-        write!(f, "config: {place}{} {}", self.key, self.problem)
-    }
-}
-
-impl std::error::Error for ConfigError {}
-
-type Read<T> = Result<T, ConfigError>;
-
-fn wrong<T>(key: &str, problem: impl Into<String>) -> Read<T> {
-    Err(ConfigError::new(key, problem))
-}
+/// File descriptors where no limit is given: the usual soft limit of a process.
+const DEFAULT_SOCKETS: f64 = 1024.0;
+/// Fewest file descriptors to serve with.
+const MIN_SOCKETS: usize = 32;
+/// Memory where no limit is given, in megabytes: the least that the platform gives.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+/// Time to connect where none is given, in milliseconds.
+const DEFAULT_DIAL_MS: f64 = 250.0;
+/// Time after which engines close an idle connection, where none is given, in milliseconds.
+const DEFAULT_IDLE_MS: f64 = 15_000.0;
+/// Attempts on one connection where no number is given.
+const DEFAULT_STREAMS: f64 = 100.0;
+/// Open requests where no limit is given.
+const DEFAULT_MAX_OPEN: f64 = 30_000.0;
+/// Addition to the rest of an ordered key: what ended here may end later at the engine.
+const EXTRA_KEY_REST: Micros = Micros::from_millis(100);
+/// Longest Retry-After of a rejection where none is given.
+const DEFAULT_MAX_RETRY_AFTER: Micros = Micros::from_millis(1000);
 
-/// Everything that the node is told at its start.
+/// The settings of the node.
 #[derive(Clone)]
 pub struct Config {
     /// The node's name, for its log.
@@ -101,134 +85,124 @@
     /// The service for proxies over xDS; none if it is off.
     pub xds: Option<Service>,
     /// How it takes part in a fleet; not at all unless an operator's file says so.
-    pub fleet: Option<crate::fleet::settings::FleetSettings>,
+    pub fleet: Option<fleet_settings::FleetSettings>,
     /// What of the settings has no use here, and what is assumed where they say nothing: lines for the log.
     pub fit: Vec<String>,
     /// The file's keys that count at the start only, to see on a reload which of them have changed.
     pub at_start: BTreeMap<String, OwnedValue>,
 }
 
-/// Where balancers and proxies ask.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct ControlSettings {
-    /// Health over HTTP, and xDS.
-    pub http: Option<SocketAddr>,
-    /// The agent check.
-    pub agent: Option<SocketAddr>,
-    /// The name of the cluster that xDS tells of.
-    pub cluster: String,
+/// The platform's part of the settings.
+struct PlatformSettings {
+    pairs: Pairs,
+    module: Settings,
+    /// Lines for the log: what has no use here, and what is assumed.
+    notes: Vec<String>,
+}
+
+/// What may stand in an operator's file: the blocks of all sections.
+pub fn operator_schema() -> Block {
+    let blocks = vec![mysql::schema(), control::schema(), xds::schema(), fleet_settings::schema()];
+    Block { blocks, ..Block::default() }
+}
+
+/// Reads an operator's file by [`operator_schema`].
+///
+/// # Errors
+/// All that does not fit the schema.
+pub fn read_operator_file(file: &str, text: &str) -> ReadResult<Document> {
+    operator::read(file, text, &operator_schema())
 }
 
 impl Config {
     /// Reads the text of a configuration file. `env` gives the environment's variables: `NODE_LISTEN` stands in
     /// where the file names no address, and passwords stand only there.
-    pub fn read(text: Vec<u8>, env: &dyn Fn(&str) -> Option<String>) -> Read<Config> {
+    ///
+    /// # Errors
+    /// The first setting that is missing or wrong.
+    pub fn read(text: Vec<u8>, env: &dyn Fn(&str) -> Option<String>) -> ReadResult<Config> {
         Config::read_both(text, None, env)
     }
 
-    /// Likewise, with an operator's file in HCL: its name and its text. What that holds stands in neither file twice.
+    /// Likewise, with an operator's file in HCL: its name and its text. No section may stand in both.
+    ///
+    /// # Errors
+    /// The first setting that is missing or wrong.
     pub fn read_both(
         text: Vec<u8>,
         operator: Option<(&str, &str)>,
         env: &dyn Fn(&str) -> Option<String>,
-    ) -> Read<Config> {
+    ) -> ReadResult<Config> {
         let mut root = json::read(text).or_else(|e| wrong("(file)", e))?;
-        let Some((file, text)) = operator else { return Config::of(&root, env) };
-        let document = operator::read(file, text)?;
-        let located = |e: ConfigError| operator::located(&document, e);
+        let Some((file, text)) = operator else { return Config::join(&root, env) };
+        let document = read_operator_file(file, text)?;
+        let located = |error: ConfigError| operator::located(&document, error);
         operator::merge(&document, &mut root).map_err(located)?;
-        Config::of(&root, env).map_err(located)
+        Config::join(&root, env).map_err(located)
     }
 
-    fn of(root: &OwnedValue, env: &dyn Fn(&str) -> Option<String>) -> Read<Config> {
-        if root.as_object().is_none() {
-            return wrong("(file)", "is not an object");
-        }
-        let Some(nested) = root.get("settings") else { return wrong("settings", "is missing") };
-        let mut pairs = HashMap::new();
-        flatten(nested, "", &mut pairs);
-        let (mut settings, fit) =
-            read_settings(&pairs).or_else(|e| wrong("settings", format!("are wrong: {}", e.0)))?;
-        // A refusal always says when to come back, whether or not the simulator's clients are told.
-        let told = figure(&pairs, "Limits.MaxRetryAfter", 0.0)?;
-        let most = if told > 0.0 { super::clock::to_micros(told) } else { BACKOFF_MOST };
-        settings.retry_after = Some(settings.retry_after.unwrap_or(most));
-        if settings.classes.iter().any(|c| c.in_order) {
-            settings.key_rest = settings.key_rest.plus(REST_MORE);
-        }
-        let zones = names(&pairs, "Azs");
-        let kinds = names(&pairs, "MachineTypes");
-        let mysql = match root.get("mysql") {
-            Some(mysql) => Some(read_mysql(mysql, &settings, env)?),
-            None => None,
-        };
-        // The platform's front is off only where an operator's file has the other one and no address for this.
-        let stand_in = env("NODE_LISTEN").filter(|_| mysql.is_none());
-        if root.get("listen").is_none() && stand_in.is_none() && mysql.is_none() {
-            return wrong("listen", "is missing");
-        }
-        let listen = match text_of(root, "listen")?.or(stand_in.as_deref()) {
-            Some(text) => Some(address(text, "listen")?),
-            None => None,
-        };
-        let seed = match text_of(root, "seed")? {
-            Some(hex) => u64::from_str_radix(hex, 16).or_else(|_| wrong("seed", "is not 16 hex digits"))?,
-            None => 0,
-        };
-        let limit = |name: &str, absent: f64| match root.get("limits").and_then(|l| l.get(name)) {
-            None => Ok(absent),
-            Some(value) => match json::number(value).filter(|v| *v > 0.0) {
-                Some(value) => Ok(value),
-                None => wrong(&format!("limits.{name}"), "is not a number above 0"),
-            },
-        };
+    /// Reads all sections.
+    fn join(root: &OwnedValue, env: &dyn Fn(&str) -> Option<String>) -> ReadResult<Config> {
+        let PlatformSettings { pairs, mut module, notes } = read_platform(root)?;
+        let mysql = root.get("mysql").map(|mysql| read_mysql(mysql, &module, env)).transpose()?;
+        let listen = read_listen(root, mysql.is_some(), env)?;
+        let seed = read_seed(root)?;
         let bulletin = text_of(root, "bulletin")?.map(|text| address(text, "bulletin")).transpose()?;
-        let control = read_control(root)?;
-        let xds = root.get("xds").map(|xds| read_xds(xds, &control, &settings)).transpose()?;
+        let control = control::read_control(root)?;
+        let xds = root.get("xds").map(|xds| xds::read_xds(xds, &control, &module)).transpose()?;
         if let Some(share) = xds.as_ref().and_then(|xds| xds.terms.cold).map(|cold| cold.proxy_share) {
             // To the module, the proxies are further gateways: it keeps to what is not theirs.
-            settings.gateways = (f64::from(settings.gateways) / (1.0 - share)).ceil() as u32;
+            module.gateways = (f64::from(module.gateways) / (1.0 - share)).ceil() as u32;
         }
         let mut config = Config {
             name: text_of(root, "name")?.unwrap_or("beamgap").to_owned(),
             listen,
             seed,
-            sockets: limit("sockets", SOCKETS)? as usize,
-            memory_mb: limit("memory_mb", MEMORY_MB)?,
+            sockets: read_limit(root, "sockets", DEFAULT_SOCKETS)? as usize,
+            memory_mb: read_limit(root, "memory_mb", DEFAULT_MEMORY_MB)?,
             bulletin,
             known: Vec::new(),
             last: 0,
-            settings,
-            zones,
-            dial_ms: figure(&pairs, "Limits.DialTimeout", DIAL_MS)?,
-            idle_ms: figure(&pairs, "Limits.ConnIdle", IDLE_MS)?,
-            streams: figure(&pairs, "Limits.StreamsPerConn", STREAMS)?.max(1.0) as usize,
-            open_most: figure(&pairs, "Limits.MaxOpen", OPEN_MOST)?.max(1.0) as usize,
+            settings: module,
+            zones: pairs.names("Azs"),
+            dial_ms: pairs.number("Limits.DialTimeout", DEFAULT_DIAL_MS)?,
+            idle_ms: pairs.number("Limits.ConnIdle", DEFAULT_IDLE_MS)?,
+            streams: pairs.number("Limits.StreamsPerConn", DEFAULT_STREAMS)?.max(1.0) as usize,
+            open_most: pairs.number("Limits.MaxOpen", DEFAULT_MAX_OPEN)?.max(1.0) as usize,
             mysql,
             control,
             xds,
             fleet: None,
-            fit,
+            fit: notes,
             at_start: at_start(root),
         };
         if let Some(fleet) = root.get("fleet") {
-            config.fleet = Some(crate::fleet::settings::read(fleet, &config.name, env)?);
+            config.fleet = Some(fleet_settings::read(fleet, &config.name, env)?);
         }
-        if config.sockets < 32 {
+        if config.sockets < MIN_SOCKETS {
             return wrong("limits.sockets", "is under 32, too few to serve with");
         }
-        for kind in kinds {
-            // The adapter's reading fills these too; kinds without cores or memory still have a place.
-            if !config.settings.kinds.iter().any(|k| k.name == kind) {
-                config.settings.kinds.push(crate::KindSettings { name: kind, cores: None, memory_mb: None });
+        config.add_kinds(pairs.names("MachineTypes"));
+        config.add_known(root)?;
+        Ok(config)
+    }
+
+    /// Adds the kinds of machines without cores or memory, which have a place too.
+    fn add_kinds(&mut self, names: Vec<String>) {
+        for name in names {
+            if !self.settings.kinds.iter().any(|kind| kind.name == name) {
+                self.settings.kinds.push(KindSettings { name, cores: None, memory_mb: None });
             }
         }
-        if let Some(known) = root.get("known") {
-            config.known = read_known(known)?;
-            let last = config.known.iter().map(|news| news.number).max().unwrap_or(0);
-            config.last = last.max(known.get("no").and_then(|no| no.as_u64()).unwrap_or(0));
-        }
-        Ok(config)
+    }
+
+    /// Adds the events that are known at the start.
+    fn add_known(&mut self, root: &OwnedValue) -> ReadResult<()> {
+        let Some(known) = root.get("known") else { return Ok(()) };
+        self.known = read_known(known)?;
+        let last = self.known.iter().map(|news| news.number).max().unwrap_or(0);
+        self.last = last.max(known.get("no").and_then(|no| no.as_u64()).unwrap_or(0));
+        Ok(())
     }
 
     /// Descriptors for clients: the usual ones hold a third at most, as the platform promises, and those that only
@@ -245,71 +219,51 @@
     kept.map(|(key, value)| (key.clone(), value.clone())).collect()
 }
 
-/// Nested JSON to the flat pairs of the simulator's wire.
-fn flatten(value: &OwnedValue, path: &str, pairs: &mut HashMap<String, String>) {
-    let at = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
-    if let Some(object) = value.as_object() {
-        object.iter().for_each(|(name, value)| flatten(value, &at(name), pairs));
-    } else if let Some(list) = value.as_array() {
-        if list.iter().any(|item| item.as_object().is_some()) {
-            pairs.insert(at("count"), list.len().to_string());
-            list.iter().enumerate().for_each(|(i, item)| flatten(item, &at(&i.to_string()), pairs));
-        } else {
-            let plain: Vec<String> = list.iter().map(plain).collect();
-            pairs.insert(path.to_owned(), plain.join(","));
-        }
-    } else {
-        pairs.insert(path.to_owned(), plain(value));
+fn read_platform(root: &OwnedValue) -> ReadResult<PlatformSettings> {
+    if root.as_object().is_none() {
+        return wrong("(file)", "is not an object");
     }
-}
-
-fn plain(value: &OwnedValue) -> String {
-    match value {
-        OwnedValue::String(text) => text.clone(),
-        OwnedValue::Static(StaticNode::Null) => String::new(),
-        OwnedValue::Static(node) => node.to_string(),
-        _ => String::new(),
+    let Some(nested) = root.get("settings") else { return wrong("settings", "is missing") };
+    let pairs = Pairs::flatten(nested);
+    let (mut module, notes) =
+        read_settings(&pairs.0).or_else(|e| wrong("settings", format!("are wrong: {}", e.0)))?;
+    // A rejection always carries a Retry-After, whether or not the simulator's clients are given one.
+    let longest = pairs.number("Limits.MaxRetryAfter", 0.0)?;
+    let longest = if longest > 0.0 { super::clock::to_micros(longest) } else { DEFAULT_MAX_RETRY_AFTER };
+    module.retry_after = Some(module.retry_after.unwrap_or(longest));
+    if module.classes.iter().any(|class| class.in_order) {
+        module.key_rest = module.key_rest.plus(EXTRA_KEY_REST);
     }
+    Ok(PlatformSettings { pairs, module, notes })
 }
 
-fn figure(pairs: &HashMap<String, String>, path: &str, absent: f64) -> Read<f64> {
-    match pairs.get(path).filter(|text| !text.is_empty()) {
-        None => Ok(absent),
-        Some(text) => match text.parse::<f64>() {
-            Ok(value) if value.is_finite() && value >= 0.0 => Ok(value),
-            _ => wrong(&format!("settings.{path}"), format!("is '{text}', not a number from 0")),
-        },
+/// The address of the platform's front. It is off only where the settings have the MySQL front and no address for it.
+fn read_listen(
+    root: &OwnedValue,
+    has_mysql: bool,
+    env: &dyn Fn(&str) -> Option<String>,
+) -> ReadResult<Option<SocketAddr>> {
+    let stand_in = env("NODE_LISTEN").filter(|_| !has_mysql);
+    if root.get("listen").is_none() && stand_in.is_none() && !has_mysql {
+        return wrong("listen", "is missing");
     }
+    let text = text_of(root, "listen")?.or(stand_in.as_deref());
+    text.map(|text| address(text, "listen")).transpose()
 }
 
-fn names(pairs: &HashMap<String, String>, path: &str) -> Vec<String> {
-    let list = pairs.get(path).map(String::as_str).unwrap_or_default();
-    list.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect()
-}
-
-fn text_of<'a>(root: &'a OwnedValue, key: &str) -> Read<Option<&'a str>> {
-    match root.get(key) {
-        None | Some(OwnedValue::Static(StaticNode::Null)) => Ok(None),
-        Some(value) => value.as_str().map_or_else(|| wrong(key, "is not a string"), |text| Ok(Some(text))),
+fn read_seed(root: &OwnedValue) -> ReadResult<u64> {
+    match text_of(root, "seed")? {
+        Some(hex) => u64::from_str_radix(hex, 16).or_else(|_| wrong("seed", "is not 16 hex digits")),
+        None => Ok(0),
     }
 }
 
-fn address(text: &str, key: &str) -> Read<SocketAddr> {
-    text.parse().or_else(|_| wrong(key, format!("is '{text}', not an address with a port")))
-}
-
-fn read_control(root: &OwnedValue) -> Read<ControlSettings> {
-    let cluster = "query-boxes".to_owned();
-    let Some(control) = root.get("control") else {
-        return Ok(ControlSettings { cluster, ..ControlSettings::default() });
-    };
-    let text = |key: &str| {
-        text_of(control, key).map_err(|e| ConfigError::new(format!("control.{}", e.key), e.problem))
-    };
-    let at = |key: &str| text(key)?.map(|text| address(text, &format!("control.{key}"))).transpose();
-    Ok(ControlSettings {
-        http: at("http")?,
-        agent: at("agent")?,
-        cluster: text("cluster")?.map_or(cluster, str::to_owned),
-    })
+fn read_limit(root: &OwnedValue, name: &str, default: f64) -> ReadResult<f64> {
+    match root.get("limits").and_then(|limits| limits.get(name)) {
+        None => Ok(default),
+        Some(value) => match json::number(value).filter(|number| *number > 0.0) {
+            Some(number) => Ok(number),
+            None => wrong(&format!("limits.{name}"), "is not a number above 0"),
+        },
+    }
 }
--- a/src/node/config/mysql.rs
+++ b/src/node/config/mysql.rs
@@ -1,6 +1,15 @@
 //! What the operator's file says of the MySQL front and its boxes.
 
-use super::*;
+use super::schema::{count, key, needed};
+use crate::node::json::{self, OwnedValue, ValueAsArray, ValueObjectAccess};
+use crate::node::section::{address, text_of, wrong, ConfigError, ReadResult};
+use crate::{ClassId, Repeat, Settings};
+use beamgap_config::schema::{Block, Shape};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Connections to one backend where no number is given: six sessions on each of eight cores.
+const DEFAULT_BOX_CONNECTIONS: usize = 48;
 
 /// A client's account on the MySQL front.
 #[derive(Clone, PartialEq)]
@@ -63,11 +72,51 @@
     pub box_connections: usize,
 }
 
+/// What may stand in the operator's block.
+pub(super) fn schema() -> Block {
+    let account = Block {
+        name: "account",
+        setting: "accounts",
+        many: true,
+        label: Some("user"),
+        keys: vec![key("password_env", "password_env", Shape::Text), key("tenant", "tenant", Shape::Text)],
+        blocks: Vec::new(),
+    };
+    let rule = Block {
+        name: "rule",
+        setting: "rules",
+        many: true,
+        keys: vec![
+            needed("class", Shape::Text),
+            key("verb", "verb", Shape::Text),
+            key("mentions", "mentions", Shape::Text),
+            key("budget", "budget_ms", Shape::Duration),
+            key("work", "work_ms", Shape::Duration),
+            key("memory", "memory_mb", Shape::Size),
+            key("order_by", "order_by", Shape::Text),
+        ],
+        ..Block::default()
+    };
+    Block {
+        name: "mysql",
+        setting: "mysql",
+        keys: vec![
+            needed("listen", Shape::Address),
+            needed("default_class", Shape::Text),
+            needed("box_user", Shape::Text),
+            key("box_password_env", "box_password_env", Shape::Text),
+            key("box_connections", "box_connections", count(1.0, 10_000.0)),
+        ],
+        blocks: vec![account, rule],
+        ..Block::default()
+    }
+}
+
 pub(super) fn read_mysql(
     mysql: &OwnedValue,
     settings: &Settings,
     env: &dyn Fn(&str) -> Option<String>,
-) -> Read<MysqlSettings> {
+) -> ReadResult<MysqlSettings> {
     let inside = |e: ConfigError| ConfigError::new(format!("mysql.{}", e.key), e.problem);
     let text = |key: &str| text_of(mysql, key).map_err(inside);
     let needed = |key: &str| match text(key)? {
@@ -137,7 +186,7 @@
         });
     }
     let box_connections = match mysql.get("box_connections").map(json::number) {
-        None => BOX_CONNECTIONS,
+        None => DEFAULT_BOX_CONNECTIONS,
         Some(Some(most)) if most >= 1.0 => most as usize,
         Some(_) => return wrong("mysql.box_connections", "is not a number from 1"),
     };
--- a/src/node/config/xds.rs
+++ b/src/node/config/xds.rs
@@ -1,12 +1,57 @@
 //! What it says of the service for proxies.
 
-use super::*;
+use super::control::ControlSettings;
+use super::schema::{count, key, needed};
+use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
+use crate::node::section::{address, text_of, wrong, ReadResult};
+use crate::Settings;
+use beamgap_config::schema::{Block, Shape};
+use beamgap_xds::core::picture::{ColdTerms, Listener, Terms};
+use beamgap_xds::transport::Service;
+
+/// Time to connect where none is given, in milliseconds.
+const DEFAULT_CONNECT_MS: f64 = 250.0;
 
 const PROXY_SHARE: f64 = 0.5; // of what a cold engine bears, for proxies, where not told
 const REQUEST_WORK_MS: f64 = 200.0; // of a request that comes by proxies, where not told
 const STREAMS_MOST: f64 = 1_000.0; // of proxies, where not told
 
-pub(super) fn read_xds(xds: &OwnedValue, control: &ControlSettings, settings: &Settings) -> Read<Service> {
+/// What may stand in the operator's block.
+pub(super) fn schema() -> Block {
+    let listener = Block {
+        name: "listener",
+        setting: "listeners",
+        many: true,
+        label: Some("name"),
+        keys: vec![needed("address", Shape::Address)],
+        blocks: Vec::new(),
+    };
+    Block {
+        name: "xds",
+        setting: "xds",
+        keys: vec![
+            needed("listen", Shape::Address),
+            key("plaintext_beyond_loopback", "plaintext_beyond_loopback", Shape::Flag),
+            key("proxy_share", "proxy_share", Shape::Share),
+            key("request_work", "request_work_ms", Shape::Duration),
+            key("request_time", "request_ms", Shape::Duration),
+            key("connect_time", "connect_ms", Shape::Duration),
+            key("lease_ttl", "ttl_ms", Shape::Duration),
+            key("late_most", "late_ms", Shape::Duration),
+            key("ack_time", "ack_ms", Shape::Duration),
+            key("settle_time", "settle_ms", Shape::Duration),
+            key("streams_most", "streams_most", count(1.0, 100_000.0)),
+        ],
+        blocks: vec![listener],
+        ..Block::default()
+    }
+}
+
+pub(super) fn read_xds(
+    xds: &OwnedValue,
+    control: &ControlSettings,
+    settings: &Settings,
+) -> ReadResult<Service> {
     let number = |key: &str, absent: f64, least: f64, most: f64| match xds.get(key).map(json::number) {
         None => Ok(absent),
         Some(Some(n)) if (least..=most).contains(&n) => Ok(n),
@@ -66,7 +111,7 @@
         cluster: control.cluster.clone(),
         listeners,
         request_ms,
-        connect_ms: number("connect_ms", DIAL_MS, 1.0, 60_000.0)?,
+        connect_ms: number("connect_ms", DEFAULT_CONNECT_MS, 1.0, 60_000.0)?,
         ttl_ms: number("ttl_ms", 5_000.0, 500.0, 3_600_000.0)?,
         late_ms: number("late_ms", 10_000.0, 0.0, 3_600_000.0)?,
         ack_ms: number("ack_ms", 30_000.0, 1_000.0, 3_600_000.0)?,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -18,6 +18,7 @@
 pub mod operator;
 pub mod packets;
 pub mod reactor;
+pub mod section;
 pub mod shutdown;
 pub mod slots;
 pub mod tables;
