--- a/src/fleet/tasks/read.rs
+++ b/src/fleet/tasks/read.rs
@@ -1,7 +1,7 @@
 //! The `task` blocks of the operator's file. They take effect for the whole fleet by `beamgap task apply`.
 
-use crate::node::config::ConfigError;
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
+use crate::node::section::ConfigError;
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_leases::{OnUnknownOutcome, Schedule, TaskSpec, MAX_STEPS, MAX_TASKS};
 
