--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -4,7 +4,7 @@
 //! answers, broken and cut connections, engines that die. It is a model beside the code, not the code: a change of
 //! `src/node/exchange` or `src/node/backend/warehouse` that touches these steps is to be made here too.
 //!
-//! [`rollout`] is how a change of policy takes hold, [`leases`] how one holder at most acts; there the program's own parts act.
+//! [`rollout`] is the replicated change of a policy, [`leases`] how one holder at most acts; there the program's own parts act.
 
 pub mod attempts;
 pub mod budgets;
--- a/crates/sim/src/rollout.rs
+++ b/crates/sim/src/rollout.rs
@@ -1,100 +1,135 @@
-//! The switch of policies as a state machine: three deciders, two followers, two changes.
+//! The rollout of a policy as a state machine: three voters, two followers, two changes.
 //!
-//! The parts that act are the program's own ([`PolicyLeader`], [`PolicyMember`], [`RolloutState`] of `crates/policy`), not a copy. What stands in
-//! for the council is a log that one leader at a time commits to: an answer is given by the leader on all that is committed
-//! (a majority confirmed it), commands that were not committed when another leads are gone. Messages are lost, come late
-//! and come twice; followers and leaders die and come back with nothing; rights end as time passes.
+//! The parts that act are the program's own ([`PolicyLeader`], [`PolicyMember`], [`RolloutState`] of `crates/policy`), not
+//! a copy. What stands in for consensus is a log to which one leader at a time commits: a poll is answered by the leader
+//! from all that is committed (a majority confirmed it); commands that were not committed when another leads are lost.
+//! Messages are lost, delayed and duplicated; followers and leaders restart with nothing; leases expire as time passes.
 //!
 //! Left out: how consensus comes about (the library's), how long things take within a tick, clocks that run apart (the
-//! members' own arithmetic, tested by itself), and more than one question a tick.
+//! members' own arithmetic, tested by itself), and more than one poll of a follower in flight.
+
+mod steps;
 
 use beamgap_fleet_types::MemberId;
 use beamgap_policy::rollout::{
-    ChangeOutcome, ChangeRequest, Command, InjectedBug, MemberAction, PolicyLeader, PolicyMember,
-    PolicyTimings, PollRequest, PollResponse, RolloutState, ValidationError,
+    ChangeOutcome, Command, InjectedBug, PolicyLeader, PolicyMember, PolicyTimings, PollRequest,
+    PollResponse, RolloutState,
 };
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// Deciders.
-pub const DECIDERS: usize = 3;
-/// Followers.
+/// Number of voters.
+pub const VOTERS: usize = 3;
+/// Number of followers.
 pub const FOLLOWERS: usize = 2;
-const TICK: f64 = 1000.0; // ms; longer than any pause within the machines
-const IN_FLIGHT: usize = 1; // questions of a follower; older ones are lost
-const POOL: usize = 1; // commands on their way; a further one is asked for again
+/// Length of a tick in milliseconds: longer than any pause within the state machines.
+const TICK_MS: f64 = 1000.0;
+/// Most polls of a follower in flight; older ones are lost.
+const MAX_IN_FLIGHT: usize = 1;
+/// Most commands that are not committed; a further one is proposed again.
+const MAX_UNCOMMITTED: usize = 1;
 
 /// What is explored.
 #[derive(Clone, Copy, Debug)]
-pub struct Switch {
-    /// A fault on purpose.
-    pub plant: InjectedBug,
+pub struct RolloutModel {
+    /// A bug injected on purpose.
+    pub injected_bug: InjectedBug,
     /// How long, in ticks.
     pub ticks: u64,
     /// Changes that are proposed.
     pub changes: u8,
-    /// Times that another decider leads.
+    /// How often another voter becomes leader.
     pub elections: u8,
-    /// Times that a follower dies and comes back.
+    /// How often a follower restarts.
     pub restarts: u8,
-    /// Whether messages come twice.
-    pub repeats: bool,
-    /// Whether a follower may find a fault in the first change.
-    pub faults: bool,
+    /// Whether messages are duplicated.
+    pub duplicates: bool,
+    /// Whether a follower may find an error in the first change.
+    pub validation_errors: bool,
 }
 
-impl Default for Switch {
-    fn default() -> Switch {
-        Switch {
-            plant: InjectedBug::None,
+impl Default for RolloutModel {
+    fn default() -> RolloutModel {
+        RolloutModel {
+            injected_bug: InjectedBug::None,
             ticks: 4,
             changes: 2,
             elections: 1,
             restarts: 1,
-            repeats: true,
-            faults: true,
+            duplicates: true,
+            validation_errors: true,
         }
     }
 }
 
-impl Switch {
-    fn times(&self) -> PolicyTimings {
-        // A short right is over by the next tick, a long one in three, by clocks that agree.
+impl RolloutModel {
+    /// A short lease has expired by the next tick, a long one in three, by clocks that agree.
+    fn timings(&self) -> PolicyTimings {
         PolicyTimings {
-            switch_bound_ms: 0.9 * TICK,
-            lease_ms: 3.0 * TICK,
-            validation_ms: TICK,
+            switch_bound_ms: 0.9 * TICK_MS,
+            lease_ms: 3.0 * TICK_MS,
+            validation_ms: TICK_MS,
             max_drift: 0.0,
         }
     }
+
+    fn new_member(&self, follower: usize, incarnation: u64) -> PolicyMember {
+        PolicyMember::new(member_id(follower, incarnation), 1, self.injected_bug)
+    }
 }
 
-/// Everything.
+fn member_id(follower: usize, incarnation: u64) -> MemberId {
+    MemberId::new(format!("f{follower}"), incarnation)
+}
+
+/// The replicated state and the leader of a voter that was replaced; only an injected bug lets it answer.
+#[derive(Clone, Debug, PartialEq)]
+struct ReplacedLeader {
+    state: RolloutState,
+    leader: PolicyLeader,
+}
+
+/// A follower and its messages in flight.
+#[derive(Clone, Debug, PartialEq)]
+struct Follower {
+    member: PolicyMember,
+    incarnation: u64,
+    requests: Vec<PollRequest>,
+    responses: Vec<PollResponse>,
+}
+
+/// The first and the last tick in which a follower could admit under a version.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AdmissionSpan {
+    /// The first tick.
+    pub first: u64,
+    /// The last tick.
+    pub last: u64,
+}
+
+/// A state of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct World {
     /// Ticks that have passed.
     pub now: u64,
     /// What is committed, applied.
     pub state: RolloutState,
-    /// What of it the last leader that was replaced has, with its part: only for a fault that lets it answer.
-    stale: Option<(RolloutState, PolicyLeader)>,
-    before: RolloutState,
-    /// Who leads.
-    pub leader: usize,
-    lead: PolicyLeader,
-    pool: Vec<Command>,
-    holds: Vec<PolicyMember>,
-    asks: Vec<Vec<PollRequest>>,
-    replies: Vec<Vec<PollResponse>>,
-    lives: Vec<u64>,
+    /// The same before the last command.
+    state_before: RolloutState,
+    replaced: Option<ReplacedLeader>,
+    /// Which voter leads.
+    pub leading_voter: usize,
+    leader: PolicyLeader,
+    uncommitted: Vec<Command>,
+    followers: Vec<Follower>,
     proposed: u8,
     elections: u8,
     restarts: u8,
-    /// The first and the last tick in which anybody could admit under a version.
-    pub admitted: BTreeMap<u64, (u64, u64)>,
-    /// Somebody could admit under a version that was not in force.
-    pub early: bool,
+    /// When anybody could admit, by version.
+    pub admitted: BTreeMap<u64, AdmissionSpan>,
+    /// Somebody could admit under a version that was not active.
+    pub admitted_early: bool,
 }
 
 impl Eq for World {}
@@ -106,247 +141,158 @@
     }
 }
 
-/// A step.
+impl World {
+    fn now_ms(&self) -> f64 {
+        self.now as f64 * TICK_MS
+    }
+}
+
+/// A step. Followers and messages are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Time passes.
     Tick,
-    /// A follower asks, if a question is due.
-    Ask(usize),
-    /// The leader answers a question of a follower.
-    Answer(usize, usize),
-    /// A leader that was replaced answers it: only with a fault planted.
-    Stale(usize, usize),
-    /// A follower hears an answer; where it is to check a change, whether it finds a fault.
-    Hear(usize, usize, bool),
+    /// A follower polls, if a poll is due.
+    Poll(usize),
+    /// The leader answers a poll of a follower.
+    Respond(usize, usize),
+    /// A leader that was replaced answers it: only with a bug injected.
+    RespondAsReplaced(usize, usize),
+    /// A follower receives a response; where it is to validate a change, whether it finds an error.
+    Receive(usize, usize, bool),
     /// A command is committed.
     Commit(usize),
-    /// The leader looks what is to be done.
-    Look,
-    /// Another decider leads; what was not committed is gone.
+    /// The leader proposes what is due.
+    LeaderTick,
+    /// Another voter leads; what was not committed is lost.
     Elect,
     /// An operator proposes the next change.
     Propose,
-    /// A follower dies and comes back.
+    /// A follower restarts.
     Restart(usize),
 }
 
-impl Switch {
-    fn ms(&self, world: &World) -> f64 {
-        world.now as f64 * TICK
-    }
-
-    fn hold(&self, follower: usize, life: u64) -> PolicyMember {
-        PolicyMember::new(MemberId::new(format!("f{follower}"), life), 1, self.plant)
-    }
-
-    fn pool(&self, world: &mut World, commands: Vec<Command>) {
-        for command in commands {
-            if world.pool.len() < POOL && !world.pool.contains(&command) {
-                world.pool.push(command);
+impl RolloutModel {
+    fn follower_steps(&self, world: &World, f: usize, steps: &mut Vec<Step>) {
+        let follower = &world.followers[f];
+        if follower.member.next_poll_at() <= world.now_ms() {
+            steps.push(Step::Poll(f));
+        }
+        let replaced_answers =
+            self.injected_bug == InjectedBug::UnconfirmedLeader && world.replaced.is_some();
+        for i in 0..follower.requests.len() {
+            steps.push(Step::Respond(f, i));
+            if replaced_answers {
+                steps.push(Step::RespondAsReplaced(f, i));
             }
         }
-    }
-
-    /// Who can admit now does so: the most that the promise has to bear.
-    fn admit(&self, world: &mut World) {
-        let now = self.ms(world);
-        for hold in &world.holds {
-            let Some(version) = hold.admits(now) else { continue };
-            world.early |= version > world.state.version();
-            let span = world.admitted.entry(version).or_insert((world.now, world.now));
-            span.1 = world.now;
+        for (i, response) in follower.responses.iter().enumerate() {
+            steps.push(Step::Receive(f, i, false));
+            if self.validation_errors && response.validate.is_some() {
+                steps.push(Step::Receive(f, i, true));
+            }
+        }
+        if world.restarts < self.restarts {
+            steps.push(Step::Restart(f));
         }
     }
 }
 
-impl Model for Switch {
+impl Model for RolloutModel {
     type State = World;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         let mut state = RolloutState::default();
-        state.apply(&Command::Bootstrap(self.times()));
+        state.apply(&Command::Bootstrap(self.timings()));
         for follower in 0..FOLLOWERS {
-            state.apply(&Command::Join {
-                member: MemberId::new(format!("f{follower}"), 0),
-                format_version: 1,
-            });
+            state.apply(&Command::Join { member: member_id(follower, 0), format_version: 1 });
         }
-        let mut lead = PolicyLeader::with_injected_bug(self.plant);
-        lead.set_leadership(0.0, true);
+        let mut leader = PolicyLeader::with_injected_bug(self.injected_bug);
+        leader.set_leadership(0.0, true);
+        let follower = |f: usize| Follower {
+            member: self.new_member(f, 0),
+            incarnation: 0,
+            requests: Vec::new(),
+            responses: Vec::new(),
+        };
         vec![World {
             now: 0,
-            before: state.clone(),
+            state_before: state.clone(),
             state,
-            stale: None,
-            leader: 0,
-            lead,
-            pool: Vec::new(),
-            holds: (0..FOLLOWERS).map(|f| self.hold(f, 0)).collect(),
-            asks: vec![Vec::new(); FOLLOWERS],
-            replies: vec![Vec::new(); FOLLOWERS],
-            lives: vec![0; FOLLOWERS],
+            replaced: None,
+            leading_voter: 0,
+            leader,
+            uncommitted: Vec::new(),
+            followers: (0..FOLLOWERS).map(follower).collect(),
             proposed: 0,
             elections: 0,
             restarts: 0,
             admitted: BTreeMap::new(),
-            early: false,
+            admitted_early: false,
         }]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let now = self.ms(world);
         if world.now < self.ticks {
             steps.push(Step::Tick);
         }
-        for f in 0..FOLLOWERS {
-            if world.holds[f].next_poll_at() <= now {
-                steps.push(Step::Ask(f));
-            }
-            for i in 0..world.asks[f].len() {
-                steps.push(Step::Answer(f, i));
-                if self.plant == InjectedBug::UnconfirmedLeader && world.stale.is_some() {
-                    steps.push(Step::Stale(f, i));
-                }
-            }
-            for i in 0..world.replies[f].len() {
-                steps.push(Step::Hear(f, i, false));
-                if self.faults && world.replies[f][i].validate.is_some() {
-                    steps.push(Step::Hear(f, i, true));
-                }
-            }
-            if world.restarts < self.restarts {
-                steps.push(Step::Restart(f));
-            }
+        for follower in 0..FOLLOWERS {
+            self.follower_steps(world, follower, steps);
         }
-        steps.extend((0..world.pool.len()).map(Step::Commit));
-        if world.state.pending.is_some() {
-            steps.push(Step::Look);
+        steps.extend((0..world.uncommitted.len()).map(Step::Commit));
+        let change_is_pending = world.state.pending.is_some();
+        if change_is_pending {
+            steps.push(Step::LeaderTick);
         }
         if world.elections < self.elections {
             steps.push(Step::Elect);
         }
-        if world.proposed < self.changes && world.state.pending.is_none() && world.pool.len() < POOL {
+        let has_room = world.uncommitted.len() < MAX_UNCOMMITTED;
+        if world.proposed < self.changes && !change_is_pending && has_room {
             steps.push(Step::Propose);
         }
     }
 
     fn next_state(&self, before: &World, step: Step) -> Option<World> {
         let mut world = before.clone();
-        let now = self.ms(&world);
         match step {
             Step::Tick => world.now += 1,
-            Step::Ask(f) => {
-                let ask = world.holds[f].poll_request(now, "")?;
-                world.asks[f].push(ask);
-                if world.asks[f].len() > IN_FLIGHT {
-                    world.asks[f].remove(0);
-                }
-            }
-            Step::Answer(f, i) | Step::Stale(f, i) => {
-                let ask = world.asks[f][i].clone();
-                if !self.repeats {
-                    world.asks[f].remove(i);
-                }
-                let (reply, commands) = match (step, &mut world.stale) {
-                    (Step::Stale(..), Some((state, lead))) => lead.handle_poll(now, state, &ask),
-                    _ => world.lead.handle_poll(now, &world.state, &ask),
-                };
-                if matches!(step, Step::Answer(..)) {
-                    self.pool(&mut world, commands);
-                }
-                if !world.replies[f].contains(&reply) {
-                    world.replies[f].push(reply);
-                }
-                if world.replies[f].len() > IN_FLIGHT + usize::from(self.repeats) {
-                    world.replies[f].remove(0);
-                }
-            }
-            Step::Hear(f, i, fault) => {
-                let reply = world.replies[f][i].clone();
-                if !self.repeats {
-                    world.replies[f].remove(i);
-                }
-                for act in world.holds[f].handle_response(now, reply) {
-                    match act {
-                        MemberAction::Activate { version, .. } => world.holds[f].activated(version),
-                        MemberAction::Validate(change) => {
-                            let text = "a class that is not known".to_owned();
-                            let faults = vec![ValidationError { member: format!("f{f}"), message: text }];
-                            let faults = if fault && change.id == "c0" { faults } else { Vec::new() };
-                            world.holds[f].validated(now, &change.id, faults);
-                        }
-                    }
-                }
-            }
-            Step::Commit(i) => {
-                let command = world.pool.remove(i);
-                world.before = world.state.clone();
-                world.state.apply(&command);
-            }
-            Step::Look => {
-                let commands = world.lead.tick(now, &world.state);
-                self.pool(&mut world, commands);
-            }
-            Step::Elect => {
-                world.elections += 1;
-                if self.plant == InjectedBug::VoteBeforeSync {
-                    // The last that was committed was on no disk.
-                    world.state = world.before.clone();
-                }
-                if self.plant == InjectedBug::UnconfirmedLeader {
-                    world.stale = Some((world.state.clone(), world.lead.clone()));
-                }
-                world.leader = (world.leader + 1) % DECIDERS;
-                world.pool.clear();
-                world.lead.set_leadership(now, false);
-                world.lead.set_leadership(now, true);
-            }
-            Step::Propose => {
-                let text = Some(format!("form = 1 # {}\n", world.proposed));
-                let change = ChangeRequest {
-                    id: format!("c{}", world.proposed),
-                    requested_by: "o".to_owned(),
-                    policy_text: text,
-                    base_version: None,
-                };
-                world.proposed += 1;
-                self.pool(&mut world, vec![Command::Propose(change)]);
-            }
-            Step::Restart(f) => {
-                world.restarts += 1;
-                world.lives[f] += 1;
-                let kept = world.holds[f].clone();
-                world.holds[f] = self.hold(f, world.lives[f]);
-                if self.plant == InjectedBug::NoCatchUp {
-                    world.holds[f] = kept; // It goes on with what it had.
-                }
-                (world.asks[f], world.replies[f]) = (Vec::new(), Vec::new());
-            }
+            Step::Poll(f) => world.poll(f)?,
+            Step::Respond(f, i) => self.respond(&mut world, f, i),
+            Step::RespondAsReplaced(f, i) => self.respond_as_replaced(&mut world, f, i),
+            Step::Receive(f, i, finds_error) => self.receive(&mut world, f, i, finds_error),
+            Step::Commit(i) => world.commit(i),
+            Step::LeaderTick => world.leader_tick(),
+            Step::Elect => self.elect(&mut world),
+            Step::Propose => world.propose(),
+            Step::Restart(f) => self.restart(&mut world, f),
         }
-        self.admit(&mut world);
+        world.record_admissions();
         (world != *before).then_some(world)
     }
 
-    fn properties(&self) -> Vec<Property<Switch>> {
+    fn properties(&self) -> Vec<Property<RolloutModel>> {
         vec![
             Property::always("1: nothing under a version that is not in force", |_, world: &World| {
-                !world.early
-            }),
-            Property::always("2: the old one ends within the bound", |model: &Switch, world: &World| {
-                let bound = model.times().switch_bound_ms;
-                world.admitted.iter().all(|(version, (first, _))| {
-                    let older = world.admitted.range(..version);
-                    older.into_iter().all(|(_, (_, last))| (*last as f64 - *first as f64) * TICK <= bound)
-                })
+                !world.admitted_early
             }),
+            Property::always("2: the old one ends within the bound", old_versions_end_within_the_bound),
             Property::sometimes("a change is in force and admitted under", |_, world: &World| {
                 world.admitted.keys().any(|version| *version > 0)
             }),
             Property::sometimes("a change is turned down", |_, world: &World| {
-                world.state.history.iter().any(|r| matches!(r.outcome, ChangeOutcome::Rejected(_)))
+                let is_rejected = |outcome: &ChangeOutcome| matches!(outcome, ChangeOutcome::Rejected(_));
+                world.state.history.iter().any(|record| is_rejected(&record.outcome))
             }),
         ]
     }
 }
+
+fn old_versions_end_within_the_bound(model: &RolloutModel, world: &World) -> bool {
+    let bound_ms = model.timings().switch_bound_ms;
+    world.admitted.iter().all(|(version, span)| {
+        let mut older = world.admitted.range(..version);
+        older.all(|(_, older)| (older.last as f64 - span.first as f64) * TICK_MS <= bound_ms)
+    })
+}
--- a/crates/sim/tests/rollout.rs
+++ b/crates/sim/tests/rollout.rs
@@ -1,7 +1,7 @@
-//! What the model of the switch shows: the promises hold in every state, and each planted fault is found.
+//! What the model of the rollout shows: the promises hold in every state, and each injected bug is found.
 
 use beamgap_policy::rollout::{ChangeOutcome, InjectedBug};
-use beamgap_sim::rollout::{Step, Switch};
+use beamgap_sim::rollout::{RolloutModel, Step, World};
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const BOUND: &str = "2: the old one ends within the bound";
 
 /// Explores; gives how many states there are, whether all were seen, and the promises that fail.
-fn explored(model: Switch, most: usize) -> (usize, bool, Vec<&'static str>) {
+fn explored(model: RolloutModel, most: usize) -> (usize, bool, Vec<&'static str>) {
     let checker = model.checker().threads(4).target_state_count(most).spawn_bfs().join();
     let mut failed: Vec<_> =
         checker.discoveries().into_keys().filter(|name| !name.starts_with('a')).collect();
@@ -19,32 +19,33 @@
 
 #[test]
 fn one_change_with_a_lost_leader_keeps_both_promises_in_the_first_states() {
-    let model = Switch { changes: 1, restarts: 0, repeats: false, ticks: 4, ..Switch::default() };
+    let model =
+        RolloutModel { changes: 1, restarts: 0, duplicates: false, ticks: 4, ..RolloutModel::default() };
     let (states, _, failed) = explored(model, 150_000);
     println!("{states} states");
     assert!(failed.is_empty() && states > 10_000, "{states} states, {failed:?}");
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    // Walks by lot go deep at once, where a search in breadth stays with the first ticks for long.
-    let one = Switch {
+fn each_injected_bug_is_found() {
+    // Random walks go deep at once, where a breadth-first search stays with the first ticks for long.
+    let one = RolloutModel {
         changes: 1,
         restarts: 0,
         elections: 0,
-        repeats: false,
-        faults: false,
+        duplicates: false,
+        validation_errors: false,
         ticks: 7,
-        plant: InjectedBug::None,
+        injected_bug: InjectedBug::None,
     };
-    for (plant, elections, promise) in [
+    for (injected_bug, elections, promise) in [
         (InjectedBug::EarlyActivation, 0, EARLY),
         (InjectedBug::NoWait, 0, BOUND),
         (InjectedBug::NoCatchUp, 0, BOUND),
         (InjectedBug::UnconfirmedLeader, 1, BOUND),
         (InjectedBug::VoteBeforeSync, 1, EARLY),
     ] {
-        let model = Switch { plant, elections, ..one };
+        let model = RolloutModel { injected_bug, elections, ..one };
         let failures: std::collections::BTreeSet<&'static str> = [promise].into();
         let checker = model
             .checker()
@@ -56,23 +57,23 @@
             .join();
         let found = checker.discovery(promise).map(|path| path.into_actions());
         println!(
-            "{plant:?}: {} steps walked, found in {:?} steps",
+            "{injected_bug:?}: {} steps walked, found in {:?} steps",
             checker.state_count(),
             found.as_ref().map(Vec::len)
         );
-        assert!(found.is_some(), "{plant:?}: not found after {} steps", checker.state_count());
+        assert!(found.is_some(), "{injected_bug:?}: not found after {} steps", checker.state_count());
     }
 }
 
 #[test]
-fn walks_by_lot_through_two_changes_and_all_faults_keep_both_promises() {
-    let model = Switch { ticks: 9, elections: 2, restarts: 2, ..Switch::default() };
+fn random_walks_through_two_changes_and_all_faults_keep_both_promises() {
+    let model = RolloutModel { ticks: 9, elections: 2, restarts: 2, ..RolloutModel::default() };
     let walks: u64 = std::env::var("WALKS").ok().and_then(|n| n.parse().ok()).unwrap_or(300);
-    let (mut steps, mut in_force, mut turned_down) = (0u64, 0, 0);
+    let (mut steps, mut active, mut rejected) = (0u64, 0, 0);
     for seed in 0..walks {
         let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
         let mut world = model.init_states().remove(0);
-        let mut way = Vec::new();
+        let mut path = Vec::new();
         for _ in 0..200 {
             let mut all = Vec::new();
             model.actions(&world, &mut all);
@@ -83,50 +84,71 @@
             });
             let Some(step) = all.get((random >> 33) as usize % all.len().max(1)) else { break };
             let Some(next) = model.next_state(&world, *step) else { continue };
-            way.push(*step);
+            path.push(*step);
             world = next;
             steps += 1;
             for property in model.properties().iter().filter(|p| !p.name.starts_with('a')) {
                 assert!(
                     (property.condition)(&model, &world),
-                    "{} is broken by walk {seed}: {way:?}",
+                    "{} is broken by walk {seed}: {path:?}",
                     property.name
                 );
             }
         }
-        in_force += usize::from(world.admitted.keys().any(|version| *version > 0));
-        turned_down +=
+        active += usize::from(world.admitted.keys().any(|version| *version > 0));
+        rejected +=
             usize::from(world.state.history.iter().any(|r| matches!(r.outcome, ChangeOutcome::Rejected(_))));
     }
-    println!("{walks} walks, {steps} steps; a change in force in {in_force}, turned down in {turned_down}");
-    assert!(
-        in_force * 20 > walks as usize && turned_down * 50 > walks as usize,
-        "{in_force} and {turned_down}"
-    );
+    println!("{walks} walks, {steps} steps; a change active in {active}, rejected in {rejected}");
+    assert!(active * 20 > walks as usize && rejected * 50 > walks as usize, "{active} and {rejected}");
 }
 
-fn all_idle(model: &Switch, world: &beamgap_sim::rollout::World) -> bool {
+fn all_idle(model: &RolloutModel, world: &World) -> bool {
     let mut all = Vec::new();
     model.actions(world, &mut all);
     all.iter().all(|step| matches!(step, Step::Tick))
 }
 
-/// By hand: how far a complete search goes. `cargo test --release -p beamgap-sim --test switch -- --ignored --nocapture`
+/// By hand: how far a complete search goes. `cargo test --release -p beamgap-sim --test rollout -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
 fn a_complete_search_keeps_both_promises() {
     for (name, model) in [
-        ("one change", Switch { changes: 1, elections: 0, restarts: 0, repeats: false, ..Switch::default() }),
+        (
+            "one change",
+            RolloutModel {
+                changes: 1,
+                elections: 0,
+                restarts: 0,
+                duplicates: false,
+                ..RolloutModel::default()
+            },
+        ),
         (
             "and a lost leader",
-            Switch { changes: 1, restarts: 0, repeats: false, ticks: 3, ..Switch::default() },
+            RolloutModel { changes: 1, restarts: 0, duplicates: false, ticks: 3, ..RolloutModel::default() },
         ),
-        ("and repeats", Switch { changes: 1, restarts: 0, ticks: 3, ..Switch::default() }),
+        ("and repeats", RolloutModel { changes: 1, restarts: 0, ticks: 3, ..RolloutModel::default() }),
         (
             "and a restart",
-            Switch { changes: 1, ticks: 3, faults: false, repeats: false, ..Switch::default() },
+            RolloutModel {
+                changes: 1,
+                ticks: 3,
+                validation_errors: false,
+                duplicates: false,
+                ..RolloutModel::default()
+            },
+        ),
+        (
+            "two changes",
+            RolloutModel {
+                elections: 0,
+                restarts: 0,
+                duplicates: false,
+                ticks: 3,
+                ..RolloutModel::default()
+            },
         ),
-        ("two changes", Switch { elections: 0, restarts: 0, repeats: false, ticks: 3, ..Switch::default() }),
     ] {
         let (states, _, failed) = explored(model, 8_000_000);
         println!("{name}: {states} states, {failed:?}");
