--- a/crates/policy/tests/document.rs
+++ b/crates/policy/tests/document.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_fault_names_file_line_key_and_fix() {
+fn each_problem_names_file_line_key_and_fix() {
     for (text, place, key, says) in [
         ("class \"lookup\" {}\n", "p.hcl:1:1", "form", "is missing"),
         ("form = 2\nwhatever {}\n", "p.hcl:1:1", "form", "update this front end's program"),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_difference_is_one_of_meaning() {
+fn policies_that_mean_the_same_have_no_difference() {
     let a = policy("form = 1\n# a comment\nclass \"report\" {\n  attempts = 2\n}\nengine \"e\" {\n  left_out = false\n}\n");
     let b = policy("form = 1\nclass \"report\" {\n attempts=2\n refused = false\n}\nzone \"a\" {\n weight = \"100%\"\n}\n");
     assert!(diff(&a, &b).is_empty(), "{:?}", diff(&a, &b));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_request_is_narrowed_by_class_rate_share_and_what_is_open() {
+fn requests_are_limited_by_class_rate_account_share_and_requests_in_flight() {
     let text = "form = 1\nadmission {\n  open_most = 5\n}\nclass \"report\" {\n  refused = true\n}\nclass \"lookup\" {\n  rate = 10\n  attempts = 2\n  deadline = \"1 s\"\n}\n";
     let policy_in_use = CompiledPolicy::new(policy(text), &known().classes);
     let mut meter = AdmissionMeter::default();
@@ -114,7 +114,7 @@
 proptest! {
     /// A lower weight keeps a part of the engines that a higher one keeps, about as many as it says.
     #[test]
-    fn a_zones_weight_keeps_its_part_and_nothing_new_when_it_falls(low in 0u32..100, more in 0u32..100) {
+    fn a_zones_weight_keeps_its_part_of_engines_and_a_lower_one_a_subset(low in 0u32..100, more in 0u32..100) {
         let high = (low + more).min(100);
         let of = |weight: u32| {
             let text = format!("form = 1\nzone \"a\" {{\n  weight = \"{weight}%\"\n}}\n");
@@ -128,7 +128,7 @@
 
     /// No text brings the reader down, and what it reads it compares as equal to itself.
     #[test]
-    fn any_text_is_read_or_refused(text in "(form = [0-9]{1,3}\n)?(class|engine|zone|account|admission)? ?(\"[a-z]{0,5}\")? ?\\{?[ -~\n]{0,80}\\}?") {
+    fn any_text_is_parsed_or_rejected(text in "(form = [0-9]{1,3}\n)?(class|engine|zone|account|admission)? ?(\"[a-z]{0,5}\")? ?\\{?[ -~\n]{0,80}\\}?") {
         if let Ok(parsed) = parse("p", &text) {
             prop_assert!(diff(&parsed.policy, &parsed.policy).is_empty());
         }
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! The switch on a set clock with 300 members: how long a change takes, how wide versions overlap, and what each failure
-//! does to it. The machines are those of the program; what stands in for the council is a log that commits at once.
+//! A rollout on a set clock with 300 members: how long a change takes, how long versions overlap, and what each failure
+//! does to it. The state machines are those of the program; what stands in for consensus is a log that commits at once.
 
 use beamgap_fleet_types::MemberId;
 use beamgap_policy::rollout::{
@@ -17,7 +17,7 @@
     rate: Vec<f64>,
     first: Vec<f64>,
     last: Vec<f64>,
-    asks: usize,
+    polls: usize,
     silent: f64,
 }
 
@@ -40,7 +40,7 @@
             rate: vec![1.0; members],
             first: vec![f64::INFINITY; 8],
             last: vec![0.0; 8],
-            asks: 0,
+            polls: 0,
             silent: 0.0,
         }
     }
@@ -69,7 +69,7 @@
                     self.members[m].poll_failed(own + 400.0, sequence);
                     continue;
                 }
-                self.asks += 1;
+                self.polls += 1;
                 let (response, commands) = self.leader.handle_poll(self.now, &self.state, &request);
                 self.commit(commands);
                 for action in self.members[m].handle_response(own, response) {
@@ -111,25 +111,25 @@
 }
 
 #[test]
-fn three_hundred_members_switch_within_a_second_and_ask_less_than_a_thousand_times_a_second() {
+fn three_hundred_members_switch_within_the_bound_with_at_most_600_polls_a_second() {
     let mut fleet = Fleet::new(300);
     fleet.run(3000.0);
-    (fleet.asks, fleet.silent) = (0, 0.0);
+    (fleet.polls, fleet.silent) = (0, 0.0);
     fleet.run(10_000.0);
-    let idle = fleet.asks as f64 / 10.0;
+    let idle = fleet.polls as f64 / 10.0;
     fleet.propose("c1");
     let took = fleet.until_all_have(1);
     fleet.run(2000.0);
     let overlap = fleet.last[0] - fleet.first[1];
     assert!(overlap.is_finite(), "both versions were admitted under");
-    println!("300 members: {idle:.0} questions a second at rest; in force everywhere after {took:.0} ms, overlap {overlap:.0} ms");
-    assert!(idle <= 600.0, "{idle} questions a second at rest");
+    println!("300 members: {idle:.0} polls a second at rest; in force everywhere after {took:.0} ms, overlap {overlap:.0} ms");
+    assert!(idle <= 600.0, "{idle} polls a second at rest");
     assert!(took <= 3000.0 && overlap <= 1000.0, "{took} ms, overlap {overlap} ms");
     assert_eq!(fleet.silent, 0.0, "somebody admits at any moment");
 }
 
 #[test]
-fn members_that_are_cut_off_or_slow_by_five_per_cent_hold_a_change_up_no_longer_than_their_rights() {
+fn unreachable_members_and_drifting_clocks_delay_a_change_no_longer_than_leases_last() {
     for rate in [0.95, 1.0, 1.05] {
         let mut fleet = Fleet::new(30);
         fleet.rate = vec![rate; 30];
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_new_leader_that_knows_nothing_waits_for_all_rights_and_ends_what_was_decided() {
+fn a_new_leader_waits_for_all_leases_and_finishes_the_committed_change() {
     let mut fleet = Fleet::new(9);
     fleet.run(3000.0);
     fleet.cut[8] = true;
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn commands_that_were_overtaken_change_nothing() {
+fn overtaken_commands_change_nothing() {
     let mut state = RolloutState::default();
     let propose = |id: &str, base| {
         Command::Propose(ChangeRequest {
