--- a/crates/policy/src/diff.rs
+++ b/crates/policy/src/diff.rs
@@ -20,13 +20,21 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let gap = if self.key.is_empty() { "" } else { " " };
-        write!(f, "{}{gap}{}: {} -> {}", self.about, self.key, self.before, self.after)
+        write!(
+            f,
+            "{}{gap}{}: {} -> {}",
+            self.about, self.key, self.before, self.after
+        )
     }
 }
 
 /// All differences, in order of what they are about.
 pub fn diff(before: &Policy, after: &Policy) -> Vec<Difference> {
-    let mut differences = Differences { before, after, found: Vec::new() };
+    let mut differences = Differences {
+        before,
+        after,
+        found: Vec::new(),
+    };
     differences.compare_engines();
     differences.compare_tasks();
     differences.compare_classes();
@@ -46,7 +54,10 @@
 impl Differences<'_> {
     fn compare_engines(&mut self) {
         let word = |excluded: bool| if excluded { "left out" } else { "in use" };
-        for id in union(self.before.excluded_engines.iter(), self.after.excluded_engines.iter()) {
+        for id in union(
+            self.before.excluded_engines.iter(),
+            self.after.excluded_engines.iter(),
+        ) {
             let before = word(self.before.excluded_engines.contains(id));
             let after = word(self.after.excluded_engines.contains(id));
             self.add(format!("engine \"{id}\""), "", before, after);
@@ -54,7 +65,10 @@
     }
 
     fn compare_tasks(&mut self) {
-        for name in union(self.before.forbidden_tasks.iter(), self.after.forbidden_tasks.iter()) {
+        for name in union(
+            self.before.forbidden_tasks.iter(),
+            self.after.forbidden_tasks.iter(),
+        ) {
             let before = yes_or_no(self.before.forbidden_tasks.contains(name));
             let after = yes_or_no(self.after.forbidden_tasks.contains(name));
             self.add(format!("task \"{name}\""), "forbidden", before, after);
@@ -67,9 +81,19 @@
             let before = self.before.classes.get(name).unwrap_or(&unrestricted);
             let after = self.after.classes.get(name).unwrap_or(&unrestricted);
             let about = format!("class \"{name}\"");
-            self.add(about.clone(), "refused", yes_or_no(before.rejected), yes_or_no(after.rejected));
+            self.add(
+                about.clone(),
+                "refused",
+                yes_or_no(before.rejected),
+                yes_or_no(after.rejected),
+            );
             let attempts = |rule: &ClassRule| limit(rule.max_attempts.map(f64::from), "");
-            self.add(about.clone(), "attempts", &attempts(before), &attempts(after));
+            self.add(
+                about.clone(),
+                "attempts",
+                &attempts(before),
+                &attempts(after),
+            );
             let rate = |rule: &ClassRule| limit(rule.max_rate, " a second");
             self.add(about.clone(), "rate", &rate(before), &rate(after));
             let deadline = |rule: &ClassRule| limit(rule.deadline_ms, " ms");
@@ -77,7 +101,12 @@
         }
     }
 
-    fn compare_shares(&mut self, kind: &str, key: &str, shares: impl Fn(&Policy) -> &BTreeMap<String, f64>) {
+    fn compare_shares(
+        &mut self,
+        kind: &str,
+        key: &str,
+        shares: impl Fn(&Policy) -> &BTreeMap<String, f64>,
+    ) {
         let (before, after) = (shares(self.before), shares(self.after));
         for name in union(before.keys(), after.keys()) {
             self.add(
--- a/crates/policy/src/document/parse.rs
+++ b/crates/policy/src/document/parse.rs
@@ -23,16 +23,20 @@
     /// Where the block with this label stands in a list of blocks; the start of the file if there is none.
     pub fn place_of_block(&self, list: &str, label: &str, name: &str) -> Place {
         let named = Value::Text(name.to_owned());
-        let is_meant =
-            |block: &Value| matches!(block, Value::Map(fields) if fields.get(label) == Some(&named));
+        let is_meant = |block: &Value| matches!(block, Value::Map(fields) if fields.get(label) == Some(&named));
         let index = blocks(&self.document, list).iter().position(is_meant);
-        index.and_then(|index| self.document.place(&format!("{list}[{index}]"))).unwrap_or(START_OF_FILE)
+        index
+            .and_then(|index| self.document.place(&format!("{list}[{index}]")))
+            .unwrap_or(START_OF_FILE)
     }
 }
 
 /// The format version that a text claims, without reading the rest: a later one can't be read, but named.
 pub fn claimed_format_version(text: &str) -> Option<u64> {
-    let line = text.lines().map(str::trim).find(|line| line.starts_with("form"))?;
+    let line = text
+        .lines()
+        .map(str::trim)
+        .find(|line| line.starts_with("form"))?;
     let value = line.strip_prefix("form")?.trim_start().strip_prefix('=')?;
     value.split('#').next()?.trim().parse().ok()
 }
@@ -59,7 +63,10 @@
     let mut schema = schema();
     schema.blocks.extend(further_blocks);
     let document = beamgap_config::read(file, text, &schema)?;
-    let mut reader = Reader { document: &document, problems: Vec::new() };
+    let mut reader = Reader {
+        document: &document,
+        problems: Vec::new(),
+    };
     let policy = reader.policy();
     let mut problems = reader.problems;
     if problems.is_empty() {
@@ -82,7 +89,8 @@
     match claimed_format_version(text) {
         Some(version) if version > FORMAT_VERSION => {
             let problem = format!("is {version}; this program reads up to {FORMAT_VERSION}");
-            let fix = "update this front end's program, or write the policy in the older form".to_owned();
+            let fix =
+                "update this front end's program, or write the policy in the older form".to_owned();
             Err(vec![problem_of_file(file, "form", problem, fix)])
         }
         _ => Ok(()),
@@ -90,12 +98,20 @@
 }
 
 fn problem_of_file(file: &str, key: &str, problem: String, fix: String) -> Problem {
-    Problem { file: file.to_owned(), place: START_OF_FILE, key: key.to_owned(), problem, fix }
+    Problem {
+        file: file.to_owned(),
+        place: START_OF_FILE,
+        key: key.to_owned(),
+        problem,
+        fix,
+    }
 }
 
 /// The blocks of a list, empty where there are none.
 fn blocks<'a>(document: &'a Document, list: &str) -> &'a [Value] {
-    let Value::Map(root) = &document.root else { return &[] };
+    let Value::Map(root) = &document.root else {
+        return &[];
+    };
     match root.get(list) {
         Some(Value::List(blocks)) => blocks,
         _ => &[],
@@ -132,7 +148,10 @@
 
     fn flagged(&mut self, list: &str, label: &str, key: &str) -> BTreeSet<String> {
         let blocks = self.labelled(list, label).into_iter();
-        blocks.filter(|(_, fields)| flag(fields, key)).map(|(name, _)| name).collect()
+        blocks
+            .filter(|(_, fields)| flag(fields, key))
+            .map(|(name, _)| name)
+            .collect()
     }
 
     fn classes(&mut self) -> BTreeMap<String, ClassRule> {
@@ -148,11 +167,15 @@
 
     fn shares(&mut self, list: &str, key: &str) -> BTreeMap<String, f64> {
         let blocks = self.labelled(list, "name").into_iter();
-        blocks.filter_map(|(name, fields)| Some((name, number(&fields, key)?))).collect()
+        blocks
+            .filter_map(|(name, fields)| Some((name, number(&fields, key)?)))
+            .collect()
     }
 
     fn max_in_flight(&self) -> Option<usize> {
-        let Value::Map(root) = &self.document.root else { return None };
+        let Value::Map(root) = &self.document.root else {
+            return None;
+        };
         match root.get("admission") {
             Some(Value::Map(fields)) => number(fields, "open_most").map(|n| n as usize),
             _ => None,
@@ -164,9 +187,12 @@
         let mut by_name: BTreeMap<String, Fields> = BTreeMap::new();
         for (index, block) in blocks(self.document, list).iter().enumerate() {
             let Value::Map(fields) = block else { continue };
-            let Some(Value::Text(name)) = fields.get(label) else { continue };
+            let Some(Value::Text(name)) = fields.get(label) else {
+                continue;
+            };
             if name.is_empty() || by_name.contains_key(name) {
-                self.problems.push(self.bad_label(format!("{list}[{index}]"), name));
+                self.problems
+                    .push(self.bad_label(format!("{list}[{index}]"), name));
             }
             by_name.insert(name.clone(), fields.clone());
         }
--- a/crates/policy/src/document/schema.rs
+++ b/crates/policy/src/document/schema.rs
@@ -9,9 +9,24 @@
         blocks: vec![
             labelled_block("engine", "engines", "id", engine_keys()),
             labelled_block("class", "classes", "name", class_keys()),
-            labelled_block("account", "accounts", "name", vec![required("share", Shape::Share)]),
-            labelled_block("zone", "zones", "name", vec![required("weight", Shape::Share)]),
-            labelled_block("task", "tasks", "name", vec![required("forbidden", Shape::Flag)]),
+            labelled_block(
+                "account",
+                "accounts",
+                "name",
+                vec![required("share", Shape::Share)],
+            ),
+            labelled_block(
+                "zone",
+                "zones",
+                "name",
+                vec![required("weight", Shape::Share)],
+            ),
+            labelled_block(
+                "task",
+                "tasks",
+                "name",
+                vec![required("forbidden", Shape::Flag)],
+            ),
             admission_block(),
         ],
         ..Block::default()
@@ -19,7 +34,10 @@
 }
 
 fn engine_keys() -> Vec<Key> {
-    vec![required("left_out", Shape::Flag), optional("why", "why", Shape::Text)]
+    vec![
+        required("left_out", Shape::Flag),
+        optional("why", "why", Shape::Text),
+    ]
 }
 
 fn class_keys() -> Vec<Key> {
@@ -40,16 +58,38 @@
     }
 }
 
-fn labelled_block(name: &'static str, setting: &'static str, label: &'static str, keys: Vec<Key>) -> Block {
-    Block { name, setting, many: true, label: Some(label), keys, blocks: Vec::new() }
+fn labelled_block(
+    name: &'static str,
+    setting: &'static str,
+    label: &'static str,
+    keys: Vec<Key>,
+) -> Block {
+    Block {
+        name,
+        setting,
+        many: true,
+        label: Some(label),
+        keys,
+        blocks: Vec::new(),
+    }
 }
 
 fn optional(name: &'static str, setting: &'static str, shape: Shape) -> Key {
-    Key { name, setting, shape, needed: false }
+    Key {
+        name,
+        setting,
+        shape,
+        needed: false,
+    }
 }
 
 fn required(name: &'static str, shape: Shape) -> Key {
-    Key { name, setting: name, shape, needed: true }
+    Key {
+        name,
+        setting: name,
+        shape,
+        needed: true,
+    }
 }
 
 fn count(least: f64, most: f64) -> Shape {
--- a/crates/policy/src/rollout/change.rs
+++ b/crates/policy/src/rollout/change.rs
@@ -35,7 +35,10 @@
 impl ChangeOutcome {
     /// Whether nothing will change it any more.
     pub fn is_final(&self) -> bool {
-        !matches!(self, ChangeOutcome::Validating | ChangeOutcome::Committed(_))
+        !matches!(
+            self,
+            ChangeOutcome::Validating | ChangeOutcome::Committed(_)
+        )
     }
 }
 
--- a/crates/policy/src/rollout/leader.rs
+++ b/crates/policy/src/rollout/leader.rs
@@ -3,7 +3,9 @@
 //! All of its state is volatile: a new leader begins with none. Safety rests on the replicated log and on the members'
 //! own clocks alone. All times are in milliseconds.
 
-use super::message::{LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError};
+use super::message::{
+    LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError,
+};
 use super::state::{Command, RolloutState, MAX_MEMBERS};
 use super::{InjectedBug, PendingChange, PolicyTimings, Version};
 use beamgap_fleet_types::{is_valid_name, MemberId};
@@ -68,7 +70,10 @@
 impl PolicyLeader {
     /// One that does not lead yet, with a bug injected for tests.
     pub fn with_injected_bug(injected_bug: InjectedBug) -> PolicyLeader {
-        PolicyLeader { injected_bug, ..PolicyLeader::default() }
+        PolicyLeader {
+            injected_bug,
+            ..PolicyLeader::default()
+        }
     }
 
     /// Whether it leads.
@@ -101,7 +106,12 @@
         let member = &request.member;
         let timings = match state.timings {
             Some(timings) if state.members.contains_key(member) => timings,
-            _ => return (response_without_lease(request), self.propose_join(now, state, request)),
+            _ => {
+                return (
+                    response_without_lease(request),
+                    self.propose_join(now, state, request),
+                )
+            }
         };
         self.joining.remove(member);
         if self.leaving.contains_key(member) {
@@ -136,20 +146,36 @@
         self.statuses.insert(request.member.clone(), status);
     }
 
-    fn propose_join(&mut self, now: f64, state: &RolloutState, request: &PollRequest) -> Vec<Command> {
+    fn propose_join(
+        &mut self,
+        now: f64,
+        state: &RolloutState,
+        request: &PollRequest,
+    ) -> Vec<Command> {
         let member = &request.member;
-        let is_proposed = self.joining.get(member).is_some_and(|at| now - at < MEMBERSHIP_RETRY_MS);
+        let is_proposed = self
+            .joining
+            .get(member)
+            .is_some_and(|at| now - at < MEMBERSHIP_RETRY_MS);
         if is_proposed || !is_valid_name(&member.name) || state.timings.is_none() {
             return Vec::new();
         }
         self.joining.insert(member.clone(), now);
-        vec![Command::Join { member: member.clone(), format_version: request.format_version }]
+        vec![Command::Join {
+            member: member.clone(),
+            format_version: request.format_version,
+        }]
     }
 
     /// What a poll tells of the member's part in the change under way.
     fn record_progress(&mut self, pending: &PendingChange, request: &PollRequest) {
-        if let Some(report) = request.validation.as_ref().filter(|report| report.change_id == pending.id) {
-            self.validations.insert(request.member.clone(), report.errors.clone());
+        if let Some(report) = request
+            .validation
+            .as_ref()
+            .filter(|report| report.change_id == pending.id)
+        {
+            self.validations
+                .insert(request.member.clone(), report.errors.clone());
         }
         // It accepted the short lease, which replaced the long one, before it sent this poll.
         let has_short_lease =
@@ -159,12 +185,20 @@
         }
     }
 
-    fn response(&self, state: &RolloutState, timings: PolicyTimings, request: &PollRequest) -> PollResponse {
+    fn response(
+        &self,
+        state: &RolloutState,
+        timings: PolicyTimings,
+        request: &PollRequest,
+    ) -> PollResponse {
         let grant = self.grant(state, timings, request);
         // A member that activates another version is to poll soon: that is what the operator's command waits for.
         let is_busy = state.pending.is_some() || request.version != Some(grant.version);
-        let poll_again_after_ms =
-            if is_busy { POLL_INTERVAL_DURING_ROLLOUT_MS } else { timings.lease_ms / POLLS_PER_LEASE };
+        let poll_again_after_ms = if is_busy {
+            POLL_INTERVAL_DURING_ROLLOUT_MS
+        } else {
+            timings.lease_ms / POLLS_PER_LEASE
+        };
         PollResponse {
             sequence: request.sequence,
             grant: Some(grant),
@@ -173,20 +207,35 @@
         }
     }
 
-    fn change_to_validate(&self, state: &RolloutState, member: &MemberId) -> Option<ProposedChange> {
+    fn change_to_validate(
+        &self,
+        state: &RolloutState,
+        member: &MemberId,
+    ) -> Option<ProposedChange> {
         let pending = state.pending.as_ref()?;
         if pending.committed || self.validations.contains_key(member) {
             return None;
         }
-        Some(ProposedChange { id: pending.id.clone(), policy_text: pending.policy_text.clone() })
+        Some(ProposedChange {
+            id: pending.id.clone(),
+            policy_text: pending.policy_text.clone(),
+        })
     }
 
-    fn grant(&self, state: &RolloutState, timings: PolicyTimings, request: &PollRequest) -> LeaseGrant {
+    fn grant(
+        &self,
+        state: &RolloutState,
+        timings: PolicyTimings,
+        request: &PollRequest,
+    ) -> LeaseGrant {
         let committed = state.pending.as_ref().filter(|pending| pending.committed);
         let mut version = state.version();
         let mut text = state.policy_text();
         let (mut length_ms, kind) = match committed {
-            Some(pending) => (timings.short_lease_ms(), LeaseKind::Short(pending.id.clone())),
+            Some(pending) => (
+                timings.short_lease_ms(),
+                LeaseKind::Short(pending.id.clone()),
+            ),
             None => (timings.lease_ms, LeaseKind::Long),
         };
         match (self.injected_bug, &state.pending) {
@@ -198,13 +247,24 @@
             _ => {}
         }
         let has_version = request.version == Some(version);
-        let policy_text = if has_version { None } else { Some(text.to_owned()) };
-        LeaseGrant { version, length_ms, kind, max_drift: timings.max_drift, policy_text }
+        let policy_text = if has_version {
+            None
+        } else {
+            Some(text.to_owned())
+        };
+        LeaseGrant {
+            version,
+            length_ms,
+            kind,
+            max_drift: timings.max_drift,
+            policy_text,
+        }
     }
 
     /// Follows the replicated state.
     fn observe(&mut self, now: f64, state: &RolloutState) {
-        self.leaving.retain(|member, _| state.members.contains_key(member));
+        self.leaving
+            .retain(|member, _| state.members.contains_key(member));
         // Polls from those that never joined are forgotten, so that strangers leave no trace.
         let lease_ms = state.timings.map_or(0.0, |timings| timings.lease_ms);
         self.statuses.retain(|member, status| {
@@ -225,7 +285,11 @@
     }
 
     fn track_change(&mut self, now: f64, pending: &PendingChange) {
-        if let Some(change) = self.change.as_mut().filter(|change| change.id == pending.id) {
+        if let Some(change) = self
+            .change
+            .as_mut()
+            .filter(|change| change.id == pending.id)
+        {
             if pending.committed && change.committed_at.is_none() {
                 change.committed_at = Some(now);
                 self.step_proposed_at = None;
@@ -243,10 +307,15 @@
     }
 
     fn next_commands(&mut self, now: f64, state: &RolloutState) -> Vec<Command> {
-        let (Some(leads_since), Some(timings)) = (self.leads_since, state.timings) else { return Vec::new() };
+        let (Some(leads_since), Some(timings)) = (self.leads_since, state.timings) else {
+            return Vec::new();
+        };
         let mut commands = self.propose_removals(now, leads_since, state, timings);
         // A proposal may have been lost with a leader: it is repeated, but not at each poll.
-        if self.step_proposed_at.is_some_and(|at| now - at < ROLLOUT_RETRY_MS) {
+        if self
+            .step_proposed_at
+            .is_some_and(|at| now - at < ROLLOUT_RETRY_MS)
+        {
             return commands;
         }
         if let Some(step) = self.next_step(now, state, timings) {
@@ -272,10 +341,15 @@
         for member in state.members.keys() {
             let status = self.statuses.get(member);
             let is_lost = status.is_none_or(|status| now - status.polled_at > silence_ms);
-            let is_proposed = self.leaving.get(member).is_some_and(|at| now - at <= MEMBERSHIP_RETRY_MS);
+            let is_proposed = self
+                .leaving
+                .get(member)
+                .is_some_and(|at| now - at <= MEMBERSHIP_RETRY_MS);
             if is_lost && !is_proposed {
                 self.leaving.insert(member.clone(), now);
-                commands.push(Command::Leave { member: member.clone() });
+                commands.push(Command::Leave {
+                    member: member.clone(),
+                });
             }
         }
         commands
@@ -302,7 +376,10 @@
             return Some(Command::Reject { id, errors });
         }
         // A member that is down has no veto; one at least must have validated the change.
-        let all_validated = state.members.keys().all(|member| self.validations.contains_key(member));
+        let all_validated = state
+            .members
+            .keys()
+            .all(|member| self.validations.contains_key(member));
         let is_time_over = now - change.first_seen_at >= timings.validation_ms;
         if (all_validated || is_time_over) && !self.validations.is_empty() {
             Some(Command::Commit { id })
@@ -319,10 +396,15 @@
         change: &TrackedChange,
         committed_at: f64,
     ) -> Option<Command> {
-        let all_short = state.members.keys().all(|member| self.short_leases.contains(member));
+        let all_short = state
+            .members
+            .keys()
+            .all(|member| self.short_leases.contains(member));
         let long_leases_expired = now - committed_at >= timings.long_leases_expired_after_ms();
         if all_short || long_leases_expired || self.injected_bug == InjectedBug::NoWait {
-            Some(Command::Activate { id: change.id.clone() })
+            Some(Command::Activate {
+                id: change.id.clone(),
+            })
         } else {
             None
         }
--- a/crates/policy/src/rollout/member.rs
+++ b/crates/policy/src/rollout/member.rs
@@ -3,7 +3,8 @@
 //! All times are of this machine's monotonic clock that counts suspension, in milliseconds.
 
 use super::message::{
-    LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError, ValidationReport,
+    LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError,
+    ValidationReport,
 };
 use super::{InjectedBug, Version};
 use beamgap_fleet_types::{clock, MemberId};
@@ -104,7 +105,9 @@
             None => Some("holds no right yet: no decider has answered since the start".to_owned()),
             Some(lease) if now >= lease.expires_at => {
                 let ms = now - lease.expires_at;
-                Some(format!("its right ran out {ms:.0} ms ago: it reaches no confirmed leader"))
+                Some(format!(
+                    "its right ran out {ms:.0} ms ago: it reaches no confirmed leader"
+                ))
             }
             Some(_) => None,
         }
@@ -156,7 +159,9 @@
         if response.sequence != self.sequence {
             return Vec::new();
         }
-        let Some(sent_at) = self.poll_sent_at.take() else { return Vec::new() };
+        let Some(sent_at) = self.poll_sent_at.take() else {
+            return Vec::new();
+        };
         self.next_poll_at = now + response.poll_again_after_ms;
         let mut actions = Vec::new();
         if let Some(grant) = response.grant {
@@ -171,11 +176,23 @@
     }
 
     fn accept_grant(&mut self, now: f64, sent_at: f64, grant: LeaseGrant) -> Option<MemberAction> {
-        let LeaseGrant { version, length_ms, kind, max_drift, policy_text } = grant;
+        let LeaseGrant {
+            version,
+            length_ms,
+            kind,
+            max_drift,
+            policy_text,
+        } = grant;
         // Counted from the poll: the leader granted it at some moment after that.
         let usable_ms = clock::usable_for(length_ms, max_drift);
-        self.next_poll_at = self.next_poll_at.min(sent_at + usable_ms * RENEW_AFTER_FRACTION);
-        let lease = AdmissionLease { version, expires_at: sent_at + usable_ms, kind };
+        self.next_poll_at = self
+            .next_poll_at
+            .min(sent_at + usable_ms * RENEW_AFTER_FRACTION);
+        let lease = AdmissionLease {
+            version,
+            expires_at: sent_at + usable_ms,
+            kind,
+        };
         if self.version == Some(version) {
             self.lease = Some(lease);
             return None;
@@ -190,11 +207,16 @@
             self.lease = None;
         }
         self.activating = Some(lease);
-        Some(MemberAction::Activate { version, policy_text })
+        Some(MemberAction::Activate {
+            version,
+            policy_text,
+        })
     }
 
     fn has_validated(&self, change_id: &str) -> bool {
-        self.validation.as_ref().is_some_and(|report| report.change_id == change_id)
+        self.validation
+            .as_ref()
+            .is_some_and(|report| report.change_id == change_id)
     }
 
     /// The policy of this version is in use: its lease counts from now on.
@@ -208,7 +230,9 @@
     }
 
     fn finish_activation(&mut self, version: Version, unusable: Option<String>) {
-        let Some(lease) = self.activating.take_if(|lease| lease.version == version) else { return };
+        let Some(lease) = self.activating.take_if(|lease| lease.version == version) else {
+            return;
+        };
         self.version = Some(version);
         self.lease = Some(lease);
         self.unusable = unusable;
@@ -216,7 +240,10 @@
 
     /// A proposed change was validated here; no errors: this member can use it.
     pub fn validated(&mut self, now: f64, change_id: &str, errors: Vec<ValidationError>) {
-        self.validation = Some(ValidationReport { change_id: change_id.to_owned(), errors });
+        self.validation = Some(ValidationReport {
+            change_id: change_id.to_owned(),
+            errors,
+        });
         if self.poll_sent_at.is_none() {
             // The rollout waits for the report.
             self.next_poll_at = now;
--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -34,11 +34,12 @@
 pub use leader::{MemberStatus, PolicyLeader};
 pub use member::{AdmissionLease, MemberAction, PolicyMember};
 pub use message::{
-    LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError, ValidationReport,
+    LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError,
+    ValidationReport,
 };
 pub use state::{
-    Command, PolicyRevision, RolloutState, EMPTY_POLICY, MAX_CHANGE_RECORDS, MAX_KEPT_VERSIONS, MAX_MEMBERS,
-    MAX_VALIDATION_ERRORS,
+    Command, PolicyRevision, RolloutState, EMPTY_POLICY, MAX_CHANGE_RECORDS, MAX_KEPT_VERSIONS,
+    MAX_MEMBERS, MAX_VALIDATION_ERRORS,
 };
 pub use timings::PolicyTimings;
 
--- a/crates/policy/src/rollout/state.rs
+++ b/crates/policy/src/rollout/state.rs
@@ -102,7 +102,9 @@
 
     /// The text of the active version.
     pub fn policy_text(&self) -> &str {
-        self.revisions.back().map_or(EMPTY_POLICY, |revision| &revision.policy_text)
+        self.revisions
+            .back()
+            .map_or(EMPTY_POLICY, |revision| &revision.policy_text)
     }
 
     /// What became of a change, if it is known.
@@ -127,7 +129,10 @@
                     self.timings = Some(*timings);
                 }
             }
-            Command::Join { member, format_version } => self.join(member, *format_version),
+            Command::Join {
+                member,
+                format_version,
+            } => self.join(member, *format_version),
             Command::Leave { member } => {
                 self.members.remove(member);
             }
@@ -156,13 +161,24 @@
         let requested_by: String = request.requested_by.chars().take(MAX_NAME_LENGTH).collect();
         match self.proposed_text(request) {
             Ok(policy_text) => {
-                self.pending = Some(PendingChange { id, requested_by, policy_text, committed: false });
+                self.pending = Some(PendingChange {
+                    id,
+                    requested_by,
+                    policy_text,
+                    committed: false,
+                });
             }
             Err(error) => {
-                let error =
-                    ValidationError { member: FLEET_AS_MEMBER.to_owned(), message: error.to_string() };
+                let error = ValidationError {
+                    member: FLEET_AS_MEMBER.to_owned(),
+                    message: error.to_string(),
+                };
                 let outcome = ChangeOutcome::Rejected(vec![error]);
-                self.record(ChangeRecord { id, requested_by, outcome });
+                self.record(ChangeRecord {
+                    id,
+                    requested_by,
+                    outcome,
+                });
             }
         }
     }
@@ -189,7 +205,10 @@
     /// The text of the version before the active one, if it is kept.
     fn earlier_text(&self) -> Option<String> {
         if let Some(index) = self.revisions.len().checked_sub(2) {
-            return self.revisions.get(index).map(|revision| revision.policy_text.clone());
+            return self
+                .revisions
+                .get(index)
+                .map(|revision| revision.policy_text.clone());
         }
         let only_first = self.revisions.len() == 1 && self.version() == 1;
         if only_first {
@@ -206,7 +225,10 @@
     }
 
     fn activate(&mut self, id: &str) {
-        let Some(pending) = self.pending.take_if(|pending| pending.id == id && pending.committed) else {
+        let Some(pending) = self
+            .pending
+            .take_if(|pending| pending.id == id && pending.committed)
+        else {
             return;
         };
         let version = self.version() + 1;
@@ -215,7 +237,10 @@
             requested_by: pending.requested_by,
             outcome: ChangeOutcome::Active(version),
         });
-        self.revisions.push_back(PolicyRevision { version, policy_text: pending.policy_text });
+        self.revisions.push_back(PolicyRevision {
+            version,
+            policy_text: pending.policy_text,
+        });
         while self.revisions.len() > MAX_KEPT_VERSIONS {
             self.revisions.pop_front();
         }
@@ -224,7 +249,11 @@
     fn finish_uncommitted(&mut self, id: &str, outcome: ChangeOutcome) {
         let is_meant = |pending: &mut PendingChange| pending.id == id && !pending.committed;
         if let Some(pending) = self.pending.take_if(is_meant) {
-            self.record(ChangeRecord { id: pending.id, requested_by: pending.requested_by, outcome });
+            self.record(ChangeRecord {
+                id: pending.id,
+                requested_by: pending.requested_by,
+                outcome,
+            });
         }
     }
 
--- a/crates/policy/src/rollout/timings.rs
+++ b/crates/policy/src/rollout/timings.rs
@@ -21,7 +21,12 @@
 
 impl Default for PolicyTimings {
     fn default() -> PolicyTimings {
-        PolicyTimings { switch_bound_ms: 1000.0, lease_ms: 5000.0, validation_ms: 2000.0, max_drift: 0.05 }
+        PolicyTimings {
+            switch_bound_ms: 1000.0,
+            lease_ms: 5000.0,
+            validation_ms: 2000.0,
+            max_drift: 0.05,
+        }
     }
 }
 
--- a/crates/policy/src/rules/compiled.rs
+++ b/crates/policy/src/rules/compiled.rs
@@ -12,8 +12,14 @@
 impl CompiledPolicy {
     /// A policy for a front end with these classes.
     pub fn new(policy: Policy, classes: &[String]) -> CompiledPolicy {
-        let class_rules = classes.iter().map(|name| policy.classes.get(name).cloned()).collect();
-        CompiledPolicy { policy, class_rules }
+        let class_rules = classes
+            .iter()
+            .map(|name| policy.classes.get(name).cloned())
+            .collect();
+        CompiledPolicy {
+            policy,
+            class_rules,
+        }
     }
 
     /// The policy itself.
--- a/crates/policy/src/rules/meter.rs
+++ b/crates/policy/src/rules/meter.rs
@@ -66,7 +66,11 @@
         if rule.is_some_and(|rule| rule.rejected) {
             return Err(Rejection::ClassRejected);
         }
-        if policy.policy().max_in_flight.is_some_and(|most| in_flight >= most) {
+        if policy
+            .policy()
+            .max_in_flight
+            .is_some_and(|most| in_flight >= most)
+        {
             return Err(Rejection::TooManyInFlight);
         }
         self.decay(now);
@@ -82,22 +86,38 @@
         }
         // The number of accounts is bounded: they are those of the settings.
         if let Some(account) = account {
-            *self.admitted_by_account.entry(account.to_owned()).or_default() += 1.0;
+            *self
+                .admitted_by_account
+                .entry(account.to_owned())
+                .or_default() += 1.0;
         }
         Ok(rule.map(RequestLimits::from).unwrap_or_default())
     }
 
     fn is_over_share(&self, policy: &CompiledPolicy, account: &str) -> bool {
-        let Some(share) = policy.policy().accounts.get(account) else { return false };
-        let admitted = self.admitted_by_account.get(account).copied().unwrap_or(0.0);
+        let Some(share) = policy.policy().accounts.get(account) else {
+            return false;
+        };
+        let admitted = self
+            .admitted_by_account
+            .get(account)
+            .copied()
+            .unwrap_or(0.0);
         let is_measured = self.requests >= MIN_REQUESTS_FOR_SHARE;
         *share <= 0.0 || (is_measured && admitted + 1.0 > share * self.requests)
     }
 
     fn take_token(&mut self, now: f64, class: usize, max_rate: f64) -> bool {
         // A burst of one second's requests, of one at least where any are allowed.
-        let burst = if max_rate > 0.0 { max_rate.max(1.0) } else { 0.0 };
-        let full = TokenBucket { tokens: burst, refilled_at: now };
+        let burst = if max_rate > 0.0 {
+            max_rate.max(1.0)
+        } else {
+            0.0
+        };
+        let full = TokenBucket {
+            tokens: burst,
+            refilled_at: now,
+        };
         let bucket = self.buckets_by_class.entry(class).or_insert(full);
         let elapsed_ms = (now - bucket.refilled_at).max(0.0);
         bucket.tokens = (bucket.tokens + max_rate * elapsed_ms / 1000.0).min(burst);
@@ -122,6 +142,9 @@
 
 impl From<&ClassRule> for RequestLimits {
     fn from(rule: &ClassRule) -> RequestLimits {
-        RequestLimits { max_attempts: rule.max_attempts, deadline_ms: rule.deadline_ms }
+        RequestLimits {
+            max_attempts: rule.max_attempts,
+            deadline_ms: rule.deadline_ms,
+        }
     }
 }
--- a/crates/policy/src/validation.rs
+++ b/crates/policy/src/validation.rs
@@ -18,7 +18,11 @@
 ///
 /// # Errors
 /// All problems, each with its place, key and fix.
-pub fn parse_and_validate(file: &str, text: &str, known: &KnownNames) -> Result<ParsedPolicy, Vec<Problem>> {
+pub fn parse_and_validate(
+    file: &str,
+    text: &str,
+    known: &KnownNames,
+) -> Result<ParsedPolicy, Vec<Problem>> {
     let parsed = document::parse(file, text)?;
     let problems = validate(&parsed, known);
     if problems.is_empty() {
@@ -65,7 +69,13 @@
 
 /// The problem of a name that is not known here, with the known name that is most like it; none if it is known.
 /// `kind` tells what the name stands for, such as `class`.
-pub fn unknown_name(file: &str, place: Place, kind: &str, name: &str, known: &[String]) -> Option<Problem> {
+pub fn unknown_name(
+    file: &str,
+    place: Place,
+    kind: &str,
+    name: &str,
+    known: &[String],
+) -> Option<Problem> {
     if known.iter().any(|candidate| candidate == name) {
         return None;
     }
@@ -84,7 +94,9 @@
 
 /// The known name with the fewest edits, unless it takes too many for a typing error.
 fn nearest<'a>(name: &str, known: &'a [String]) -> Option<&'a String> {
-    let by_distance = known.iter().map(|candidate| (edit_distance(candidate, name), candidate));
+    let by_distance = known
+        .iter()
+        .map(|candidate| (edit_distance(candidate, name), candidate));
     let (distance, candidate) = by_distance.min()?;
     (distance <= 1 + candidate.len() / 3).then_some(candidate)
 }
--- a/crates/policy/tests/common/encoding.rs
+++ b/crates/policy/tests/common/encoding.rs
@@ -15,13 +15,17 @@
     /// Appends a serializable value behind a tag.
     pub fn put<T: Serialize>(&mut self, tag: u8, value: &T) {
         self.bytes.push(tag);
-        self.bytes.extend(postcard::to_stdvec(value).expect("every value has an encoding"));
+        self.bytes
+            .extend(postcard::to_stdvec(value).expect("every value has an encoding"));
     }
 
     /// Appends what a member is to do.
     pub fn put_action(&mut self, action: &MemberAction) {
         match action {
-            MemberAction::Activate { version, policy_text: text } => self.put(0x01, &(version, text)),
+            MemberAction::Activate {
+                version,
+                policy_text: text,
+            } => self.put(0x01, &(version, text)),
             MemberAction::Validate(change) => self.put(0x02, change),
         }
     }
@@ -30,7 +34,12 @@
     pub fn put_member(&mut self, now: f64, member: &PolicyMember) {
         self.put(
             0x10,
-            &(&member.id().name, member.admits(now), member.next_poll_at(), member.blocked_reason(now)),
+            &(
+                &member.id().name,
+                member.admits(now),
+                member.next_poll_at(),
+                member.blocked_reason(now),
+            ),
         );
         if let Some(lease) = member.lease() {
             self.put(0x11, &(lease.version, lease.expires_at, &lease.kind));
@@ -44,7 +53,13 @@
             self.put(0x21, member);
             self.put(
                 0x22,
-                &(status.polled_at, status.version, &status.lease_kind, &status.blocked_reason, &status.note),
+                &(
+                    status.polled_at,
+                    status.version,
+                    &status.lease_kind,
+                    &status.blocked_reason,
+                    &status.note,
+                ),
             );
         }
     }
@@ -62,9 +77,12 @@
 
     /// The line that is recorded: a hash (FNV-1a, folded to 32 bits).
     pub fn line(&self) -> String {
-        let hash = self.bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-            (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
-        });
+        let hash = self
+            .bytes
+            .iter()
+            .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
+                (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+            });
         format!("{:08x}", (hash >> 32) ^ (hash & 0xffff_ffff))
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -18,7 +18,10 @@
 /// The file with the recorded lines of a seed.
 pub fn recording_path(seed: u64) -> PathBuf {
     let file = format!("policy-seed-{seed}.txt");
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests").join("recordings").join(file)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests")
+        .join("recordings")
+        .join(file)
 }
 
 /// Runs the world of a seed: one line a step.
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -82,7 +82,8 @@
         });
         let members = members.collect();
         let classes: Vec<String> = CLASSES.iter().map(|class| (*class).to_owned()).collect();
-        let policy = CompiledPolicy::new(parse("policy", RULES).expect("a policy").policy, &classes);
+        let policy =
+            CompiledPolicy::new(parse("policy", RULES).expect("a policy").policy, &classes);
         World {
             random,
             now: 0.0,
@@ -124,7 +125,12 @@
     }
 
     fn timings(&self) -> PolicyTimings {
-        PolicyTimings { switch_bound_ms: 300.0, lease_ms: 900.0, validation_ms: 400.0, max_drift: 0.05 }
+        PolicyTimings {
+            switch_bound_ms: 300.0,
+            lease_ms: 900.0,
+            validation_ms: 400.0,
+            max_drift: 0.05,
+        }
     }
 
     fn tick(&mut self, out: &mut Encoding) {
@@ -149,7 +155,9 @@
             }
             let own = self.now * member.rate;
             let note = format!("admitted={}", self.counts.admitted);
-            let Some(request) = member.machine.poll_request(own, &note) else { continue };
+            let Some(request) = member.machine.poll_request(own, &note) else {
+                continue;
+            };
             out.put(0x50, &request);
             match self.random.below(if self.calm { 200 } else { 20 }) {
                 0 => {}
@@ -165,9 +173,13 @@
             }
         }
         if self.random.one_in(150) {
-            let name = if self.random.one_in(2) { "a name that is none" } else { "stranger" };
-            let request =
-                PolicyMember::new(MemberId::new(name, 9), 1, self.injected_bug).poll_request(self.now, "");
+            let name = if self.random.one_in(2) {
+                "a name that is none"
+            } else {
+                "stranger"
+            };
+            let request = PolicyMember::new(MemberId::new(name, 9), 1, self.injected_bug)
+                .poll_request(self.now, "");
             self.requests.extend(request.map(|request| (0, request)));
         }
     }
@@ -220,13 +232,18 @@
                         let unusable = self.random.one_in(25);
                         self.counts.unusable += usize::from(unusable);
                         if unusable {
-                            member.machine.activation_failed(version, "class \"x\" is not known".to_owned());
+                            member
+                                .machine
+                                .activation_failed(version, "class \"x\" is not known".to_owned());
                         } else {
                             member.machine.activated(version);
                         }
                     }
                     MemberAction::Validate(change) => {
-                        let error = ValidationError { member: format!("m{m}"), message: "line 1".to_owned() };
+                        let error = ValidationError {
+                            member: format!("m{m}"),
+                            message: "line 1".to_owned(),
+                        };
                         let errors = if self.random.one_in(if self.calm { 100 } else { 15 }) {
                             vec![error]
                         } else {
@@ -267,13 +284,21 @@
             let class = self.random.below(CLASSES.len() + 1);
             let account = ACCOUNTS.get(self.random.below(ACCOUNTS.len() + 1)).copied();
             let open = self.random.below(42);
-            let admission = self.meter.admit(self.now, &self.policy, class, account, open);
+            let admission = self
+                .meter
+                .admit(self.now, &self.policy, class, account, open);
             self.counts.admitted += usize::from(admission.is_ok());
             self.counts.refused += usize::from(admission.is_err());
             out.put_admission(&admission);
         }
         let engine = format!("e-{}", self.random.below(50));
-        out.put(0x70, &(self.policy.excludes(&engine, "a"), self.policy.excludes(&engine, "b")));
+        out.put(
+            0x70,
+            &(
+                self.policy.excludes(&engine, "a"),
+                self.policy.excludes(&engine, "b"),
+            ),
+        );
     }
 
     fn observe(&mut self, out: &mut Encoding) {
--- a/crates/policy/tests/common/world/disturbances.rs
+++ b/crates/policy/tests/common/world/disturbances.rs
@@ -35,8 +35,14 @@
         } else if self.random.one_in(300) {
             self.uncommitted.push(Command::Commit { id });
         } else if self.random.one_in(300) {
-            let error = |n: usize| ValidationError { member: format!("m{n}"), message: format!("fault {n}") };
-            self.uncommitted.push(Command::Reject { id, errors: (0..60).map(error).collect() });
+            let error = |n: usize| ValidationError {
+                member: format!("m{n}"),
+                message: format!("fault {n}"),
+            };
+            self.uncommitted.push(Command::Reject {
+                id,
+                errors: (0..60).map(error).collect(),
+            });
         }
     }
 
@@ -57,7 +63,11 @@
             1 => "no good id".to_owned(),
             _ => format!("c{}", self.proposed),
         };
-        let requested_by = if self.random.one_in(10) { "o".repeat(100) } else { "operator".to_owned() };
+        let requested_by = if self.random.one_in(10) {
+            "o".repeat(100)
+        } else {
+            "operator".to_owned()
+        };
         let policy_text = match self.random.below(10) {
             0 | 1 => None,
             2 => Some("#".repeat(MAX_TEXT_LENGTH + 1)),
@@ -68,13 +78,19 @@
             1 => Some(self.state.version() + 1),
             _ => Some(self.state.version()),
         };
-        ChangeRequest { id, requested_by, policy_text, base_version }
+        ChangeRequest {
+            id,
+            requested_by,
+            policy_text,
+            base_version,
+        }
     }
 
     /// Leaders change, members restart, fall silent, are taken off; strangers come.
     pub(super) fn disturb(&mut self) {
         if self.steps == 1 || self.random.one_in(if self.calm { 1500 } else { 250 }) {
-            self.leader.set_leadership(self.now, !self.leader.is_leader());
+            self.leader
+                .set_leadership(self.now, !self.leader.is_leader());
             self.uncommitted.clear();
             self.counts.leaderships += usize::from(self.leader.is_leader());
         } else if !self.leader.is_leader() && self.random.one_in(15) {
@@ -88,8 +104,11 @@
         if self.random.one_in(300) {
             let member = &mut self.members[m];
             member.incarnation += 1;
-            member.machine =
-                PolicyMember::new(MemberId::new(format!("m{m}"), member.incarnation), 1, self.injected_bug);
+            member.machine = PolicyMember::new(
+                MemberId::new(format!("m{m}"), member.incarnation),
+                1,
+                self.injected_bug,
+            );
             member.responses.clear();
             member.todo.clear();
             self.counts.restarts += 1;
@@ -114,12 +133,16 @@
     pub(super) fn crowd(&mut self, out: &mut Encoding) {
         if self.steps == 2450 {
             for n in 0..1010 {
-                self.state
-                    .apply(&Command::Join { member: MemberId::new(format!("s{n}"), n), format_version: 1 });
+                self.state.apply(&Command::Join {
+                    member: MemberId::new(format!("s{n}"), n),
+                    format_version: 1,
+                });
             }
             out.put(0x41, &self.state);
             for n in 0..1005 {
-                self.state.apply(&Command::Leave { member: MemberId::new(format!("s{n}"), n) });
+                self.state.apply(&Command::Leave {
+                    member: MemberId::new(format!("s{n}"), n),
+                });
             }
         }
     }
--- a/crates/policy/tests/document.rs
+++ b/crates/policy/tests/document.rs
@@ -16,15 +16,27 @@
 }
 
 fn policy(text: &str) -> Policy {
-    parse("p.hcl", text).unwrap_or_else(|e| panic!("{e:?}")).policy
+    parse("p.hcl", text)
+        .unwrap_or_else(|e| panic!("{e:?}"))
+        .policy
 }
 
 #[test]
 fn each_problem_names_file_line_key_and_fix() {
     for (text, place, key, says) in [
         ("class \"lookup\" {}\n", "p.hcl:1:1", "form", "is missing"),
-        ("form = 2\nwhatever {}\n", "p.hcl:1:1", "form", "update this front end's program"),
-        ("form = 1\nclass \"lokup\" {\n}\n", "p.hcl:2:1", "class \"lokup\"", "did you mean `lookup`?"),
+        (
+            "form = 2\nwhatever {}\n",
+            "p.hcl:1:1",
+            "form",
+            "update this front end's program",
+        ),
+        (
+            "form = 1\nclass \"lokup\" {\n}\n",
+            "p.hcl:2:1",
+            "class \"lokup\"",
+            "did you mean `lookup`?",
+        ),
         (
             "form = 1\naccount \"x\" {\n  share = \"50%\"\n}\n",
             "p.hcl:2:1",
@@ -49,7 +61,12 @@
             "classes[0].atempts",
             "did you mean `attempts`?",
         ),
-        ("form = 1\nclass \"report\" {}\nclass \"report\" {}\n", "p.hcl:3:1", "classes[1]", "stands twice"),
+        (
+            "form = 1\nclass \"report\" {}\nclass \"report\" {}\n",
+            "p.hcl:3:1",
+            "classes[1]",
+            "stands twice",
+        ),
         (
             "form = 1\nzone \"a\" {\n weight = \"0%\"\n}\nzone \"b\" {\n weight = \"0%\"\n}\n",
             "p.hcl:1:1",
@@ -59,7 +76,10 @@
     ] {
         let faults = parse_and_validate("p.hcl", text, &known()).expect_err(text);
         let told = faults[0].to_string();
-        assert!(told.starts_with(place) && told.contains(key) && told.contains(says), "{text}: {told}");
+        assert!(
+            told.starts_with(place) && told.contains(key) && told.contains(says),
+            "{text}: {told}"
+        );
     }
     assert!(parse("p.hcl", &"#".repeat(70_000)).is_err(), "too long");
 }
@@ -69,9 +89,17 @@
     let a = policy("form = 1\n# a comment\nclass \"report\" {\n  attempts = 2\n}\nengine \"e\" {\n  left_out = false\n}\n");
     let b = policy("form = 1\nclass \"report\" {\n attempts=2\n refused = false\n}\nzone \"a\" {\n weight = \"100%\"\n}\n");
     assert!(diff(&a, &b).is_empty(), "{:?}", diff(&a, &b));
-    let c = policy("form = 1\nclass \"report\" {\n  attempts = 3\n}\nengine \"e\" {\n  left_out = true\n}\n");
+    let c = policy(
+        "form = 1\nclass \"report\" {\n  attempts = 3\n}\nengine \"e\" {\n  left_out = true\n}\n",
+    );
     let told: Vec<String> = diff(&a, &c).iter().map(ToString::to_string).collect();
-    assert_eq!(told, ["class \"report\" attempts: 2 -> 3", "engine \"e\": in use -> left out"]);
+    assert_eq!(
+        told,
+        [
+            "class \"report\" attempts: 2 -> 3",
+            "engine \"e\": in use -> left out"
+        ]
+    );
 }
 
 #[test]
@@ -79,16 +107,30 @@
     let text = "form = 1\nadmission {\n  open_most = 5\n}\nclass \"report\" {\n  refused = true\n}\nclass \"lookup\" {\n  rate = 10\n  attempts = 2\n  deadline = \"1 s\"\n}\n";
     let policy_in_use = CompiledPolicy::new(policy(text), &known().classes);
     let mut meter = AdmissionMeter::default();
-    assert_eq!(meter.admit(0.0, &policy_in_use, 1, None, 0), Err(Rejection::ClassRejected));
-    assert_eq!(meter.admit(0.0, &policy_in_use, 0, None, 5), Err(Rejection::TooManyInFlight));
-    let within =
-        (0..100).filter(|i| meter.admit(f64::from(*i) * 50.0, &policy_in_use, 0, None, 0).is_ok()).count();
+    assert_eq!(
+        meter.admit(0.0, &policy_in_use, 1, None, 0),
+        Err(Rejection::ClassRejected)
+    );
+    assert_eq!(
+        meter.admit(0.0, &policy_in_use, 0, None, 5),
+        Err(Rejection::TooManyInFlight)
+    );
+    let within = (0..100)
+        .filter(|i| {
+            meter
+                .admit(f64::from(*i) * 50.0, &policy_in_use, 0, None, 0)
+                .is_ok()
+        })
+        .count();
     assert!(
         (55..=62).contains(&within),
         "{within} of 100 in five seconds at ten a second, with a second's worth at once"
     );
     let limits = meter.admit(9000.0, &policy_in_use, 0, None, 0).unwrap();
-    assert_eq!((limits.max_attempts, limits.deadline_ms), (Some(2), Some(1000.0)));
+    assert_eq!(
+        (limits.max_attempts, limits.deadline_ms),
+        (Some(2), Some(1000.0))
+    );
     let policy_in_use = CompiledPolicy::new(
         policy("form = 1\naccount \"leinster\" {\n  share = \"25%\"\n}\n"),
         &known().classes,
@@ -97,9 +139,16 @@
         let (mut meter, mut own) = (AdmissionMeter::default(), 0);
         for i in 0..400 {
             let now = f64::from(i) * 10.0;
-            own += usize::from(meter.admit(now, &policy_in_use, 0, Some("leinster"), 0).is_ok());
-            (0..others)
-                .for_each(|_| assert!(meter.admit(now, &policy_in_use, 0, Some("munster"), 0).is_ok()));
+            own += usize::from(
+                meter
+                    .admit(now, &policy_in_use, 0, Some("leinster"), 0)
+                    .is_ok(),
+            );
+            (0..others).for_each(|_| {
+                assert!(meter
+                    .admit(now, &policy_in_use, 0, Some("munster"), 0)
+                    .is_ok())
+            });
         }
         // A quarter of all that asks, whatever part of that it is itself.
         let least: f64 = 0.25 / share;
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -11,10 +11,21 @@
 fn every_seed_gives_the_output_that_was_recorded() {
     for seed in SEEDS {
         let recorded = std::fs::read_to_string(recording_path(seed)).expect("a recording");
-        assert_eq!(recorded.lines().count(), STEPS, "seed {seed}: lines of the recording");
+        assert_eq!(
+            recorded.lines().count(),
+            STEPS,
+            "seed {seed}: lines of the recording"
+        );
         let (lines, _) = run(seed);
-        let differing = recorded.lines().zip(&lines).position(|(old, new)| old != new);
-        assert_eq!(differing.map(|step| step + 1), None, "seed {seed}: the first step that differs");
+        let differing = recorded
+            .lines()
+            .zip(&lines)
+            .position(|(old, new)| old != new);
+        assert_eq!(
+            differing.map(|step| step + 1),
+            None,
+            "seed {seed}: the first step that differs"
+        );
     }
 }
 
@@ -23,7 +34,10 @@
     let mut total = common::world::Counts::default();
     for seed in SEEDS {
         let (_, world) = run(seed);
-        println!("seed {seed}: version {}, active {}", world.counts.last_version, world.counts.active);
+        println!(
+            "seed {seed}: version {}, active {}",
+            world.counts.last_version, world.counts.active
+        );
         total.active += world.counts.active;
         total.rejected += world.counts.rejected;
         total.withdrawn += world.counts.withdrawn;
@@ -49,7 +63,12 @@
         total.last_version
     );
     assert!(total.active >= 100 && total.rejected >= 100 && total.withdrawn >= 20);
-    assert!(total.leaderships >= 50 && total.restarts >= 20 && total.removals >= 10 && total.unusable >= 10);
+    assert!(
+        total.leaderships >= 50
+            && total.restarts >= 20
+            && total.removals >= 10
+            && total.unusable >= 10
+    );
     assert!(total.last_version > 32, "old versions are dropped");
     assert!(total.admitted >= 1000 && total.refused >= 1000);
 }
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -29,8 +29,13 @@
         state.apply(&Command::Bootstrap(PolicyTimings::default()));
         let mut leader = PolicyLeader::default();
         leader.set_leadership(0.0, true);
-        let member =
-            |m: usize| PolicyMember::new(MemberId::new(format!("m{m}"), m as u64), 1, InjectedBug::None);
+        let member = |m: usize| {
+            PolicyMember::new(
+                MemberId::new(format!("m{m}"), m as u64),
+                1,
+                InjectedBug::None,
+            )
+        };
         Fleet {
             now: 0.0,
             state,
@@ -46,7 +51,9 @@
     }
 
     fn commit(&mut self, commands: Vec<Command>) {
-        commands.iter().for_each(|command| self.state.apply(command));
+        commands
+            .iter()
+            .for_each(|command| self.state.apply(command));
     }
 
     fn run(&mut self, ms: f64) {
@@ -63,7 +70,9 @@
                     let v = version as usize;
                     (self.first[v], self.last[v]) = (self.first[v].min(self.now), self.now);
                 }
-                let Some(request) = self.members[m].poll_request(own, "") else { continue };
+                let Some(request) = self.members[m].poll_request(own, "") else {
+                    continue;
+                };
                 let sequence = request.sequence;
                 if self.cut[m] || !self.leader.is_leader() {
                     self.members[m].poll_failed(own + 400.0, sequence);
@@ -74,7 +83,9 @@
                 self.commit(commands);
                 for action in self.members[m].handle_response(own, response) {
                     match action {
-                        MemberAction::Activate { version, .. } => self.members[m].activated(version),
+                        MemberAction::Activate { version, .. } => {
+                            self.members[m].activated(version)
+                        }
                         MemberAction::Validate(change) => {
                             self.members[m].validated(own, &change.id, Vec::new());
                         }
@@ -101,7 +112,10 @@
         for _ in 0..4000 {
             let all = (0..self.members.len()).filter(|m| !self.cut[*m]);
             let now = self.now;
-            if all.into_iter().all(|m| self.members[m].admits(now * self.rate[m]) == Some(version)) {
+            if all
+                .into_iter()
+                .all(|m| self.members[m].admits(now * self.rate[m]) == Some(version))
+            {
                 return self.now - from;
             }
             self.run(STEP);
@@ -124,7 +138,10 @@
     assert!(overlap.is_finite(), "both versions were admitted under");
     println!("300 members: {idle:.0} polls a second at rest; in force everywhere after {took:.0} ms, overlap {overlap:.0} ms");
     assert!(idle <= 600.0, "{idle} polls a second at rest");
-    assert!(took <= 3000.0 && overlap <= 1000.0, "{took} ms, overlap {overlap} ms");
+    assert!(
+        took <= 3000.0 && overlap <= 1000.0,
+        "{took} ms, overlap {overlap} ms"
+    );
     assert_eq!(fleet.silent, 0.0, "somebody admits at any moment");
 }
 
@@ -147,7 +164,10 @@
         );
         (0..5).for_each(|m| fleet.cut[m] = false);
         fleet.run(2000.0);
-        assert!((0..30).all(|m| fleet.members[m].admits(fleet.now * rate) == Some(1)), "all are back");
+        assert!(
+            (0..30).all(|m| fleet.members[m].admits(fleet.now * rate) == Some(1)),
+            "all are back"
+        );
     }
 }
 
@@ -169,12 +189,24 @@
     fleet.run(2000.0);
     assert!(fleet.first[1].is_finite());
     assert!(fleet.last[0] - fleet.first[1] <= 1000.0);
-    assert_eq!(fleet.state.members.len(), 9, "who is cut off is not forgotten within its rights");
+    assert_eq!(
+        fleet.state.members.len(),
+        9,
+        "who is cut off is not forgotten within its rights"
+    );
     fleet.run(80_000.0);
-    assert_eq!(fleet.state.members.len(), 8, "and is after twelve times as long");
+    assert_eq!(
+        fleet.state.members.len(),
+        8,
+        "and is after twelve times as long"
+    );
     fleet.cut[8] = false;
     fleet.run(2000.0);
-    assert_eq!(fleet.members[8].admits(fleet.now), Some(1), "it joins again");
+    assert_eq!(
+        fleet.members[8].admits(fleet.now),
+        Some(1),
+        "it joins again"
+    );
 }
 
 #[test]
@@ -190,19 +222,49 @@
     };
     for (command, outcomes) in [
         (Command::Activate { id: "a".to_owned() }, vec![("a", None)]),
-        (propose("a", Some(0)), vec![("a", Some(ChangeOutcome::Validating))]),
-        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Validating))]),
-        (Command::Commit { id: "b".to_owned() }, vec![("a", Some(ChangeOutcome::Validating))]),
-        (Command::Commit { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Committed(1)))]),
-        (Command::Withdraw { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Committed(1)))]),
         (
-            Command::Reject { id: "a".to_owned(), errors: Vec::new() },
+            propose("a", Some(0)),
+            vec![("a", Some(ChangeOutcome::Validating))],
+        ),
+        (
+            Command::Activate { id: "a".to_owned() },
+            vec![("a", Some(ChangeOutcome::Validating))],
+        ),
+        (
+            Command::Commit { id: "b".to_owned() },
+            vec![("a", Some(ChangeOutcome::Validating))],
+        ),
+        (
+            Command::Commit { id: "a".to_owned() },
+            vec![("a", Some(ChangeOutcome::Committed(1)))],
+        ),
+        (
+            Command::Withdraw { id: "a".to_owned() },
+            vec![("a", Some(ChangeOutcome::Committed(1)))],
+        ),
+        (
+            Command::Reject {
+                id: "a".to_owned(),
+                errors: Vec::new(),
+            },
+            vec![("a", Some(ChangeOutcome::Committed(1)))],
+        ),
+        (
+            propose("a", None),
             vec![("a", Some(ChangeOutcome::Committed(1)))],
         ),
-        (propose("a", None), vec![("a", Some(ChangeOutcome::Committed(1)))]),
-        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Active(1)))]),
-        (propose("a", None), vec![("a", Some(ChangeOutcome::Active(1)))]),
-        (Command::Activate { id: "a".to_owned() }, vec![("a", Some(ChangeOutcome::Active(1)))]),
+        (
+            Command::Activate { id: "a".to_owned() },
+            vec![("a", Some(ChangeOutcome::Active(1)))],
+        ),
+        (
+            propose("a", None),
+            vec![("a", Some(ChangeOutcome::Active(1)))],
+        ),
+        (
+            Command::Activate { id: "a".to_owned() },
+            vec![("a", Some(ChangeOutcome::Active(1)))],
+        ),
     ] {
         state.apply(&command);
         outcomes
@@ -210,6 +272,9 @@
             .for_each(|(id, outcome)| assert_eq!(state.outcome(id), *outcome, "after {command:?}"));
     }
     state.apply(&propose("stale", Some(0)));
-    assert!(matches!(state.outcome("stale"), Some(ChangeOutcome::Rejected(_))), "made from another version");
+    assert!(
+        matches!(state.outcome("stale"), Some(ChangeOutcome::Rejected(_))),
+        "made from another version"
+    );
     assert_eq!((state.version(), state.pending), (1, None));
 }
