--- a/crates/policy/src/rollout/leader.rs
+++ b/crates/policy/src/rollout/leader.rs
@@ -3,13 +3,12 @@
 //! All of its state is volatile: a new leader begins with none. Safety rests on the replicated log and on the members'
 //! own clocks alone. All times are in milliseconds.
 
-use super::message::{
-    LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError,
-};
+use super::message::{LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange};
+use super::progress::RolloutProgress;
 use super::state::{Command, RolloutState, MAX_MEMBERS};
-use super::{InjectedBug, PendingChange, PolicyTimings, Version};
+use super::{InjectedBug, PolicyTimings, Version};
 use beamgap_fleet_types::{is_valid_name, MemberId};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// Pause between a member's polls while a change is under way, in milliseconds.
 const POLL_INTERVAL_DURING_ROLLOUT_MS: f64 = 30.0;
@@ -21,8 +20,6 @@
 const LEASES_UNTIL_REMOVED: f64 = 12.0;
 /// Pause before a member's join or removal is proposed again, in milliseconds.
 const MEMBERSHIP_RETRY_MS: f64 = 500.0;
-/// Pause before the next step of a change is proposed again, in milliseconds.
-const ROLLOUT_RETRY_MS: f64 = 200.0;
 
 /// A member as of its last poll.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,31 +36,16 @@
     pub note: String,
 }
 
-/// The change under way as this leader has seen it.
-#[derive(Clone, Debug, PartialEq)]
-struct TrackedChange {
-    id: String,
-    first_seen_at: f64,
-    /// When it was first seen to be committed.
-    committed_at: Option<f64>,
-}
-
 /// The state machine of the leader.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicyLeader {
     leads_since: Option<f64>,
-    change: Option<TrackedChange>,
-    /// What members found in the change under way.
-    validations: BTreeMap<MemberId, Vec<ValidationError>>,
-    /// Members that are known to hold a short lease, and so no long one.
-    short_leases: BTreeSet<MemberId>,
+    progress: RolloutProgress,
     statuses: BTreeMap<MemberId, MemberStatus>,
     /// Members whose join was proposed and is not applied yet, with the time of that.
     joining: BTreeMap<MemberId, f64>,
     /// Members whose removal was proposed: they are granted nothing, since it may be committed at any moment.
     leaving: BTreeMap<MemberId, f64>,
-    /// When a step of the change was last proposed.
-    step_proposed_at: Option<f64>,
     injected_bug: InjectedBug,
 }
 
@@ -118,7 +100,7 @@
             return (response_without_lease(request), Vec::new());
         }
         if let Some(pending) = &state.pending {
-            self.record_progress(pending, request);
+            self.progress.record_poll(pending, request);
         }
         let response = self.response(state, timings, request);
         (response, self.next_commands(now, state))
@@ -167,24 +149,6 @@
         }]
     }
 
-    /// What a poll tells of the member's part in the change under way.
-    fn record_progress(&mut self, pending: &PendingChange, request: &PollRequest) {
-        if let Some(report) = request
-            .validation
-            .as_ref()
-            .filter(|report| report.change_id == pending.id)
-        {
-            self.validations
-                .insert(request.member.clone(), report.errors.clone());
-        }
-        // It accepted the short lease, which replaced the long one, before it sent this poll.
-        let has_short_lease =
-            matches!(&request.lease_kind, Some(LeaseKind::Short(change)) if *change == pending.id);
-        if has_short_lease {
-            self.short_leases.insert(request.member.clone());
-        }
-    }
-
     fn response(
         &self,
         state: &RolloutState,
@@ -213,7 +177,7 @@
         member: &MemberId,
     ) -> Option<ProposedChange> {
         let pending = state.pending.as_ref()?;
-        if pending.committed || self.validations.contains_key(member) {
+        if pending.committed || self.progress.has_validated(member) {
             return None;
         }
         Some(ProposedChange {
@@ -270,40 +234,7 @@
         self.statuses.retain(|member, status| {
             state.members.contains_key(member) || now - status.polled_at <= lease_ms
         });
-        match &state.pending {
-            None => self.track_no_change(),
-            Some(pending) => self.track_change(now, pending),
-        }
-    }
-
-    fn track_no_change(&mut self) {
-        if self.change.take().is_some() {
-            self.step_proposed_at = None;
-        }
-        self.validations.clear();
-        self.short_leases.clear();
-    }
-
-    fn track_change(&mut self, now: f64, pending: &PendingChange) {
-        if let Some(change) = self
-            .change
-            .as_mut()
-            .filter(|change| change.id == pending.id)
-        {
-            if pending.committed && change.committed_at.is_none() {
-                change.committed_at = Some(now);
-                self.step_proposed_at = None;
-            }
-            return;
-        }
-        self.change = Some(TrackedChange {
-            id: pending.id.clone(),
-            first_seen_at: now,
-            committed_at: pending.committed.then_some(now),
-        });
-        self.validations.clear();
-        self.short_leases.clear();
-        self.step_proposed_at = None;
+        self.progress.track(now, state.pending.as_ref());
     }
 
     fn next_commands(&mut self, now: f64, state: &RolloutState) -> Vec<Command> {
@@ -311,17 +242,10 @@
             return Vec::new();
         };
         let mut commands = self.propose_removals(now, leads_since, state, timings);
-        // A proposal may have been lost with a leader: it is repeated, but not at each poll.
-        if self
-            .step_proposed_at
-            .is_some_and(|at| now - at < ROLLOUT_RETRY_MS)
-        {
-            return commands;
-        }
-        if let Some(step) = self.next_step(now, state, timings) {
-            self.step_proposed_at = Some(now);
-            commands.push(step);
-        }
+        let step = self
+            .progress
+            .next_step(now, state, timings, self.injected_bug);
+        commands.extend(step);
         commands
     }
 
@@ -354,61 +278,6 @@
         }
         commands
     }
-
-    fn next_step(&self, now: f64, state: &RolloutState, timings: PolicyTimings) -> Option<Command> {
-        let change = self.change.as_ref()?;
-        match change.committed_at {
-            None => self.rejection_or_commit(now, state, timings, change),
-            Some(committed_at) => self.activation(now, state, timings, change, committed_at),
-        }
-    }
-
-    fn rejection_or_commit(
-        &self,
-        now: f64,
-        state: &RolloutState,
-        timings: PolicyTimings,
-        change: &TrackedChange,
-    ) -> Option<Command> {
-        let id = change.id.clone();
-        let errors: Vec<ValidationError> = self.validations.values().flatten().cloned().collect();
-        if !errors.is_empty() {
-            return Some(Command::Reject { id, errors });
-        }
-        // A member that is down has no veto; one at least must have validated the change.
-        let all_validated = state
-            .members
-            .keys()
-            .all(|member| self.validations.contains_key(member));
-        let is_time_over = now - change.first_seen_at >= timings.validation_ms;
-        if (all_validated || is_time_over) && !self.validations.is_empty() {
-            Some(Command::Commit { id })
-        } else {
-            None
-        }
-    }
-
-    fn activation(
-        &self,
-        now: f64,
-        state: &RolloutState,
-        timings: PolicyTimings,
-        change: &TrackedChange,
-        committed_at: f64,
-    ) -> Option<Command> {
-        let all_short = state
-            .members
-            .keys()
-            .all(|member| self.short_leases.contains(member));
-        let long_leases_expired = now - committed_at >= timings.long_leases_expired_after_ms();
-        if all_short || long_leases_expired || self.injected_bug == InjectedBug::NoWait {
-            Some(Command::Activate {
-                id: change.id.clone(),
-            })
-        } else {
-            None
-        }
-    }
 }
 
 fn response_without_lease(request: &PollRequest) -> PollResponse {
--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -26,6 +26,7 @@
 mod leader;
 mod member;
 mod message;
+mod progress;
 mod state;
 mod timings;
 
--- a/crates/policy/tests/document.rs
+++ b/crates/policy/tests/document.rs
@@ -21,64 +21,67 @@
         .policy
 }
 
+/// A text, and the place, the key and a part of the message of its first problem.
+const TEXTS_WITH_PROBLEMS: [(&str, &str, &str, &str); 9] = [
+    ("class \"lookup\" {}\n", "p.hcl:1:1", "form", "is missing"),
+    (
+        "form = 2\nwhatever {}\n",
+        "p.hcl:1:1",
+        "form",
+        "update this front end's program",
+    ),
+    (
+        "form = 1\nclass \"lokup\" {\n}\n",
+        "p.hcl:2:1",
+        "class \"lokup\"",
+        "did you mean `lookup`?",
+    ),
+    (
+        "form = 1\naccount \"x\" {\n  share = \"50%\"\n}\n",
+        "p.hcl:2:1",
+        "account \"x\"",
+        "known here: leinster",
+    ),
+    (
+        "form = 1\naccount \"leinster\" {\n  share = \"150%\"\n}\n",
+        "p.hcl:3:11",
+        "accounts[0].share",
+        "more than all",
+    ),
+    (
+        "form = 1\nclass \"report\" {\n  deadline = 500\n}\n",
+        "p.hcl:3:14",
+        "classes[0].deadline",
+        "\"500 ms\"",
+    ),
+    (
+        "form = 1\nclass \"report\" {\n  atempts = 2\n}\n",
+        "p.hcl:3:3",
+        "classes[0].atempts",
+        "did you mean `attempts`?",
+    ),
+    (
+        "form = 1\nclass \"report\" {}\nclass \"report\" {}\n",
+        "p.hcl:3:1",
+        "classes[1]",
+        "stands twice",
+    ),
+    (
+        "form = 1\nzone \"a\" {\n weight = \"0%\"\n}\nzone \"b\" {\n weight = \"0%\"\n}\n",
+        "p.hcl:1:1",
+        "zone",
+        "leave one zone",
+    ),
+];
+
 #[test]
 fn each_problem_names_file_line_key_and_fix() {
-    for (text, place, key, says) in [
-        ("class \"lookup\" {}\n", "p.hcl:1:1", "form", "is missing"),
-        (
-            "form = 2\nwhatever {}\n",
-            "p.hcl:1:1",
-            "form",
-            "update this front end's program",
-        ),
-        (
-            "form = 1\nclass \"lokup\" {\n}\n",
-            "p.hcl:2:1",
-            "class \"lokup\"",
-            "did you mean `lookup`?",
-        ),
-        (
-            "form = 1\naccount \"x\" {\n  share = \"50%\"\n}\n",
-            "p.hcl:2:1",
-            "account \"x\"",
-            "known here: leinster",
-        ),
-        (
-            "form = 1\naccount \"leinster\" {\n  share = \"150%\"\n}\n",
-            "p.hcl:3:11",
-            "accounts[0].share",
-            "more than all",
-        ),
-        (
-            "form = 1\nclass \"report\" {\n  deadline = 500\n}\n",
-            "p.hcl:3:14",
-            "classes[0].deadline",
-            "\"500 ms\"",
-        ),
-        (
-            "form = 1\nclass \"report\" {\n  atempts = 2\n}\n",
-            "p.hcl:3:3",
-            "classes[0].atempts",
-            "did you mean `attempts`?",
-        ),
-        (
-            "form = 1\nclass \"report\" {}\nclass \"report\" {}\n",
-            "p.hcl:3:1",
-            "classes[1]",
-            "stands twice",
-        ),
-        (
-            "form = 1\nzone \"a\" {\n weight = \"0%\"\n}\nzone \"b\" {\n weight = \"0%\"\n}\n",
-            "p.hcl:1:1",
-            "zone",
-            "leave one zone",
-        ),
-    ] {
-        let faults = parse_and_validate("p.hcl", text, &known()).expect_err(text);
-        let told = faults[0].to_string();
+    for (text, place, key, says) in TEXTS_WITH_PROBLEMS {
+        let problems = parse_and_validate("p.hcl", text, &known()).expect_err(text);
+        let line = problems[0].to_string();
         assert!(
-            told.starts_with(place) && told.contains(key) && told.contains(says),
-            "{text}: {told}"
+            line.starts_with(place) && line.contains(key) && line.contains(says),
+            "{text}: {line}"
         );
     }
     assert!(parse("p.hcl", &"#".repeat(70_000)).is_err(), "too long");
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn requests_are_limited_by_class_rate_account_share_and_requests_in_flight() {
+fn requests_are_limited_by_class_rate_and_requests_in_flight() {
     let text = "form = 1\nadmission {\n  open_most = 5\n}\nclass \"report\" {\n  refused = true\n}\nclass \"lookup\" {\n  rate = 10\n  attempts = 2\n  deadline = \"1 s\"\n}\n";
     let policy_in_use = CompiledPolicy::new(policy(text), &known().classes);
     let mut meter = AdmissionMeter::default();
@@ -131,6 +134,10 @@
         (limits.max_attempts, limits.deadline_ms),
         (Some(2), Some(1000.0))
     );
+}
+
+#[test]
+fn an_account_is_admitted_up_to_its_share_of_all_requests() {
     let policy_in_use = CompiledPolicy::new(
         policy("form = 1\naccount \"leinster\" {\n  share = \"25%\"\n}\n"),
         &known().classes,
@@ -144,11 +151,11 @@
                     .admit(now, &policy_in_use, 0, Some("leinster"), 0)
                     .is_ok(),
             );
-            (0..others).for_each(|_| {
+            for _ in 0..others {
                 assert!(meter
                     .admit(now, &policy_in_use, 0, Some("munster"), 0)
-                    .is_ok())
-            });
+                    .is_ok());
+            }
         }
         // A quarter of all that asks, whatever part of that it is itself.
         let least: f64 = 0.25 / share;
--- a/crates/policy/tests/rollout.rs
+++ b/crates/policy/tests/rollout.rs
@@ -84,7 +84,7 @@
                 for action in self.members[m].handle_response(own, response) {
                     match action {
                         MemberAction::Activate { version, .. } => {
-                            self.members[m].activated(version)
+                            self.members[m].activated(version);
                         }
                         MemberAction::Validate(change) => {
                             self.members[m].validated(own, &change.id, Vec::new());
@@ -209,67 +209,41 @@
     );
 }
 
+fn propose(id: &str, base_version: Option<u64>) -> Command {
+    Command::Propose(ChangeRequest {
+        id: id.to_owned(),
+        requested_by: "o".to_owned(),
+        policy_text: Some("form = 1\n".to_owned()),
+        base_version,
+    })
+}
+
 #[test]
 fn overtaken_commands_change_nothing() {
-    let mut state = RolloutState::default();
-    let propose = |id: &str, base| {
-        Command::Propose(ChangeRequest {
-            id: id.to_owned(),
-            requested_by: "o".to_owned(),
-            policy_text: Some("form = 1\n".to_owned()),
-            base_version: base,
-        })
+    let id = |id: &str| id.to_owned();
+    let activate = || Command::Activate { id: id("a") };
+    let commit = |change: &str| Command::Commit { id: id(change) };
+    let withdraw = Command::Withdraw { id: id("a") };
+    let reject = Command::Reject {
+        id: id("a"),
+        errors: Vec::new(),
     };
-    for (command, outcomes) in [
-        (Command::Activate { id: "a".to_owned() }, vec![("a", None)]),
-        (
-            propose("a", Some(0)),
-            vec![("a", Some(ChangeOutcome::Validating))],
-        ),
-        (
-            Command::Activate { id: "a".to_owned() },
-            vec![("a", Some(ChangeOutcome::Validating))],
-        ),
-        (
-            Command::Commit { id: "b".to_owned() },
-            vec![("a", Some(ChangeOutcome::Validating))],
-        ),
-        (
-            Command::Commit { id: "a".to_owned() },
-            vec![("a", Some(ChangeOutcome::Committed(1)))],
-        ),
-        (
-            Command::Withdraw { id: "a".to_owned() },
-            vec![("a", Some(ChangeOutcome::Committed(1)))],
-        ),
-        (
-            Command::Reject {
-                id: "a".to_owned(),
-                errors: Vec::new(),
-            },
-            vec![("a", Some(ChangeOutcome::Committed(1)))],
-        ),
-        (
-            propose("a", None),
-            vec![("a", Some(ChangeOutcome::Committed(1)))],
-        ),
-        (
-            Command::Activate { id: "a".to_owned() },
-            vec![("a", Some(ChangeOutcome::Active(1)))],
-        ),
-        (
-            propose("a", None),
-            vec![("a", Some(ChangeOutcome::Active(1)))],
-        ),
-        (
-            Command::Activate { id: "a".to_owned() },
-            vec![("a", Some(ChangeOutcome::Active(1)))],
-        ),
+    let mut state = RolloutState::default();
+    for (command, outcome) in [
+        (activate(), None),
+        (propose("a", Some(0)), Some(ChangeOutcome::Validating)),
+        (activate(), Some(ChangeOutcome::Validating)),
+        (commit("b"), Some(ChangeOutcome::Validating)),
+        (commit("a"), Some(ChangeOutcome::Committed(1))),
+        (withdraw, Some(ChangeOutcome::Committed(1))),
+        (reject, Some(ChangeOutcome::Committed(1))),
+        (propose("a", None), Some(ChangeOutcome::Committed(1))),
+        (activate(), Some(ChangeOutcome::Active(1))),
+        (propose("a", None), Some(ChangeOutcome::Active(1))),
+        (activate(), Some(ChangeOutcome::Active(1))),
     ] {
         state.apply(&command);
-        outcomes
-            .iter()
-            .for_each(|(id, outcome)| assert_eq!(state.outcome(id), *outcome, "after {command:?}"));
+        assert_eq!(state.outcome("a"), outcome, "after {command:?}");
     }
     state.apply(&propose("stale", Some(0)));
     assert!(
