--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -11,6 +11,7 @@
 use crate::{InjectedBug, Share};
 use beamgap_fleet_types::MemberId;
 use held_budget::HeldBudget;
+use thiserror::Error;
 
 /// A poll without a response so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,6 +20,14 @@
     sent_at: f64,
 }
 
+/// A request was rejected because a budget is exhausted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("budget number {number} is exhausted")]
+pub struct Exhausted {
+    /// The budget's number, as in [`BudgetMember::specs`].
+    pub number: usize,
+}
+
 /// How the warming engines' load is split, as one member sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmingSplit {
@@ -156,13 +165,13 @@
     ///
     /// # Errors
     ///
-    /// The number of the first budget that is exhausted; nothing is taken then.
+    /// The first budget that is exhausted; nothing is taken then.
     pub fn try_acquire(
         &mut self,
         now: f64,
         numbers: &[usize],
         in_use: impl Fn(usize) -> u64,
-    ) -> Result<(), usize> {
+    ) -> Result<(), Exhausted> {
         let mut exhausted = None;
         for &number in numbers {
             if !self.has_capacity(now, number, &in_use) && exhausted.is_none() {
@@ -170,7 +179,7 @@
             }
         }
         if let Some(number) = exhausted {
-            return Err(number);
+            return Err(Exhausted { number });
         }
         for &number in numbers {
             if let Some(budget) = self.budgets.get_mut(number) {
--- a/crates/budgets/src/member/polling.rs
+++ b/crates/budgets/src/member/polling.rs
@@ -4,7 +4,7 @@
 use super::{BudgetMember, OutstandingPoll};
 use crate::message::{AppliedResponse, DemandReport, Epoch, FullStatement, Holding};
 use crate::message::{PollRequest, PollResponse};
-use crate::{InjectedBug, Share};
+use crate::{BudgetTimings, InjectedBug, Share};
 use beamgap_fleet_types::clock;
 
 /// Growth of the poll interval with each response that moves nothing.
@@ -114,6 +114,15 @@
         let Some(timings) = response.timings else {
             return;
         };
+        self.apply(&response, &timings, poll.sent_at);
+        self.refill_all(now);
+        if self.injected_bug == InjectedBug::FullBurstOnArrival {
+            self.fill_buckets(now, &response.holdings);
+        }
+    }
+
+    /// Takes on holdings that were requested at that time.
+    fn apply(&mut self, response: &PollResponse, timings: &BudgetTimings, requested_at: f64) {
         for budget in &mut self.budgets {
             let holding = response
                 .holdings
@@ -129,13 +138,9 @@
         self.position = response.position;
         // Polls are sent one after the other, so that a response never shortens what an earlier one granted.
         self.shares_expire_at =
-            poll.sent_at + clock::usable_for(timings.share_ms, timings.max_drift);
+            requested_at + clock::usable_for(timings.share_ms, timings.max_drift);
         self.floors_expire_at =
-            poll.sent_at + clock::usable_for(timings.floor_ms, timings.max_drift);
-        self.refill_all(now);
-        if self.injected_bug == InjectedBug::FullBurstOnArrival {
-            self.fill_buckets(now, &response.holdings);
-        }
+            requested_at + clock::usable_for(timings.floor_ms, timings.max_drift);
     }
 
     /// Polls ever more rarely while it waits for something that has to expire first.
--- a/crates/budgets/tests/fleet.rs
+++ b/crates/budgets/tests/fleet.rs
@@ -15,26 +15,33 @@
     Fleet::new(members as u64, members, specs, LEASE_MS, InjectedBug::None)
 }
 
+/// Every front end is asked for so many requests per second.
+fn set_demand_of_all(fleet: &mut Fleet, demand: f64) {
+    for front in &mut fleet.fronts {
+        front.demand = vec![demand];
+    }
+}
+
 #[test]
 fn a3_the_budget_follows_the_demand() {
     for members in [3, 9, 30] {
-        let mut f = fleet(members, vec![rate("a", 300.0, 300)]);
-        f.fronts[0].demand = vec![900.0];
-        f.run(3000.0);
+        let mut fleet = fleet(members, vec![rate("a", 300.0, 300)]);
+        fleet.fronts[0].demand = vec![900.0];
+        fleet.run(3000.0);
         for (moved_to, round) in [(1, 0), (2, 1), (0, 2)] {
-            f.fronts
-                .iter_mut()
-                .for_each(|front| front.demand = vec![0.0]);
-            f.fronts[moved_to].demand = vec![900.0];
-            f.run(3000.0);
-            let before = f.count(0);
-            f.run(5000.0);
+            set_demand_of_all(&mut fleet, 0.0);
+            fleet.fronts[moved_to].demand = vec![900.0];
+            fleet.run(3000.0);
+            let before = fleet.count(0);
+            fleet.run(5000.0);
             // A clock within the drift that runs slow counts less time than there is.
-            let used = (f.count(0) - before) as f64 / (300.0 * 5.0) / f.fronts[moved_to].clock.rate;
+            let used = (fleet.count(0) - before) as f64
+                / (300.0 * 5.0)
+                / fleet.fronts[moved_to].clock.rate;
             println!("{members} members, move {round}: {used:.3} of the whole used 3 s after it");
             assert!(used >= 0.94, "{members}: {used}");
         }
-        assert!(excess(&f.admitted[0], 300.0, 300) <= 0.0);
+        assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
     }
 }
 
@@ -42,15 +49,16 @@
 fn a3_allocation_is_weighted_max_min_within_three_seconds() {
     let mut spec = rate("a", 120.0, 120);
     spec.weights.insert("m002".to_owned(), 2.0);
-    let mut f = fleet(4, vec![spec]);
+    let mut fleet = fleet(4, vec![spec]);
     // One wants little; a flood buys no more than its fair part; one weighs double.
     for (m, demand) in [(0, 10.0), (1, 5000.0), (2, 300.0), (3, 60.0)] {
-        f.fronts[m].demand = vec![demand];
+        fleet.fronts[m].demand = vec![demand];
     }
-    f.run(3000.0);
-    let before = f.counts[0].clone();
-    f.run(10_000.0);
-    let rate_of = |m: usize| (f.counts[0][&m] - before.get(&m).copied().unwrap_or(0)) as f64 / 10.0;
+    fleet.run(3000.0);
+    let before = fleet.counts[0].clone();
+    fleet.run(10_000.0);
+    let rate_of =
+        |m: usize| (fleet.counts[0][&m] - before.get(&m).copied().unwrap_or(0)) as f64 / 10.0;
     let rates: Vec<f64> = (0..4).map(rate_of).collect();
     // 10 and, of what is left, parts of 1 : 2 : 1.
     for (m, fair) in [(0, 10.0), (1, 27.0), (2, 54.0), (3, 27.0)] {
@@ -61,16 +69,18 @@
 
 #[test]
 fn a2_a_new_member_has_a_useful_share_within_two_seconds() {
-    let mut f = fleet(9, vec![rate("a", 300.0, 300)]);
-    (0..8).for_each(|m| f.fronts[m].demand = vec![200.0]);
-    f.kill(8);
-    f.run(6000.0);
-    f.start(8);
-    f.fronts[8].demand = vec![200.0];
-    f.run(2000.0);
-    let before = f.counts[0].get(&8).copied().unwrap_or(0);
-    f.run(2000.0);
-    let got = (f.counts[0][&8] - before) as f64 / 2.0;
+    let mut fleet = fleet(9, vec![rate("a", 300.0, 300)]);
+    for front in &mut fleet.fronts[0..8] {
+        front.demand = vec![200.0];
+    }
+    fleet.kill(8);
+    fleet.run(6000.0);
+    fleet.start(8);
+    fleet.fronts[8].demand = vec![200.0];
+    fleet.run(2000.0);
+    let before = fleet.counts[0].get(&8).copied().unwrap_or(0);
+    fleet.run(2000.0);
+    let got = (fleet.counts[0][&8] - before) as f64 / 2.0;
     assert!(
         got >= 0.8 * 300.0 / 9.0,
         "{got} a second of {}",
@@ -83,43 +93,46 @@
     let mut spec = rate("a", 300.0, 300);
     spec.floor = 0.3;
     spec.max_members = 10;
-    let mut f = fleet(9, vec![spec]);
-    f.fronts
-        .iter_mut()
-        .for_each(|front| front.demand = vec![200.0]);
-    f.run(4000.0);
-    (5..9).for_each(|m| f.fronts[m].cut_off_until = f.now + 60_000.0);
-    f.run(2700.0);
-    let before = f.counts[0].clone();
-    f.run(1500.0);
+    let mut fleet = fleet(9, vec![spec]);
+    set_demand_of_all(&mut fleet, 200.0);
+    fleet.run(4000.0);
+    let cut_off_until = fleet.now + 60_000.0;
+    for front in &mut fleet.fronts[5..9] {
+        front.cut_off_until = cut_off_until;
+    }
+    fleet.run(2700.0);
+    let before = fleet.counts[0].clone();
+    fleet.run(1500.0);
     for m in 5..9 {
-        let got = (f.counts[0][&m] - before[&m]) as f64 / 1.5;
+        let got = (fleet.counts[0][&m] - before[&m]) as f64 / 1.5;
         assert!(
             (6.0..=9.5).contains(&got),
             "m{m} has {got} a second of the 9 set aside for it"
         );
     }
-    f.run(4000.0);
-    let before = f.counts[0].clone();
-    f.run(1000.0);
+    fleet.run(4000.0);
+    let before = fleet.counts[0].clone();
+    fleet.run(1000.0);
     assert!(
-        (5..9).all(|m| f.counts[0][&m] == before[&m]),
+        (5..9).all(|m| fleet.counts[0][&m] == before[&m]),
         "beyond its right it has nothing"
     );
-    assert!(excess(&f.admitted[0], 300.0, 300) <= 0.0);
+    assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
 }
 
 #[test]
 fn a4_a_budget_is_lowered_with_the_policy_and_its_division_goes_on() {
-    let mut f = fleet(6, vec![rate("a", 300.0, 300)]);
-    f.fronts
-        .iter_mut()
-        .for_each(|front| front.demand = vec![200.0]);
-    f.run(3000.0);
-    f.change(vec![rate("a", 30.0, 30)]);
-    let at = f.now;
-    f.run(10_000.0);
-    let after: Vec<f64> = f.admitted[0].iter().copied().filter(|t| *t > at).collect();
+    let mut fleet = fleet(6, vec![rate("a", 300.0, 300)]);
+    set_demand_of_all(&mut fleet, 200.0);
+    fleet.run(3000.0);
+    fleet.change(vec![rate("a", 30.0, 30)]);
+    let at = fleet.now;
+    fleet.run(10_000.0);
+    let after: Vec<f64> = fleet.admitted[0]
+        .iter()
+        .copied()
+        .filter(|t| *t > at)
+        .collect();
     assert!(
         excess(&after, 30.0, 30) <= 0.0,
         "{}",
@@ -137,17 +150,17 @@
     let specs = (0..64)
         .map(|n| rate(&format!("b{n:02}"), 300.0, 300))
         .collect();
-    let mut f = fleet(5, specs);
-    f.run(5000.0);
-    let asked = f.polls;
-    f.run(60_000.0);
-    let per_member = (f.polls - asked) as f64 / 5.0 / 60.0;
+    let mut fleet = fleet(5, specs);
+    fleet.run(5000.0);
+    let asked = fleet.polls;
+    fleet.run(60_000.0);
+    let per_member = (fleet.polls - asked) as f64 / 5.0 / 60.0;
     assert!(
         per_member < 1.4,
         "{per_member} questions a second and member"
     );
-    let local = f.local_time(0);
-    let request = f.fronts[0].member.poll_request(local, 1 << 40, |_| 0);
+    let local = fleet.local_time(0);
+    let request = fleet.fronts[0].member.poll_request(local, 1 << 40, |_| 0);
     assert!(
         request.demands.is_empty() && request.full_statement.is_none(),
         "{request:?}"
@@ -159,69 +172,71 @@
     let specs = (0..64)
         .map(|n| rate(&format!("b{n:02}"), 300.0, 300))
         .collect();
-    let mut f = fleet(9, specs);
-    f.fronts[4].demand[17] = 600.0;
-    f.run(4000.0);
-    let before = f.count(17);
-    f.run(5000.0);
-    let used = (f.count(17) - before) as f64 / 1500.0 / f.fronts[4].clock.rate;
+    let mut fleet = fleet(9, specs);
+    fleet.fronts[4].demand[17] = 600.0;
+    fleet.run(4000.0);
+    let before = fleet.count(17);
+    fleet.run(5000.0);
+    let used = (fleet.count(17) - before) as f64 / 1500.0 / fleet.fronts[4].clock.rate;
     assert!(used >= 0.94, "{used}");
-    assert!((0..64).all(|i| f.usable_parts(i) <= u128::from(FULL_SHARE.parts())));
+    assert!((0..64).all(|i| fleet.usable_parts(i) <= u128::from(FULL_SHARE.parts())));
 }
 
 #[test]
 fn a1_units_in_use_of_a_dead_member_count_until_they_have_surely_ended() {
-    let mut f = fleet(3, vec![concurrency("a", 30, 3000.0)]);
-    f.max_duration_ms = 3000.0;
-    f.fronts
-        .iter_mut()
-        .for_each(|front| front.demand = vec![100.0]);
-    f.run(4000.0);
+    let mut fleet = fleet(3, vec![concurrency("a", 30, 3000.0)]);
+    fleet.max_duration_ms = 3000.0;
+    set_demand_of_all(&mut fleet, 100.0);
+    fleet.run(4000.0);
     for _ in 0..3 {
-        f.kill(1);
-        f.run(300.0);
-        f.start(1);
-        f.run(9000.0);
-        assert!(f.most_in_use[0] <= 30, "{} out at once", f.most_in_use[0]);
+        fleet.kill(1);
+        fleet.run(300.0);
+        fleet.start(1);
+        fleet.run(9000.0);
+        assert!(
+            fleet.most_in_use[0] <= 30,
+            "{} out at once",
+            fleet.most_in_use[0]
+        );
     }
-    let in_use = f.in_use[0].len() as u64;
+    let in_use = fleet.in_use[0].len() as u64;
     assert!(in_use >= 27, "{in_use} of 30 are used in the end");
 }
 
 #[test]
 fn a3_a_unit_that_is_freed_when_all_are_in_use_can_be_used_by_another_member() {
     // One unit for each of five, all out; the fifth comes back as another life.
-    let mut f = fleet(5, vec![concurrency("a", 5, 3000.0)]);
-    f.max_duration_ms = 2000.0;
-    f.fronts
-        .iter_mut()
-        .for_each(|front| front.demand = vec![400.0]);
-    f.run(5000.0);
-    f.kill(4);
-    f.start(4);
-    let before = f.counts[0].get(&4).copied().unwrap_or(0);
-    f.run(12_000.0);
+    let mut fleet = fleet(5, vec![concurrency("a", 5, 3000.0)]);
+    fleet.max_duration_ms = 2000.0;
+    set_demand_of_all(&mut fleet, 400.0);
+    fleet.run(5000.0);
+    fleet.kill(4);
+    fleet.start(4);
+    let before = fleet.counts[0].get(&4).copied().unwrap_or(0);
+    fleet.run(12_000.0);
     assert!(
-        f.counts[0].get(&4).copied().unwrap_or(0) > before,
+        fleet.counts[0].get(&4).copied().unwrap_or(0) > before,
         "it never had one of the five"
     );
-    assert_eq!(f.most_in_use[0], 5);
+    assert_eq!(fleet.most_in_use[0], 5);
 }
 
 #[test]
 fn a1_a_change_of_leaders_costs_no_member_its_share() {
-    let mut f = fleet(9, vec![rate("a", 300.0, 300)]);
-    (0..9).for_each(|m| f.fronts[m].demand = vec![if m < 3 { 200.0 } else { 0.0 }]);
-    f.run(5000.0);
-    let before = f.count(0);
-    f.elect();
-    f.run(2000.0);
-    let used = (f.count(0) - before) as f64 / 600.0;
+    let mut fleet = fleet(9, vec![rate("a", 300.0, 300)]);
+    for front in &mut fleet.fronts[..3] {
+        front.demand = vec![200.0];
+    }
+    fleet.run(5000.0);
+    let before = fleet.count(0);
+    fleet.elect();
+    fleet.run(2000.0);
+    let used = (fleet.count(0) - before) as f64 / 600.0;
     assert!(
         used >= 0.93,
         "{used} of the whole was used round the change"
     );
-    assert!(excess(&f.admitted[0], 300.0, 300) <= 0.0);
+    assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
 }
 
 #[test]
@@ -234,36 +249,52 @@
         account: None,
         ..spec("warming", Resource::WarmingEngines, amount)
     };
-    let mut f = fleet(4, vec![warming]);
-    let all = |f: &Fleet| -> f64 {
-        let alive = (0..f.fronts.len()).filter(|m| f.fronts[*m].alive);
+    let mut fleet = fleet(4, vec![warming]);
+    let all = |fleet: &Fleet| -> f64 {
+        let alive = (0..fleet.fronts.len()).filter(|m| fleet.fronts[*m].alive);
         alive
-            .map(|m| 1.0 / f.fronts[m].member.warming_split(0, f.local_time(m)).members)
+            .map(|m| {
+                1.0 / fleet.fronts[m]
+                    .member
+                    .warming_split(0, fleet.local_time(m))
+                    .members
+            })
             .sum()
     };
-    f.run(3000.0);
-    assert!((0.99..=1.0001).contains(&all(&f)), "{}", all(&f));
-    f.kill(3);
-    f.run(6000.0);
+    fleet.run(3000.0);
+    assert!((0.99..=1.0001).contains(&all(&fleet)), "{}", all(&fleet));
+    fleet.kill(3);
+    fleet.run(6000.0);
     assert!(
-        (0.99..=1.0001).contains(&all(&f)),
+        (0.99..=1.0001).contains(&all(&fleet)),
         "the others bear the dead one's part: {}",
-        all(&f)
+        all(&fleet)
     );
-    f.start(3);
+    fleet.start(3);
     for _ in 0..400 {
-        f.run(STEP_MS);
-        assert!(all(&f) <= 1.0001, "{} at {}", all(&f), f.now);
+        fleet.run(STEP_MS);
+        assert!(all(&fleet) <= 1.0001, "{} at {}", all(&fleet), fleet.now);
     }
     let places: Vec<u64> = (0..4)
-        .map(|m| f.fronts[m].member.warming_split(0, f.local_time(m)).index)
+        .map(|m| {
+            fleet.fronts[m]
+                .member
+                .warming_split(0, fleet.local_time(m))
+                .index
+        })
         .collect();
     assert_eq!(places, [0, 1, 2, 3]);
-    assert!((0.99..=1.0001).contains(&all(&f)), "{}", all(&f));
+    assert!((0.99..=1.0001).contains(&all(&fleet)), "{}", all(&fleet));
     // Who is cut off bears nothing once its part has ended.
-    f.fronts[0].cut_off_until = f64::INFINITY;
-    f.run(4000.0);
-    assert!(f.fronts[0].member.warming_split(0, f.local_time(0)).members > 1e9);
+    fleet.fronts[0].cut_off_until = f64::INFINITY;
+    fleet.run(4000.0);
+    assert!(
+        fleet.fronts[0]
+            .member
+            .warming_split(0, fleet.local_time(0))
+            .members
+            > 1e9
+    );
 }
 
 /// By hand: `cargo test --release -p beamgap-budgets --test fleet measured -- --ignored --nocapture`
@@ -272,36 +303,38 @@
 fn measured_300_members() {
     for members in [3, 9, 30, 300] {
         let (per_second, burst) = (3000.0, 3000);
-        let mut f = fleet(members, vec![rate("a", per_second, burst)]);
-        f.fronts[0].demand = vec![1.5 * per_second];
-        f.run(8000.0);
+        let mut fleet = fleet(members, vec![rate("a", per_second, burst)]);
+        fleet.fronts[0].demand = vec![1.5 * per_second];
+        fleet.run(8000.0);
         let mut times = Vec::new();
         let mut used = Vec::new();
         for round in 1..6 {
-            f.fronts
-                .iter_mut()
-                .for_each(|front| front.demand = vec![0.0]);
+            set_demand_of_all(&mut fleet, 0.0);
             let to = round % members;
-            f.fronts[to].demand = vec![1.5 * per_second];
-            let from = f.now;
-            while f.fronts[to].member.share(0, f.local_time(to)).fraction() < 0.95
-                && f.now - from < 20_000.0
+            fleet.fronts[to].demand = vec![1.5 * per_second];
+            let from = fleet.now;
+            while fleet.fronts[to]
+                .member
+                .share(0, fleet.local_time(to))
+                .fraction()
+                < 0.95
+                && fleet.now - from < 20_000.0
             {
-                f.run(STEP_MS);
+                fleet.run(STEP_MS);
             }
-            times.push(f.now - from);
-            let before = f.count(0);
-            f.run(4000.0);
-            used.push((f.count(0) - before) as f64 / (per_second * 4.0));
+            times.push(fleet.now - from);
+            let before = fleet.count(0);
+            fleet.run(4000.0);
+            used.push((fleet.count(0) - before) as f64 / (per_second * 4.0));
         }
         times.sort_by(f64::total_cmp);
         used.sort_by(f64::total_cmp);
         let by_hand = 1.0 / members as f64;
-        let questions = f.polls as f64 / f.now * 1000.0;
+        let questions = fleet.polls as f64 / fleet.now * 1000.0;
         println!(
             "{members} members: 0.95 of the whole at the new place after {:.0} ms (p50), {:.0} (most); {:.3} of the whole used; by hand {by_hand:.3}; {questions:.0} questions a second",
             times[2], times[4], used[2]
         );
-        assert!(excess(&f.admitted[0], per_second, burst) <= 0.0);
+        assert!(excess(&fleet.admitted[0], per_second, burst) <= 0.0);
     }
 }
--- a/crates/budgets/tests/replay/world.rs
+++ b/crates/budgets/tests/replay/world.rs
@@ -259,10 +259,10 @@
                 self.recorder.tag(TAG_ADMITTED);
                 true
             }
-            Err(i) => {
+            Err(exhausted) => {
                 self.counts.rejected += 1;
                 self.recorder.tag(TAG_REJECTED);
-                self.recorder.number(i as u64);
+                self.recorder.number(exhausted.number as u64);
                 false
             }
         }
--- a/src/fleet/budgets/mod.rs
+++ b/src/fleet/budgets/mod.rs
@@ -9,7 +9,7 @@
 pub use retries::FleetRetryBudget;
 
 use super::trial::Trial;
-use beamgap_budgets::member::BudgetMember;
+use beamgap_budgets::member::{BudgetMember, Exhausted};
 use beamgap_budgets::message::{PollRequest, PollResponse};
 use beamgap_budgets::spec::{BudgetSpec, Resource};
 use beamgap_fleet_types::MemberId;
@@ -117,7 +117,7 @@
             return Ok(AdmittedByBudgets::default());
         };
         let binding = of_class.of_account(account).clone();
-        if let Err(number) = own.try_acquire(now, &binding.admission) {
+        if let Err(Exhausted { number }) = own.try_acquire(now, &binding.admission) {
             return Err(own.exhausted(number));
         }
         let limits = binding.admission.iter().filter_map(|number| own.limits[*number].as_ref());
@@ -133,7 +133,7 @@
         BudgetExhausted { budget: name.unwrap_or_default() }
     }
 
-    fn try_acquire(&mut self, now: f64, numbers: &[usize]) -> Result<(), usize> {
+    fn try_acquire(&mut self, now: f64, numbers: &[usize]) -> Result<(), Exhausted> {
         let in_use = units_in_use(&self.limits, &self.connections);
         self.member.try_acquire(now, numbers, in_use)
     }
--- a/tests/fleet_budgets.rs
+++ b/tests/fleet_budgets.rs
@@ -10,6 +10,7 @@
 use beamgap_rig::world::{Options, World};
 use std::collections::BTreeSet;
 use std::path::Path;
+use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 /// How long a condition is waited for.
@@ -54,6 +55,20 @@
     w.history.all().iter().filter(|e| e.at >= since && of(&e.what)).count()
 }
 
+/// Clients of all members send a request each so often.
+fn send_every(w: &World, pause: Duration) {
+    for client in &w.clients {
+        client.wants(pause, 0);
+    }
+}
+
+/// The client of one member demands far more than its share, all others little.
+fn flood_one(w: &World, busy: usize) {
+    for (member, client) in w.clients.iter().enumerate() {
+        client.wants(if member == busy { FLOOD } else { CALM }, 0);
+    }
+}
+
 /// Waits until a member's share of the budget is at least so much, by the leader's report.
 fn wait_for_share(w: &World, member: &str, least: f64) {
     w.wait(&format!("{member} has {least} of the budget"), TIMEOUT, |w| share(w, member) >= least).unwrap();
@@ -79,14 +94,14 @@
     let mut w = world("leader", Options::default());
     let version = propose(&w, "rate", &rate(100, 50, ""));
     for round in 0..3 {
-        let hot = 3 + round % 2;
-        (0..5).for_each(|m| w.clients[m].wants(if m == hot { FLOOD } else { CALM }, 0));
-        wait_for_share(&w, &format!("n{hot}"), 0.5);
+        let busy = 3 + round % 2;
+        flood_one(&w, busy);
+        wait_for_share(&w, &format!("n{busy}"), 0.5);
         let leader = w.leader().expect("somebody leads");
         // Just as parts move again.
-        (0..5).for_each(|m| w.clients[m].wants(if m == 7 - hot { FLOOD } else { CALM }, 0));
+        flood_one(&w, 7 - busy);
         w.kill(leader);
-        wait_for_share(&w, &format!("n{}", 7 - hot), 0.5);
+        wait_for_share(&w, &format!("n{}", 7 - busy), 0.5);
         w.begin(leader).unwrap();
     }
     let usage = check_history(w, &[rate_limit(100.0, 50.0, version)]);
@@ -97,15 +112,15 @@
 fn a1_when_a_leader_dies_while_the_largest_holder_is_cut_off_the_rate_is_kept() {
     let mut w = world("cut-holder", Options { right: 10_000, ..Options::default() });
     let version = propose(&w, "rate", &rate(100, 20, ""));
-    (0..5).for_each(|m| w.clients[m].wants(if m == 4 { FLOOD } else { CALM }, 0));
+    flood_one(&w, 4);
     wait_for_share(&w, "n4", 0.6);
     let leader = w.leader().expect("somebody leads");
     w.cut(4, Way::Silent, Way::Silent);
     w.kill(leader);
-    let hot = if leader == 2 { 1 } else { 2 };
-    w.clients[hot].wants(FLOOD, 0);
+    let busy = if leader == 2 { 1 } else { 2 };
+    w.clients[busy].wants(FLOOD, 0);
     // Only what n4 held, and has surely ended, can make so much.
-    wait_for_share(&w, &format!("n{hot}"), 0.6);
+    wait_for_share(&w, &format!("n{busy}"), 0.6);
     w.mend();
     w.begin(leader).unwrap();
     wait_for_share(&w, "n4", 0.1);
@@ -116,13 +131,13 @@
 fn a1_a_share_whose_holder_receives_no_responses_is_granted_to_nobody_else() {
     let w = world("deaf-holder", Options { right: 10_000, ..Options::default() });
     let version = propose(&w, "rate", &rate(100, 20, ""));
-    (0..5).for_each(|m| w.clients[m].wants(if m == 4 { FLOOD } else { CALM }, 0));
+    flood_one(&w, 4);
     wait_for_share(&w, "n4", 0.6);
     w.cut(4, Way::Open, Way::Silent);
     let leader = w.leader().expect("somebody leads");
-    let hot = (leader + 1) % 3;
-    w.clients[hot].wants(FLOOD, 0);
-    wait_for_share(&w, &format!("n{hot}"), 0.4);
+    let busy = (leader + 1) % 3;
+    w.clients[busy].wants(FLOOD, 0);
+    wait_for_share(&w, &format!("n{busy}"), 0.4);
     w.mend();
     wait_for_share(&w, "n4", 0.3);
     check_history(w, &[rate_limit(100.0, 20.0, version)]);
@@ -132,8 +147,7 @@
 fn a1_a_holder_that_stands_still_until_its_share_is_reassigned_does_not_use_it_again() {
     let w = world("stopped", Options::default());
     let version = propose(&w, "rate", &rate(100, 50, ""));
-    w.clients[3].wants(FLOOD, 0);
-    (0..5).filter(|m| *m != 3).for_each(|m| w.clients[m].wants(CALM, 0));
+    flood_one(&w, 3);
     wait_for_share(&w, "n3", 0.6);
     w.members[3].stop();
     w.clients[4].wants(FLOOD, 0);
@@ -150,20 +164,22 @@
     let options = Options { members: 9, right: 3000, ..Options::default() };
     let w = world("halves", options);
     let version = propose(&w, "rate", &rate(200, 100, "  floor = \"30%\"\n  floor_among = 10\n"));
-    (0..9).for_each(|m| w.clients[m].wants(FLOOD, 0));
-    for m in 0..9 {
-        wait_for_share(&w, &format!("n{m}"), 0.05);
+    send_every(&w, FLOOD);
+    for member in 0..9 {
+        wait_for_share(&w, &format!("n{member}"), 0.05);
     }
     w.part(&[0, 4, 5, 6], Way::Silent);
     let cut = now();
-    // Parts end after half a right, what was set aside with the right: between them they live on that alone.
-    w.wait("parts have ended", TIMEOUT, |_| now() - cut > 1700.0).unwrap();
+    // Shares expire after half a lease, floors with the lease: between them only floors are left.
+    w.wait("shares have expired", TIMEOUT, |_| now() - cut > 1700.0).unwrap();
     let (from, alone) = (now(), [4, 5, 6]);
     w.wait("a while on floors", TIMEOUT, |_| now() - from > 900.0).unwrap();
     let count = admitted(&w, from, &alone);
-    assert!((6..=24).contains(&count), "{count} in 0.9 s; set aside are 6 a second for each of three");
+    assert!((6..=24).contains(&count), "{count} in 0.9 s; the floor of each of the three is 6 a second");
     w.mend();
-    (4..7).for_each(|m| wait_for_share(&w, &format!("n{m}"), 0.05));
+    for member in 4..7 {
+        wait_for_share(&w, &format!("n{member}"), 0.05);
+    }
     check_history(w, &[rate_limit(200.0, 100.0, version)]);
 }
 
@@ -171,7 +187,7 @@
 fn a4_a_rate_lowered_while_a_member_stands_still_is_kept_under_both_versions() {
     let w = world("lowered", Options::default());
     let first = propose(&w, "many", &rate(200, 100, ""));
-    (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(8), 0));
+    send_every(&w, Duration::from_millis(8));
     wait_for_share(&w, "n3", 0.15);
     w.members[3].stop();
     let second = propose(&w, "few", &rate(20, 10, ""));
@@ -187,7 +203,7 @@
 fn a1_the_rate_is_kept_when_all_restart_at_once_and_one_restarts_each_second() {
     let mut w = world("flaps", Options::default());
     let version = propose(&w, "rate", &rate(100, 50, ""));
-    (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(8), 0));
+    send_every(&w, Duration::from_millis(8));
     wait_for_share(&w, "n3", 0.15);
     w.fault(&Fault::Outage).unwrap();
     w.fault(&Fault::Power).unwrap();
@@ -208,7 +224,7 @@
     let trials = trials.iter().map(|t| (*t).to_owned()).collect();
     let w = world("clocks", Options { trials, ..Options::default() });
     let version = propose(&w, "rate", &rate(100, 20, ""));
-    (0..5).for_each(|m| w.clients[m].wants(FLOOD, 0));
+    send_every(&w, FLOOD);
     wait_for_share(&w, "n3", 0.1);
     let from = now();
     w.wait("some seconds pass", TIMEOUT, |_| now() - from > 5000.0).unwrap();
@@ -224,7 +240,7 @@
         .collect();
     let hot = "budget \"a-hot\" {\n  limits = \"requests\"\n  account = \"munster\"\n  rate = 60\n  burst = 30\n}\n";
     let version = propose(&w, "many", &format!("{hot}{cold}"));
-    (0..5).for_each(|m| w.clients[m].wants(if m == 2 { FLOOD } else { CALM }, 0));
+    flood_one(&w, 2);
     wait_for_share(&w, "n2", 0.6);
     let from = now();
     w.wait("some seconds pass", TIMEOUT, |_| now() - from > 2000.0).unwrap();
@@ -236,11 +252,13 @@
 #[test]
 fn a1_requests_of_a_dead_member_count_until_they_have_ended_at_engines() {
     let mut w = world("stock", Options { every: CALM, engines: 12, ..Options::default() });
-    w.engines.iter().for_each(|e| e.loads.store(2300, std::sync::atomic::Ordering::Relaxed));
+    for engine in &w.engines {
+        engine.loads.store(2300, Ordering::Relaxed);
+    }
     let text =
         "budget \"all\" {\n  limits = \"open\"\n  class = \"delivery-load\"\n  most = 5\n  longest = \"26 s\"\n}\n";
     let version = propose(&w, "stock", text);
-    (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(5), 0));
+    send_every(&w, Duration::from_millis(5));
     wait_for_share(&w, "n3", 0.1);
     let from = now();
     w.wait("a load of its own is at an engine", TIMEOUT, |w| {
@@ -269,8 +287,10 @@
     let w = world("further", Options { engines: 4, ..Options::default() });
     let text = "budget \"all\" {\n  limits = \"further_attempts\"\n  rate = 5\n  burst = 5\n}\n";
     let version = propose(&w, "further", text);
-    w.engines.iter().for_each(|e| e.fails.store(2, std::sync::atomic::Ordering::Relaxed));
-    (0..5).for_each(|m| w.clients[m].wants(Duration::from_millis(10), 0));
+    for engine in &w.engines {
+        engine.fails.store(2, Ordering::Relaxed);
+    }
+    send_every(&w, Duration::from_millis(10));
     let from = now();
     w.wait("some seconds pass", TIMEOUT, |_| now() - from > 4000.0).unwrap();
     let retries = BudgetLimit { retries: Some(RateLimit { per_second: 5.0, burst: 5.0 }), ..limit(version) };
--- a/tests/fleet_seeds.rs
+++ b/tests/fleet_seeds.rs
@@ -87,8 +87,8 @@
     let good: Vec<_> = results.iter().filter_map(|(_, r)| r.as_ref().ok()).collect();
     for (i, name) in ["leinster", "look-ups"].iter().enumerate() {
         let seen = good.iter().filter_map(|s| s.shared.get(i));
-        let (admitted, burst, widest) =
-            seen.fold((0, 0.0f64, 0), |(a, b, w), s| (a + s.admitted, b.max(s.burst), w.max(s.most_in_flight)));
+        let (admitted, burst, widest) = seen
+            .fold((0, 0.0f64, 0), |(a, b, w), s| (a + s.admitted, b.max(s.burst), w.max(s.most_in_flight)));
         println!(
             "{name}: {admitted} admitted; fullest {burst:.1} at once; {widest} in hand at engines at most"
         );
