--- a/examples/fleet_budgets.rs
+++ b/examples/fleet_budgets.rs
@@ -202,7 +202,7 @@
 fn measure_admission() -> Done {
     let rate = Amount::Rate { per_second: 1e9, burst: 1_000_000 };
     let concurrency = Amount::Concurrency { max: 1_000_000, max_duration_ms: 1000.0 };
-    let all = vec![
+    let all = [
         spec(0, Resource::Requests, rate),
         spec(1, Resource::Requests, rate),
         spec(2, Resource::OpenRequests, concurrency),
