--- a/crates/decisions/src/action.rs
+++ b/crates/decisions/src/action.rs
@@ -1,6 +1,6 @@
 //! Actions: what the module has the program around it do.
 
-use crate::{Attempt, EngineId, Micros, RequestId, TimerId};
+use crate::{Attempt, EngineId, LogEvent, Micros, RequestId, TimerId};
 
 /// An action that a gateway decides. Actions take effect in the order given.
 #[derive(Clone, Debug, PartialEq)]
@@ -62,6 +62,6 @@
     Subscribe(bool),
     /// Fetch the whole engine list once.
     FetchList,
-    /// A line for the operators' log.
-    Log(String),
+    /// Write an event to the operators' log.
+    Log(LogEvent),
 }
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -6,7 +6,7 @@
 use crate::state::decay::{remaining, Tally};
 use crate::state::engine::{Engine, Health};
 use crate::state::zones::Zones;
-use crate::{Action, Micros, Outcome};
+use crate::{Action, EjectionReason, LogEvent, Micros, Outcome};
 
 /// First rest of an ejected engine.
 pub(super) const FIRST_EJECTION: Micros = Micros::from_millis(1000);
@@ -56,26 +56,6 @@
     next_log: Micros,
 }
 
-/// Why an engine came under suspicion, in the words of the log.
-#[derive(Clone, Copy)]
-pub(super) enum Suspicion {
-    AnswersWithErrors,
-    ConnectionsFail,
-    ConnectionsBreak,
-    SilentWithWork,
-}
-
-impl Suspicion {
-    fn text(self) -> &'static str {
-        match self {
-            Suspicion::AnswersWithErrors => "answers with errors",
-            Suspicion::ConnectionsFail => "connections fail",
-            Suspicion::ConnectionsBreak => "connections break",
-            Suspicion::SilentWithWork => "silent with work out",
-        }
-    }
-}
-
 impl Gateway {
     /// Weighs the end of an attempt for or against its engine. `silence_counted`: its silence has
     /// counted already.
@@ -120,9 +100,9 @@
         let engine = &mut self.engines[index];
         engine.health.connect_failures_in_row += 1;
         engine.started = Some(self.clock.now);
-        self.bad_sign(index, Suspicion::ConnectionsFail, actions);
+        self.bad_sign(index, EjectionReason::ConnectionsFail, actions);
         if self.engines[index].health.connect_failures_in_row >= CONNECT_FAILURES_SURE {
-            self.eject(index, Suspicion::ConnectionsFail, true, actions);
+            self.eject(index, EjectionReason::ConnectionsFail, true, actions);
         }
     }
 
@@ -131,7 +111,7 @@
         let health = &mut self.engines[index].health;
         health.resets_in_row += 1;
         if health.resets_in_row >= RESETS_BEFORE_SIGN {
-            self.bad_sign(index, Suspicion::ConnectionsBreak, actions);
+            self.bad_sign(index, EjectionReason::ConnectionsBreak, actions);
         }
     }
 
@@ -159,7 +139,7 @@
         }
         let failed: Vec<usize> = self.requests[sequence].failed_engines().collect();
         for engine in failed {
-            self.bad_sign(engine, Suspicion::AnswersWithErrors, actions);
+            self.bad_sign(engine, EjectionReason::AnswersWithErrors, actions);
         }
     }
 
@@ -167,7 +147,7 @@
     pub(super) fn bad_sign(
         &mut self,
         index: usize,
-        suspicion: Suspicion,
+        reason: EjectionReason,
         actions: &mut Vec<Action>,
     ) {
         let now = self.clock.now;
@@ -181,7 +161,7 @@
         let health = &self.engines[index].health;
         let is_enough = health.suspicion > EJECTION_THRESHOLD + (1.0 + own_signs * share).ln();
         if health.health == Health::HalfOpen || is_enough {
-            self.eject(index, suspicion, false, actions);
+            self.eject(index, reason, false, actions);
         }
     }
 
@@ -224,7 +204,13 @@
 
     /// Puts an engine out of use for a rest that doubles each time. Unless it is `sure`, a part of
     /// the fleet stays.
-    fn eject(&mut self, index: usize, suspicion: Suspicion, sure: bool, actions: &mut Vec<Action>) {
+    fn eject(
+        &mut self,
+        index: usize,
+        reason: EjectionReason,
+        sure: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let health = self.engines[index].health.health;
         let is_bounded = !sure && health == Health::Healthy && self.too_many_ejected();
         if is_bounded || matches!(health, Health::Ejected(_)) {
@@ -236,12 +222,12 @@
         engine.health.health = Health::Ejected(self.clock.now.plus(rest));
         if self.clock.now >= self.health.next_log {
             self.health.next_log = self.clock.now.plus(FIRST_EJECTION);
-            let name = &engine.entry.engine.0;
-            let rest_ms = rest.0 / 1000;
-            actions.push(Action::Log(format!(
-                "eject {name} for {rest_ms} ms: {}",
-                suspicion.text()
-            )));
+            let engine = engine.entry.engine.clone();
+            actions.push(Action::Log(LogEvent::EngineEjected {
+                engine,
+                rest,
+                reason,
+            }));
         }
     }
 
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -2,11 +2,10 @@
 
 use super::admission::ANSWER_MARGIN;
 use super::attempts::AttemptSnapshot;
-use super::outlier_ejection::Suspicion;
 use super::Gateway;
 use crate::state::engine::Health;
 use crate::state::request::{TrackedAttempt, TrackedRequest};
-use crate::{Action, Attempt, Repeat};
+use crate::{Action, Attempt, EjectionReason, Repeat};
 
 /// Times the interval between reports of progress after which one is surely missed.
 const SILENCE_FACTOR: f64 = 1.3;
@@ -239,7 +238,7 @@
             .zones
             .zone_mut(&self.engines[engine].entry.zone)
             .engine_lost(engine);
-        self.bad_sign(engine, Suspicion::SilentWithWork, actions);
+        self.bad_sign(engine, EjectionReason::SilentWithWork, actions);
     }
 
     /// Sends a request to another engine beside a lagging attempt, or in its place.
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -60,6 +60,7 @@
 mod decide;
 mod event;
 mod ids;
+mod log_event;
 mod settings;
 mod state;
 mod status;
@@ -72,6 +73,7 @@
     TrueCost,
 };
 pub use ids::{Attempt, ClassId, EngineId, RequestId, TimerId};
+pub use log_event::{EjectionReason, LogEvent};
 pub use settings::{
     ClassSettings, Discovery, KindSettings, Machine, Repeat, RepeatGroup, Reports, RetryBudget,
     Settings, SettingsError, SlowStart, SlowStartShare, TenantSettings, WhenShort,
--- a/src/bin/beamgap-simhost/wire.rs
+++ b/src/bin/beamgap-simhost/wire.rs
@@ -265,7 +265,7 @@
         Action::SetTimer { after, timer } => writeln!(out, "defer {inst} {} {}", ms(after), timer.0),
         Action::Subscribe(on) => writeln!(out, "tail {inst} {}", u8::from(*on)),
         Action::FetchList => writeln!(out, "get_list {inst}"),
-        Action::Log(text) => writeln!(out, "debug {inst} {}", text.replace(['\n', '\r'], " ")),
+        Action::Log(event) => writeln!(out, "debug {inst} {}", event.to_string().replace(['\n', '\r'], " ")),
     };
     debug_assert!(written.is_ok(), "writing to a string does not fail");
 }
--- a/src/node/exchange/module.rs
+++ b/src/node/exchange/module.rs
@@ -94,8 +94,8 @@
                 deadlines.set(now + from_micros(after), Wake::Module(timer));
                 None
             }
-            Action::Log(text) => {
-                self.logs.push(text);
+            Action::Log(event) => {
+                self.logs.push(event.to_string());
                 None
             }
             // Talk between front ends is not allowed, and the list comes by itself.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -61,7 +61,9 @@
         b.arrive(request(&format!("x{}", b.now.0), 0, 0, 4000));
         let id = format!("x{}", b.now.0);
         let again = b.close(&id, 0, &bad, Outcome::Reset, 5);
-        assert!(!again.iter().any(|a| matches!(a, Action::Log(t) if t.contains("eject"))));
+        assert!(!again
+            .iter()
+            .any(|a| matches!(a, Action::Log(event) if event.to_string().contains("eject"))));
         b.pass(50);
     }
     assert!(used > 20);
@@ -87,7 +89,7 @@
     b.arrive(request("b", 0, 5, 4000));
     let later = b.pass(1500);
     assert!(sent(&later).len() >= 2, "{later:?}");
-    assert!(later.iter().any(|a| matches!(a, Action::Log(t) if t.contains("silent"))));
+    assert!(later.iter().any(|a| matches!(a, Action::Log(event) if event.to_string().contains("silent"))));
 }
 
 #[test]
@@ -101,7 +103,7 @@
         log.extend(b.pass(400));
         log.extend(b.close(&id, 0, &e, Outcome::Served, 400));
     }
-    assert!(!log.iter().any(|a| matches!(a, Action::Log(t) if t.contains("crawls"))));
+    assert!(!log.iter().any(|a| matches!(a, Action::Log(event) if event.to_string().contains("crawls"))));
 }
 
 #[test]
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -50,8 +50,10 @@
                 b.pass(30);
                 let outcome = if fails(i * 3 + n, &e) { Outcome::Error } else { Outcome::Served };
                 actions = b.close(&id, n as u32, &e, outcome, 30);
-                ejected +=
-                    actions.iter().filter(|a| matches!(a, Action::Log(t) if t.contains("eject"))).count();
+                ejected += actions
+                    .iter()
+                    .filter(|a| matches!(a, Action::Log(event) if event.to_string().contains("eject")))
+                    .count();
             }
             b.pass(170);
         }
