--- a/crates/decisions/src/state/cost_histogram.rs
+++ b/crates/decisions/src/state/cost_histogram.rs
@@ -25,10 +25,12 @@
         (cost.log2() * STEPS_PER_DOUBLING).round() as i32
     }
 
+    /// Counts requested work of this cost.
     pub fn count(&mut self, cost: f64, work_ms: f64) {
         *self.0.entry(CostHistogram::step(cost)).or_insert(0.0) += work_ms;
     }
 
+    /// Where a cost ranks.
     pub fn rank(&self, cost: f64) -> CostRank {
         let step = CostHistogram::step(cost);
         let all = self.0.values().sum::<f64>().max(1e-9);
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -142,6 +142,7 @@
 }
 
 impl CostModel {
+    /// Nothing is known yet of any class.
     pub fn new(classes: usize) -> CostModel {
         CostModel {
             classes: vec![ClassCosts::default(); classes],
@@ -149,14 +150,17 @@
         }
     }
 
+    /// What is known of a class, by its place in the settings.
     pub fn class(&self, class: usize) -> &ClassCosts {
         &self.classes[class]
     }
 
+    /// What is known of a class, to be changed.
     pub fn class_mut(&mut self, class: usize) -> &mut ClassCosts {
         &mut self.classes[class]
     }
 
+    /// What is known of each class, in the order of the settings.
     pub fn all(&self) -> &[ClassCosts] {
         &self.classes
     }
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -144,6 +144,7 @@
 }
 
 impl Engine {
+    /// An engine of which nothing but its id is known.
     pub fn new(id: &EngineId) -> Engine {
         Engine {
             hash: hash_text(&id.0),
--- a/crates/decisions/src/state/engine_table.rs
+++ b/crates/decisions/src/state/engine_table.rs
@@ -34,14 +34,17 @@
 }
 
 impl EngineTable {
+    /// Engines in the table, those removed but still in use included.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
+    /// All engines by their place.
     pub fn iter(&self) -> std::slice::Iter<'_, Engine> {
         self.engines.iter()
     }
 
+    /// All engines by their place, to be changed.
     pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, Engine> {
         self.engines.iter_mut()
     }
@@ -51,6 +54,7 @@
         self.engines.iter().filter(|engine| engine.listed)
     }
 
+    /// Place of an engine, if it is known.
     pub fn index_of(&self, id: &EngineId) -> Option<usize> {
         self.index.get(id).copied()
     }
@@ -115,6 +119,7 @@
         self.held_groups.entry((engine, group)).or_insert(until);
     }
 
+    /// Own work that held a table group has ended.
     pub fn release_group(&mut self, engine: usize, group: u64) {
         self.held_groups.remove(&(engine, group));
     }
--- a/crates/decisions/src/state/hash.rs
+++ b/crates/decisions/src/state/hash.rs
@@ -27,6 +27,7 @@
 }
 
 impl RandomSource {
+    /// Draws from this seed.
     pub fn from_seed(seed: u64) -> RandomSource {
         RandomSource {
             state: mix(seed ^ 0x9e37_79b9_7f4a_7c15),
--- a/crates/decisions/src/state/placement.rs
+++ b/crates/decisions/src/state/placement.rs
@@ -21,6 +21,7 @@
 }
 
 impl GroupCounts {
+    /// Counts a query of a group.
     pub fn count(&mut self, group: u64) {
         *self.counts.entry(group).or_insert(0.0) += 1.0;
         self.all += 1.0;
@@ -80,10 +81,12 @@
         }
     }
 
+    /// Whether a group is planned.
     pub fn contains(&self, group: u64) -> bool {
         self.groups.contains_key(&group)
     }
 
+    /// Whether more queries may be planned on an engine.
     pub fn has_room(&self, engine: usize) -> bool {
         self.room[engine] > 0.0
     }
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -26,6 +26,7 @@
 }
 
 impl TrackedAttempt {
+    /// An attempt that is sent now.
     pub fn new(engine: usize, now: Micros, memory_mb: f64, expected_ms: f64) -> TrackedAttempt {
         TrackedAttempt {
             engine,
@@ -41,6 +42,7 @@
         }
     }
 
+    /// Whether it has not ended.
     pub fn in_flight(&self) -> bool {
         self.outcome.is_none()
     }
@@ -93,6 +95,7 @@
 }
 
 impl TrackedRequest {
+    /// A request that arrives now.
     pub fn new(request: Request, now: Micros) -> TrackedRequest {
         let deadline = now.plus(request.time_left);
         let hash = hash_text(&request.id.0);
--- a/crates/decisions/src/state/request_table.rs
+++ b/crates/decisions/src/state/request_table.rs
@@ -26,6 +26,7 @@
 }
 
 impl RequestTable {
+    /// Requests in the table.
     pub fn len(&self) -> usize {
         self.tracked.len()
     }
@@ -38,14 +39,17 @@
         sequence
     }
 
+    /// Sequence number of a request, if it is in the table.
     pub fn sequence_of(&self, id: &RequestId) -> Option<u64> {
         self.sequences.get(id).copied()
     }
 
+    /// Enters a request under its sequence number.
     pub fn insert(&mut self, sequence: u64, request: TrackedRequest) {
         self.tracked.insert(sequence, request);
     }
 
+    /// A request in the table, to be changed.
     pub fn get_mut(&mut self, sequence: u64) -> &mut TrackedRequest {
         self.tracked
             .get_mut(&sequence)
@@ -66,6 +70,7 @@
             .map(|(sequence, request)| (*sequence, request))
     }
 
+    /// All requests in the order of arrival, without their numbers.
     pub fn values(&self) -> impl Iterator<Item = &TrackedRequest> {
         self.tracked.values()
     }
--- a/crates/decisions/src/state/retry_state.rs
+++ b/crates/decisions/src/state/retry_state.rs
@@ -39,10 +39,12 @@
         self.tokens >= 1.0
     }
 
+    /// A retry that repeats work takes a token.
     pub fn spend_token(&mut self) {
         self.tokens -= 1.0;
     }
 
+    /// Counts a retry for the budget in the settings.
     pub fn retry_sent(&mut self, now: Micros) {
         self.retries.push_back(now);
     }
--- a/crates/decisions/src/state/trouble_model.rs
+++ b/crates/decisions/src/state/trouble_model.rs
@@ -35,6 +35,7 @@
 pub struct MissList(BTreeMap<MissKey, Micros>);
 
 impl MissList {
+    /// Whether queries of this kind were missed lately.
     pub fn contains(&self, key: &MissKey, now: Micros) -> bool {
         self.0
             .get(key)
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -51,6 +51,7 @@
 pub struct Zones(BTreeMap<String, ZoneHealth>);
 
 impl Zones {
+    /// Health of a zone, by its name.
     pub fn zone_mut(&mut self, zone: &str) -> &mut ZoneHealth {
         if !self.0.contains_key(zone) {
             self.0.insert(zone.to_owned(), ZoneHealth::default());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decides, for a workload manager, when and where each query runs on a fleet of shared engines.
 //!
-//! Short and long queries share cores, disks and memory of a few engines. A [`Gateway`] hears of engines,
-//! requests and outcomes as [`Event`]s and answers with [`Action`]s. It does no I/O, has no clock and no
-//! threads: the same events give the same actions. The mechanism is SAFELoad's, brought to the gateway;
-//! `docs/design.md` tells what was kept and what was added.
+//! Short and long queries share cores, disks and memory of a few engines. The decisions are taken by the crate
+//! `beamgap-decisions`, which is re-exported here: a [`Gateway`] takes [`Event`]s and answers with [`Action`]s. This
+//! crate holds the program around it: [`node`] with sockets and timers, [`fleet`] with what front ends agree on, and
+//! [`settings`], which reads the platform's names.
 //!
 //! ```
 //! use beamgap::*;
