--- /dev/null
+++ b/src/fleet/state_machine/report.rs
@@ -0,0 +1,87 @@
+//! What the leader reports to operators: members, changes, versions, tasks.
+
+use super::FleetStateMachine;
+use crate::fleet::message::{
+    FleetStatus, MemberSummary, OutcomeReport, PendingSummary, PolicyText, TaskStatus,
+};
+use beamgap_leases::state::Task;
+use beamgap_policy::switch::state::EMPTY as EMPTY_POLICY;
+use beamgap_policy::switch::Version;
+
+impl FleetStateMachine {
+    fn task_status(&self, now: f64, task: &Task) -> TaskStatus {
+        let lease = task.lease.as_ref();
+        let renewed_ms_ago = lease.and_then(|lease| self.lease_leader.renewed_ago(now, lease.token));
+        TaskStatus { task: task.clone(), renewed_ms_ago }
+    }
+
+    /// The task of this name with its history, or all tasks without theirs.
+    pub(super) fn task_statuses(&self, now: f64, name: Option<&str>) -> Vec<TaskStatus> {
+        let tasks = self.tasks.tasks.values();
+        let Some(name) = name else {
+            let mut statuses: Vec<_> = tasks.map(|task| self.task_status(now, task)).collect();
+            for status in &mut statuses {
+                status.task.record.clear();
+            }
+            return statuses;
+        };
+        let named = tasks.filter(|task| task.spec.name == name);
+        named.map(|task| self.task_status(now, task)).collect()
+    }
+
+    pub(super) fn status(&self, now: f64) -> FleetStatus {
+        let pending = self.policy.pending.as_ref().map(|pending| PendingSummary {
+            id: pending.id.clone(),
+            by: pending.by.clone(),
+            committed: pending.decided,
+        });
+        let members = self.policy.members.keys().map(|(name, incarnation)| {
+            let member = (name.clone(), *incarnation);
+            self.member_summary(now, &member)
+        });
+        FleetStatus {
+            version: self.policy.version(),
+            pending,
+            timings: self.policy.times,
+            members: members.collect(),
+        }
+    }
+
+    fn member_summary(&self, now: f64, member: &(String, u64)) -> MemberSummary {
+        let (name, incarnation) = member.clone();
+        match self.policy_leader.heard().get(member) {
+            Some(last) => MemberSummary {
+                name,
+                incarnation,
+                version: last.version,
+                lease: last.holds.clone(),
+                polled_ms_ago: Some(now - last.at),
+                blocked_reason: last.why_not.clone(),
+                note: last.note.clone(),
+            },
+            None => MemberSummary { name, incarnation, ..MemberSummary::default() },
+        }
+    }
+
+    pub(super) fn outcome_report(&self, now: f64, id: &str) -> OutcomeReport {
+        OutcomeReport { outcome: self.policy.outcome(id), members_behind: self.members_behind(now) }
+    }
+
+    /// Members that polled within the length of a long lease, and do not have the active version yet.
+    fn members_behind(&self, now: f64) -> usize {
+        let active = Some(self.policy.version());
+        let lease_length = self.policy.times.map_or(0.0, |times| times.right);
+        let statuses = self.policy_leader.heard().values();
+        statuses.filter(|last| last.version != active && now - last.at < lease_length).count()
+    }
+
+    pub(super) fn policy_text(&self, version: Option<Version>) -> Option<PolicyText> {
+        let version = version.unwrap_or(self.policy.version());
+        let kept = self.policy.versions.iter().find(|(kept, _)| *kept == version);
+        match kept {
+            Some((version, text)) => Some(PolicyText { version: *version, text: text.clone() }),
+            None if version == 0 => Some(PolicyText { version: 0, text: EMPTY_POLICY.to_owned() }),
+            None => None,
+        }
+    }
+}
--- a/src/node/config/mysql.rs
+++ b/src/node/config/mysql.rs
@@ -1,4 +1,4 @@
-//! What the operator's file says of the MySQL front and its boxes.
+//! The `mysql` section: the MySQL front and its backends, the boxes.
 
 use super::schema::{count, key, needed};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueObjectAccess};
@@ -112,91 +112,120 @@
     }
 }
 
-pub(super) fn read_mysql(
-    mysql: &OwnedValue,
-    settings: &Settings,
-    env: &dyn Fn(&str) -> Option<String>,
-) -> ReadResult<MysqlSettings> {
-    let inside = |e: ConfigError| ConfigError::new(format!("mysql.{}", e.key), e.problem);
-    let text = |key: &str| text_of(mysql, key).map_err(inside);
-    let needed = |key: &str| match text(key)? {
-        Some(text) => Ok(text.to_owned()),
-        None => wrong(&format!("mysql.{key}"), "is missing"),
+/// The environment's variables.
+type Env<'a> = &'a dyn Fn(&str) -> Option<String>;
+
+/// Reads the section.
+///
+/// # Errors
+/// The first setting that is missing or wrong.
+pub(super) fn read_mysql(mysql: &OwnedValue, settings: &Settings, env: Env) -> ReadResult<MysqlSettings> {
+    let default_class = class_of(settings, &needed_text(mysql, "default_class")?, "mysql.default_class")?;
+    if settings.classes[default_class.0].repeat != Repeat::Unsafe {
+        return wrong("mysql.default_class", "may be run twice; what no rule knows must not be");
+    }
+    let accounts = read_accounts(mysql, settings, env)?;
+    let rules = read_rules(mysql, settings)?;
+    let box_connections = match mysql.get("box_connections").map(json::number) {
+        None => DEFAULT_BOX_CONNECTIONS,
+        Some(Some(most)) if most >= 1.0 => most as usize,
+        Some(_) => return wrong("mysql.box_connections", "is not a number from 1"),
     };
-    let class = |name: &str, path: &str| match settings.classes.iter().position(|c| c.name == name) {
-        Some(place) => Ok(ClassId(place)),
+    Ok(MysqlSettings {
+        listen: address(&needed_text(mysql, "listen")?, "mysql.listen")?,
+        accounts,
+        default_class,
+        rules,
+        box_user: needed_text(mysql, "box_user")?,
+        box_password: read_password(mysql, "box_password_env", "mysql.box_password_env", env)?,
+        box_connections,
+    })
+}
+
+fn needed_text(mysql: &OwnedValue, key: &str) -> ReadResult<String> {
+    let path = format!("mysql.{key}");
+    match text_of(mysql, key).map_err(|error| ConfigError::new(path.clone(), error.problem))? {
+        Some(text) => Ok(text.to_owned()),
+        None => wrong(&path, "is missing"),
+    }
+}
+
+fn class_of(settings: &Settings, name: &str, path: &str) -> ReadResult<ClassId> {
+    match settings.classes.iter().position(|class| class.name == name) {
+        Some(index) => Ok(ClassId(index)),
         None => wrong(path, format!("is '{name}', not a class of the settings")),
-    };
-    let password = |holder: &OwnedValue, key: &str, path: &str| match text_of(holder, key)? {
-        None => Ok(String::new()),
-        Some(name) => match env(name) {
-            Some(password) => Ok(password),
-            None => wrong(path, format!("names {name}, which is not set in the environment")),
-        },
-    };
-    let list = |key: &str| match mysql.get(key) {
-        None => Ok(&[][..]),
+    }
+}
+
+/// The password in the environment's variable that a key names; empty if the key is absent.
+fn read_password(section: &OwnedValue, key: &str, path: &str, env: Env) -> ReadResult<String> {
+    let Some(variable) = text_of(section, key)? else { return Ok(String::new()) };
+    match env(variable) {
+        Some(password) => Ok(password),
+        None => wrong(path, format!("names {variable}, which is not set in the environment")),
+    }
+}
+
+fn list_of<'a>(mysql: &'a OwnedValue, key: &str) -> ReadResult<&'a [OwnedValue]> {
+    match mysql.get(key) {
+        None => Ok(&[]),
         Some(value) => match value.as_array() {
             Some(list) => Ok(list.as_slice()),
             None => wrong(&format!("mysql.{key}"), "is not a list"),
         },
-    };
-    let default_class = class(&needed("default_class")?, "mysql.default_class")?;
-    if settings.classes[default_class.0].repeat != Repeat::Unsafe {
-        return wrong("mysql.default_class", "may be run twice; what no rule knows must not be");
     }
+}
+
+fn read_accounts(mysql: &OwnedValue, settings: &Settings, env: Env) -> ReadResult<Vec<Account>> {
     let mut accounts = Vec::new();
-    for (i, account) in list("accounts")?.iter().enumerate() {
+    for (i, account) in list_of(mysql, "accounts")?.iter().enumerate() {
         let at = |key: &str| format!("mysql.accounts[{i}].{key}");
         let Some(user) = text_of(account, "user")? else { return wrong(&at("user"), "is missing") };
-        let password = password(account, "password_env", &at("password_env"))?;
-        let tenant = text_of(account, "tenant")?.map(Arc::from);
-        if tenant.as_ref().is_some_and(|t| !settings.tenants.iter().any(|known| *known.name == **t)) {
+        let password = read_password(account, "password_env", &at("password_env"), env)?;
+        let tenant: Option<Arc<str>> = text_of(account, "tenant")?.map(Arc::from);
+        let is_known = |tenant: &Arc<str>| settings.tenants.iter().any(|known| *known.name == **tenant);
+        if tenant.as_ref().is_some_and(|tenant| !is_known(tenant)) {
             return wrong(&at("tenant"), "is not a tenant of the settings");
         }
         accounts.push(Account { user: user.to_owned(), password, tenant });
     }
+    Ok(accounts)
+}
+
+fn read_rules(mysql: &OwnedValue, settings: &Settings) -> ReadResult<Vec<Rule>> {
     let mut rules = Vec::new();
-    for (i, rule) in list("rules")?.iter().enumerate() {
-        let at = |key: &str| format!("mysql.rules[{i}].{key}");
-        let Some(name) = text_of(rule, "class")? else { return wrong(&at("class"), "is missing") };
-        let number = |key: &str| match rule.get(key) {
-            None => Ok(None),
-            Some(value) => match json::number(value).filter(|v| *v > 0.0) {
-                Some(value) => Ok(Some(value)),
-                None => wrong(&at(key), "is not a number above 0"),
-            },
-        };
-        rules.push(Rule {
-            verb: text_of(rule, "verb")?.map(str::to_uppercase),
-            mentions: text_of(rule, "mentions")?.map(str::to_lowercase),
-            class: class(name, &at("class"))?,
-            budget_ms: number("budget_ms")?,
-            work_ms: number("work_ms")?,
-            memory_mb: number("memory_mb")?,
-            order_by: match text_of(rule, "order_by")? {
-                None | Some("account") => OrderBy::Account,
-                Some("tables") => OrderBy::Tables,
-                Some("session") => OrderBy::Session,
-                Some(other) => {
-                    let problem = format!("is '{other}'; write account, tables or session");
-                    return wrong(&at("order_by"), problem);
-                }
-            },
-        });
+    for (i, rule) in list_of(mysql, "rules")?.iter().enumerate() {
+        rules.push(read_rule(rule, &format!("mysql.rules[{i}]"), settings)?);
     }
-    let box_connections = match mysql.get("box_connections").map(json::number) {
-        None => DEFAULT_BOX_CONNECTIONS,
-        Some(Some(most)) if most >= 1.0 => most as usize,
-        Some(_) => return wrong("mysql.box_connections", "is not a number from 1"),
+    Ok(rules)
+}
+
+fn read_rule(rule: &OwnedValue, path: &str, settings: &Settings) -> ReadResult<Rule> {
+    let at = |key: &str| format!("{path}.{key}");
+    let Some(class) = text_of(rule, "class")? else { return wrong(&at("class"), "is missing") };
+    let number = |key: &str| match rule.get(key) {
+        None => Ok(None),
+        Some(value) => match json::number(value).filter(|number| *number > 0.0) {
+            Some(number) => Ok(Some(number)),
+            None => wrong(&at(key), "is not a number above 0"),
+        },
     };
-    Ok(MysqlSettings {
-        listen: address(&needed("listen")?, "mysql.listen")?,
-        accounts,
-        default_class,
-        rules,
-        box_user: needed("box_user")?,
-        box_password: password(mysql, "box_password_env", "mysql.box_password_env")?,
-        box_connections,
+    Ok(Rule {
+        verb: text_of(rule, "verb")?.map(str::to_uppercase),
+        mentions: text_of(rule, "mentions")?.map(str::to_lowercase),
+        class: class_of(settings, class, &at("class"))?,
+        budget_ms: number("budget_ms")?,
+        work_ms: number("work_ms")?,
+        memory_mb: number("memory_mb")?,
+        order_by: read_order(rule, &at("order_by"))?,
     })
 }
+
+fn read_order(rule: &OwnedValue, path: &str) -> ReadResult<OrderBy> {
+    match text_of(rule, "order_by")? {
+        None | Some("account") => Ok(OrderBy::Account),
+        Some("tables") => Ok(OrderBy::Tables),
+        Some("session") => Ok(OrderBy::Session),
+        Some(other) => wrong(path, format!("is '{other}'; write account, tables or session")),
+    }
+}
--- a/src/node/config/xds.rs
+++ b/src/node/config/xds.rs
@@ -1,20 +1,24 @@
-//! What it says of the service for proxies.
+//! The `xds` section: the service for proxies.
 
 use super::control::ControlSettings;
 use super::schema::{count, key, needed};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use crate::node::section::{address, text_of, wrong, ReadResult};
-use crate::Settings;
+use crate::{ColdRule, Settings};
 use beamgap_config::schema::{Block, Shape};
 use beamgap_xds::core::picture::{ColdTerms, Listener, Terms};
 use beamgap_xds::transport::Service;
+use std::net::SocketAddr;
 
 /// Time to connect where none is given, in milliseconds.
 const DEFAULT_CONNECT_MS: f64 = 250.0;
 
-const PROXY_SHARE: f64 = 0.5; // of what a cold engine bears, for proxies, where not told
-const REQUEST_WORK_MS: f64 = 200.0; // of a request that comes by proxies, where not told
-const STREAMS_MOST: f64 = 1_000.0; // of proxies, where not told
+/// Proxies' share of the capacity of an engine that warms up, where none is given.
+const DEFAULT_PROXY_SHARE: f64 = 0.5;
+/// Work of a request that comes by proxies, where none is given, in milliseconds.
+const DEFAULT_REQUEST_WORK_MS: f64 = 200.0;
+/// Streams of proxies where no limit is given.
+const DEFAULT_MAX_STREAMS: f64 = 1_000.0;
 
 /// What may stand in the operator's block.
 pub(super) fn schema() -> Block {
@@ -47,29 +51,61 @@
     }
 }
 
+/// Reads the section.
+///
+/// # Errors
+/// The first setting that is missing or wrong.
 pub(super) fn read_xds(
     xds: &OwnedValue,
     control: &ControlSettings,
     settings: &Settings,
 ) -> ReadResult<Service> {
-    let number = |key: &str, absent: f64, least: f64, most: f64| match xds.get(key).map(json::number) {
-        None => Ok(absent),
-        Some(Some(n)) if (least..=most).contains(&n) => Ok(n),
-        Some(_) => wrong(&format!("xds.{key}"), format!("is not a number from {least} to {most}")),
+    let listen = read_listen(xds)?;
+    let listeners = read_listeners(xds)?;
+    let request_ms = number(xds, "request_ms", 15_000.0, 1.0, 3_600_000.0)?;
+    let cold = settings.cold.map(|rule| read_cold(xds, rule, settings.gateways, request_ms)).transpose()?;
+    let terms = Terms {
+        cluster: control.cluster.clone(),
+        listeners,
+        request_ms,
+        connect_ms: number(xds, "connect_ms", DEFAULT_CONNECT_MS, 1.0, 60_000.0)?,
+        ttl_ms: number(xds, "ttl_ms", 5_000.0, 500.0, 3_600_000.0)?,
+        late_ms: number(xds, "late_ms", 10_000.0, 0.0, 3_600_000.0)?,
+        ack_ms: number(xds, "ack_ms", 30_000.0, 1_000.0, 3_600_000.0)?,
+        settle_ms: number(xds, "settle_ms", 2_000.0, 0.0, 3_600_000.0)?,
+        streams_most: number(xds, "streams_most", DEFAULT_MAX_STREAMS, 1.0, 100_000.0)? as usize,
+        cold,
     };
-    let text = |holder: &OwnedValue, key: &str, path: &str| match text_of(holder, key) {
+    Ok(Service::new(listen, terms))
+}
+
+fn number(xds: &OwnedValue, key: &str, default: f64, least: f64, most: f64) -> ReadResult<f64> {
+    match xds.get(key).map(json::number) {
+        None => Ok(default),
+        Some(Some(number)) if (least..=most).contains(&number) => Ok(number),
+        Some(_) => wrong(&format!("xds.{key}"), format!("is not a number from {least} to {most}")),
+    }
+}
+
+fn needed_text(section: &OwnedValue, key: &str, path: &str) -> ReadResult<String> {
+    match text_of(section, key) {
         Ok(Some(text)) => Ok(text.to_owned()),
         Ok(None) => wrong(path, "is missing"),
-        Err(e) => wrong(path, e.problem),
-    };
-    let listen = address(&text(xds, "listen", "xds.listen")?, "xds.listen")?;
-    let open = xds.get("plaintext_beyond_loopback").and_then(|v| v.as_bool()).unwrap_or(false);
-    if !listen.ip().is_loopback() && !open {
-        let problem = "is beyond loopback, where anybody may listen in and ask; listen on 127.0.0.1, or say \
-                       `plaintext_beyond_loopback = true`";
+        Err(error) => wrong(path, error.problem),
+    }
+}
+
+fn read_listen(xds: &OwnedValue) -> ReadResult<SocketAddr> {
+    let listen = address(&needed_text(xds, "listen", "xds.listen")?, "xds.listen")?;
+    let allows_plaintext = xds.get("plaintext_beyond_loopback").and_then(|value| value.as_bool());
+    if !listen.ip().is_loopback() && allows_plaintext != Some(true) {
+        let problem = "is beyond loopback, where anybody may listen in and ask; listen on 127.0.0.1, or say                        `plaintext_beyond_loopback = true`";
         return wrong("xds.listen", problem);
     }
-    let mut listeners = Vec::new();
+    Ok(listen)
+}
+
+fn read_listeners(xds: &OwnedValue) -> ReadResult<Vec<Listener>> {
     let list = match xds.get("listeners") {
         None => &[][..],
         Some(value) => match value.as_array() {
@@ -77,47 +113,36 @@
             None => return wrong("xds.listeners", "is not a list"),
         },
     };
+    let mut listeners: Vec<Listener> = Vec::new();
     for (i, listener) in list.iter().enumerate() {
         let at = |key: &str| format!("xds.listeners[{i}].{key}");
-        let name = text(listener, "name", &at("name"))?;
-        if name.is_empty() || listeners.iter().any(|l: &Listener| l.name == name) {
+        let name = needed_text(listener, "name", &at("name"))?;
+        if name.is_empty() || listeners.iter().any(|other| other.name == name) {
             return wrong(&at("name"), format!("is '{name}', which is empty or stands twice"));
         }
-        let address = address(&text(listener, "address", &at("address"))?, &at("address"))?;
+        let address = address(&needed_text(listener, "address", &at("address"))?, &at("address"))?;
         listeners.push(Listener { name, address });
     }
-    let mut cold = None;
-    let request_ms = number("request_ms", 15_000.0, 1.0, 3_600_000.0)?;
-    if let Some(rule) = settings.cold {
-        let terms = ColdTerms {
-            fall_multiple: rule.fall_multiple,
-            fall_span_ms: rule.fall_span.as_millis(),
-            proxy_share: number("proxy_share", PROXY_SHARE, 0.0, 0.9)?,
-            instances: settings.gateways,
-            request_work_ms: number("request_work_ms", REQUEST_WORK_MS, 1.0, 3_600_000.0)?,
-        };
-        if terms.proxy_share > 0.0 && terms.proxy_share * terms.fall_multiple <= 1.0 {
-            let least = (100.0 / terms.fall_multiple).floor() + 1.0;
-            let problem = format!("leaves proxies nothing on cold engines; write 0% or {least}% and more");
-            return wrong("xds.proxy_share", problem);
-        }
-        if request_ms < terms.fall_span_ms {
-            let problem = format!("is under the {} ms of the rule on cold engines", terms.fall_span_ms);
-            return wrong("xds.request_ms", problem);
-        }
-        cold = Some(terms);
-    }
-    let terms = Terms {
-        cluster: control.cluster.clone(),
-        listeners,
-        request_ms,
-        connect_ms: number("connect_ms", DEFAULT_CONNECT_MS, 1.0, 60_000.0)?,
-        ttl_ms: number("ttl_ms", 5_000.0, 500.0, 3_600_000.0)?,
-        late_ms: number("late_ms", 10_000.0, 0.0, 3_600_000.0)?,
-        ack_ms: number("ack_ms", 30_000.0, 1_000.0, 3_600_000.0)?,
-        settle_ms: number("settle_ms", 2_000.0, 0.0, 3_600_000.0)?,
-        streams_most: number("streams_most", STREAMS_MOST, 1.0, 100_000.0)? as usize,
-        cold,
+    Ok(listeners)
+}
+
+/// The terms of engines that warm up.
+fn read_cold(xds: &OwnedValue, rule: ColdRule, instances: u32, request_ms: f64) -> ReadResult<ColdTerms> {
+    let terms = ColdTerms {
+        fall_multiple: rule.fall_multiple,
+        fall_span_ms: rule.fall_span.as_millis(),
+        proxy_share: number(xds, "proxy_share", DEFAULT_PROXY_SHARE, 0.0, 0.9)?,
+        instances,
+        request_work_ms: number(xds, "request_work_ms", DEFAULT_REQUEST_WORK_MS, 1.0, 3_600_000.0)?,
     };
-    Ok(Service::new(listen, terms))
+    if terms.proxy_share > 0.0 && terms.proxy_share * terms.fall_multiple <= 1.0 {
+        let least = (100.0 / terms.fall_multiple).floor() + 1.0;
+        let problem = format!("leaves proxies nothing on cold engines; write 0% or {least}% and more");
+        return wrong("xds.proxy_share", problem);
+    }
+    if request_ms < terms.fall_span_ms {
+        let problem = format!("is under the {} ms of the rule on cold engines", terms.fall_span_ms);
+        return wrong("xds.request_ms", problem);
+    }
+    Ok(terms)
 }
