--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -66,7 +66,7 @@
     pub known: Vec<News>,
     /// The number of the last event that the news of the start covers.
     pub last: u64,
-    /// What the decision module is told.
+    /// The settings of the decision module.
     pub settings: Settings,
     /// Names of zones and machine kinds, as the bulletin counts them.
     pub zones: Vec<String>,
