--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -3,11 +3,10 @@
 //! Policy, leases and budgets do not know each other. Here their commands share one log, and their leaders handle the
 //! requests of members and operators together.
 
+mod report;
+
 use super::document;
-use super::message::{
-    decode, encode, FleetRequest, FleetResponse, FleetStatus, LogCommand, MemberSummary, OutcomeReport,
-    PendingSummary, PolicyText, TaskStatus,
-};
+use super::message::{decode, encode, FleetRequest, FleetResponse, LogCommand};
 use super::test_hooks::TestHooks;
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
 use beamgap_budgets::message::{
@@ -16,14 +15,13 @@
 use beamgap_budgets::spec::BudgetSpec;
 use beamgap_budgets::BudgetTimings;
 use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
-use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
     ClockBounds, Command as TaskCommand, FencingToken, LeaseLeader, PollRequest as LeasePollRequest,
-    PollResponse as LeasePollResponse, State as TaskState, Task,
+    PollResponse as LeasePollResponse, State as TaskState,
 };
 use beamgap_policy::rollout::{
     Command as PolicyCommand, PolicyLeader, PolicyTimings, PollRequest as PolicyPollRequest,
-    PollResponse as PolicyPollResponse, RolloutState, Version, EMPTY_POLICY,
+    PollResponse as PolicyPollResponse, RolloutState, Version,
 };
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -184,79 +182,6 @@
         }
     }
 
-    fn task_status(&self, now: f64, task: &Task) -> TaskStatus {
-        let lease = task.lease.as_ref();
-        let renewed_ms_ago = lease.and_then(|lease| self.lease_leader.since_renewal(now, lease.token));
-        TaskStatus { task: task.clone(), renewed_ms_ago }
-    }
-
-    /// The task of this name with its history, or all tasks without theirs.
-    fn task_statuses(&self, now: f64, name: Option<&str>) -> Vec<TaskStatus> {
-        let tasks = self.tasks.tasks.values();
-        let Some(name) = name else {
-            let mut statuses: Vec<_> = tasks.map(|task| self.task_status(now, task)).collect();
-            for status in &mut statuses {
-                status.task.history.clear();
-            }
-            return statuses;
-        };
-        let named = tasks.filter(|task| task.spec.name == name);
-        named.map(|task| self.task_status(now, task)).collect()
-    }
-
-    fn status(&self, now: f64) -> FleetStatus {
-        let pending = self.policy.pending.as_ref().map(|pending| PendingSummary {
-            id: pending.id.clone(),
-            by: pending.requested_by.clone(),
-            committed: pending.committed,
-        });
-        let members = self.policy.members.keys().map(|member| self.member_summary(now, member));
-        FleetStatus {
-            version: self.policy.version(),
-            pending,
-            timings: self.policy.timings,
-            members: members.collect(),
-        }
-    }
-
-    fn member_summary(&self, now: f64, member: &MemberId) -> MemberSummary {
-        let MemberId { name, incarnation } = member.clone();
-        match self.policy_leader.member_statuses().get(member) {
-            Some(last) => MemberSummary {
-                name,
-                incarnation,
-                version: last.version,
-                lease: last.lease_kind.clone(),
-                polled_ms_ago: Some(now - last.polled_at),
-                blocked_reason: last.blocked_reason.clone(),
-                note: last.note.clone(),
-            },
-            None => MemberSummary { name, incarnation, ..MemberSummary::default() },
-        }
-    }
-
-    fn outcome_report(&self, now: f64, id: &str) -> OutcomeReport {
-        OutcomeReport { outcome: self.policy.outcome(id), members_behind: self.members_behind(now) }
-    }
-
-    /// Members that polled within the length of a long lease, and do not have the active version yet.
-    fn members_behind(&self, now: f64) -> usize {
-        let active = Some(self.policy.version());
-        let lease_length = self.policy.timings.map_or(0.0, |timings| timings.lease_ms);
-        let statuses = self.policy_leader.member_statuses().values();
-        statuses.filter(|last| last.version != active && now - last.polled_at < lease_length).count()
-    }
-
-    fn policy_text(&self, version: Option<Version>) -> Option<PolicyText> {
-        let version = version.unwrap_or(self.policy.version());
-        let kept = self.policy.revisions.iter().find(|revision| revision.version == version);
-        match kept {
-            Some(revision) => Some(PolicyText { version, text: revision.policy_text.clone() }),
-            None if version == 0 => Some(PolicyText { version: 0, text: EMPTY_POLICY.to_owned() }),
-            None => None,
-        }
-    }
-
     fn budget_statuses(&mut self, now: f64) -> Vec<BudgetStatus> {
         self.read_budgets();
         self.tick_budgets(now);
