--- a/crates/policy/src/rules/meter.rs
+++ b/crates/policy/src/rules/meter.rs
@@ -10,15 +10,19 @@
 const MIN_REQUESTS_FOR_SHARE: f64 = 20.0;
 
 /// Why a request is not admitted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
     /// Requests of its class are rejected.
+    #[error("requests of its class are rejected")]
     ClassRejected,
     /// Its class is over its rate.
+    #[error("its class is over its rate")]
     RateExceeded,
     /// Its account is over its share.
+    #[error("its account is over its share")]
     AccountShareExceeded,
     /// As many requests are in flight as may be.
+    #[error("as many requests are in flight as may be")]
     TooManyInFlight,
 }
 
--- a/src/fleet/admission/rejection.rs
+++ b/src/fleet/admission/rejection.rs
@@ -17,7 +17,7 @@
     NoLease,
     /// The policy does not allow it now.
     #[error("rejected by the policy")]
-    Policy(Rejection),
+    Policy(#[from] Rejection),
     /// A budget of the fleet has nothing left here.
     #[error("budget {budget} is exhausted")]
     BudgetExhausted {
@@ -48,9 +48,3 @@
         }
     }
 }
-
-impl From<Rejection> for RejectReason {
-    fn from(rejection: Rejection) -> RejectReason {
-        RejectReason::Policy(rejection)
-    }
-}
