--- a/crates/budgets/tests/common/front.rs
+++ b/crates/budgets/tests/common/front.rs
@@ -4,7 +4,7 @@
 use beamgap_budgets::member::BudgetMember;
 use beamgap_budgets::message::{PollRequest, PollResponse};
 use beamgap_fleet_types::MemberId;
-use beamgap_standins::draw::Draw;
+use beamgap_fakes::draw::Draw;
 
 /// A clock that reads `true time * rate + offset`.
 #[derive(Clone, Copy)]
--- a/crates/budgets/tests/faults.rs
+++ b/crates/budgets/tests/faults.rs
@@ -5,7 +5,7 @@
 
 use beamgap_budgets::spec::BudgetSpec;
 use beamgap_budgets::{InjectedBug, FULL_SHARE};
-use beamgap_standins::draw::Draw;
+use beamgap_fakes::draw::Draw;
 use common::fleet::{Fleet, STEP_MS};
 use common::{concurrency, excess, rate};
 
--- a/crates/budgets/tests/replay.rs
+++ b/crates/budgets/tests/replay.rs
@@ -16,7 +16,7 @@
 use beamgap_budgets::reader::{read, schema};
 use beamgap_budgets::{InjectedBug, Share};
 use beamgap_config::schema::Block;
-use beamgap_standins::draw::Draw;
+use beamgap_fakes::draw::Draw;
 use recorder::Recorder;
 use std::path::PathBuf;
 use world::{Counts, World};
--- a/crates/budgets/tests/replay/specs.rs
+++ b/crates/budgets/tests/replay/specs.rs
@@ -1,7 +1,7 @@
 //! Budgets drawn from a seed.
 
 use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
-use beamgap_standins::draw::Draw;
+use beamgap_fakes::draw::Draw;
 use std::collections::BTreeMap;
 
 /// Budgets of all kinds; some are missing, and their figures and forms differ from draw to draw.
--- a/crates/budgets/tests/replay/world.rs
+++ b/crates/budgets/tests/replay/world.rs
@@ -14,7 +14,7 @@
 use beamgap_budgets::spec::{BudgetSpec, Resource};
 use beamgap_budgets::{BudgetTimings, InjectedBug};
 use beamgap_fleet_types::MemberId;
-use beamgap_standins::draw::Draw;
+use beamgap_fakes::draw::Draw;
 use std::collections::BTreeMap;
 
 /// Length of a step in milliseconds.
--- a/crates/standins/tests/rules.rs
+++ b/crates/fakes/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The checker of the service's rules finds each kind of violation.
 
-use beamgap_standins::rules::{judge, Asked, Rules, Said};
-use beamgap_standins::warehouse::{
+use beamgap_fakes::rules::{judge, Asked, Rules, Said};
+use beamgap_fakes::warehouse::{
     Act,
     What::{self, Broke, Came, Served, TurnedAway},
 };
--- a/crates/rig/src/faults.rs
+++ b/crates/fault-harness/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults: drawn from a seed, or written down, one a line.
 
 use crate::relay::Way;
-use beamgap_standins::draw::Draw;
+use beamgap_fakes::draw::Draw;
 use std::fmt;
 
 /// Something that is done to the fleet.
--- a/crates/rig/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -1,8 +1,9 @@
-//! The fleet rig: real `beamgap` processes on loopback, a relay on every link, stand-in engines and clients, faults from a
-//! seed, and a pure checker that judges what was written down. For tests and for trying out; nothing that serves uses it.
+//! The fault harness of a fleet: real `beamgap` processes on loopback, a relay on every connection between them, fake
+//! engines and clients, faults from a seed, and pure checkers of the recorded history. For tests and for trying out; the
+//! serving program does not use it.
 //!
-//! Start at [`world::World`]; faults are in [`faults`], the judge in [`checker`], that of
-//! tasks in [`operations`], that of budgets in [`shared`].
+//! Start at [`world::World`]. Faults are in [`faults`]; the history checker of policies is in [`checker`], that of tasks
+//! in [`operations`], that of budgets in [`budget_checker`].
 
 pub mod breaks;
 pub mod budget_checker;
--- a/crates/rig/tests/budget_checker.rs
+++ b/crates/fault-harness/tests/budget_checker.rs
@@ -1,7 +1,7 @@
 //! The history checker of budgets on made-up histories: good ones pass, and of each bad one the violation is reported.
 
-use beamgap_rig::budget_checker::{check_budgets, BudgetLimit, RateLimit};
-use beamgap_rig::history::{Event, What};
+use beamgap_fault_harness::budget_checker::{check_budgets, BudgetLimit, RateLimit};
+use beamgap_fault_harness::history::{Event, What};
 
 fn admit(at: f64, id: &str, account: &str) -> Event {
     let (member, id, account) = ("n0".to_owned(), id.to_owned(), account.to_owned());
--- a/crates/rig/tests/checker.rs
+++ b/crates/fault-harness/tests/checker.rs
@@ -1,8 +1,8 @@
 //! The judge on made-up histories: good ones pass, and each kind of break is seen, with its promise and its excerpt.
 
-use beamgap_rig::breaks::Break;
-use beamgap_rig::checker::{judge, Law, Version};
-use beamgap_rig::history::{Event, What};
+use beamgap_fault_harness::breaks::Break;
+use beamgap_fault_harness::checker::{judge, Law, Version};
+use beamgap_fault_harness::history::{Event, What};
 
 fn law() -> Law {
     let version = |hash: &str| Version { hash: hash.to_owned(), ..Version::default() };
--- a/crates/rig/tests/operations.rs
+++ b/crates/fault-harness/tests/operations.rs
@@ -1,7 +1,7 @@
 //! The history checker of tasks on made-up histories: good ones pass, and each kind of violation is seen.
 
-use beamgap_rig::history::{Event, What};
-use beamgap_rig::operations::{check_operations, StepKey, TaskRules};
+use beamgap_fault_harness::history::{Event, What};
+use beamgap_fault_harness::operations::{check_operations, StepKey, TaskRules};
 
 fn began(at: f64, step: u64, token: u64) -> Event {
     Event { at, what: What::Began { task: "feed".to_owned(), run: 1, step, token } }
--- a/crates/sim/tests/attempts.rs
+++ b/crates/protocol-models/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! What the model of attempts shows: what holds in every state, and which rule is needed for it.
 
-use beamgap_sim::attempts::{Attempts, Confirm, Step};
+use beamgap_protocol_models::attempts::{Attempts, Confirm, Step};
 use stateright::{Checker, Model};
 
 const ONE: &str = "one attempt runs at most";
--- a/crates/sim/tests/budgets.rs
+++ b/crates/protocol-models/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! What the model of budgets shows: promise A1 of `docs/budgets.md` holds, and each injected bug is found.
 
 use beamgap_budgets::InjectedBug;
-use beamgap_sim::budgets::BudgetModel;
+use beamgap_protocol_models::budgets::BudgetModel;
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
 use std::time::Duration;
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// By hand: `cargo test --release -p beamgap-sim --test budgets -- --ignored --nocapture`
+/// By hand: `cargo test --release -p beamgap-protocol-models --test budgets -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
 fn a_complete_search_keeps_the_promise() {
--- a/crates/sim/tests/leases.rs
+++ b/crates/protocol-models/tests/leases.rs
@@ -1,7 +1,7 @@
 //! What the model of the leases shows: the promises of `docs/leases.md` hold, and each injected bug and fault is found.
 
 use beamgap_leases::InjectedBug;
-use beamgap_sim::leases::{Fault, LeaseModel};
+use beamgap_protocol_models::leases::{Fault, LeaseModel};
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -137,7 +137,7 @@
     }
 }
 
-/// By hand: `cargo test --release -p beamgap-sim --test leases -- --ignored --nocapture`
+/// By hand: `cargo test --release -p beamgap-protocol-models --test leases -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
 fn a_complete_search_keeps_all_promises() {
--- a/crates/sim/tests/rollout.rs
+++ b/crates/protocol-models/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! What the model of the rollout shows: the promises hold in every state, and each injected bug is found.
 
 use beamgap_policy::rollout::{ChangeOutcome, InjectedBug};
-use beamgap_sim::rollout::{RolloutModel, Step, World};
+use beamgap_protocol_models::rollout::{RolloutModel, Step, World};
 use stateright::{Checker, HasDiscoveries, Model, UniformChooser};
 use std::time::Duration;
 
@@ -109,7 +109,7 @@
     all.iter().all(|step| matches!(step, Step::Tick))
 }
 
-/// By hand: how far a complete search goes. `cargo test --release -p beamgap-sim --test rollout -- --ignored --nocapture`
+/// By hand: how far a complete search goes. `cargo test --release -p beamgap-protocol-models --test rollout -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes"]
 fn a_complete_search_keeps_both_promises() {
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -3,9 +3,9 @@
 //!
 //! `cargo run --release --example fleet`, and beside it `cargo run --release --example fleet -- cut 3` and the like.
 
-use beamgap_rig::faults::Fault;
-use beamgap_rig::relay::Way;
-use beamgap_rig::world::{Options, World};
+use beamgap_fault_harness::faults::Fault;
+use beamgap_fault_harness::relay::Way;
+use beamgap_fault_harness::world::{Options, World};
 use std::error::Error;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/examples/fleet_policy.rs
+++ b/examples/fleet_policy.rs
@@ -8,9 +8,9 @@
 use beamgap::fleet::test_hooks::machine_clock;
 use beamgap_policy::document::parse;
 use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy};
-use beamgap_rig::history::What;
-use beamgap_rig::now;
-use beamgap_rig::world::{Options, World};
+use beamgap_fault_harness::history::What;
+use beamgap_fault_harness::now;
+use beamgap_fault_harness::world::{Options, World};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
--- a/examples/xds_deploy.rs
+++ b/examples/xds_deploy.rs
@@ -6,9 +6,9 @@
 use beamgap::node::clock::Clock;
 use beamgap::node::config::Config;
 use beamgap::node::Node;
-use beamgap_standins::boxes::Power;
-use beamgap_standins::fleet::{Fleet, Report, Roll};
-use beamgap_standins::proxy::Script;
+use beamgap_fakes::boxes::Power;
+use beamgap_fakes::fleet::{Fleet, Report, Roll};
+use beamgap_fakes::proxy::Script;
 use beamgap_xds::core::stream::Variant;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/examples/xds_push.rs
+++ b/examples/xds_push.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo build --release && cargo run --release --example xds_push -- [STREAMS,..] [BOXES,..] [CHANGES]
 
-use beamgap_standins::bulletin::{Bulletin, Entry, State};
+use beamgap_fakes::bulletin::{Bulletin, Entry, State};
 use beamgap_xds::client::link::{connect, Link};
 use beamgap_xds::core::resources::{Kind, ROUTES};
 use beamgap_xds::core::stream::{Ask, Variant};
--- a/tests/fleet_budgets.rs
+++ b/tests/fleet_budgets.rs
@@ -1,13 +1,13 @@
 //! Fault cases of budgets, each with several real processes. The promises are those of `docs/budgets.md`; after each case the
 //! history checker compares what members admitted and what engines worked on with them.
 
-use beamgap_rig::budget_checker::{check_budgets, BudgetLimit, BudgetUsage, RateLimit};
-use beamgap_rig::case::Case;
-use beamgap_rig::faults::Fault;
-use beamgap_rig::history::What;
-use beamgap_rig::now;
-use beamgap_rig::relay::Way;
-use beamgap_rig::world::{Options, World};
+use beamgap_fault_harness::budget_checker::{check_budgets, BudgetLimit, BudgetUsage, RateLimit};
+use beamgap_fault_harness::case::Case;
+use beamgap_fault_harness::faults::Fault;
+use beamgap_fault_harness::history::What;
+use beamgap_fault_harness::now;
+use beamgap_fault_harness::relay::Way;
+use beamgap_fault_harness::world::{Options, World};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::sync::atomic::Ordering;
--- a/tests/fleet_cases.rs
+++ b/tests/fleet_cases.rs
@@ -1,11 +1,11 @@
 //! Hard cases of a change of policy, each with several real processes. The promises are those of `docs/policy.md`; after
 //! each case the judge looks at what was written down.
 
-use beamgap_rig::case::Case;
-use beamgap_rig::history::What;
-use beamgap_rig::now;
-use beamgap_rig::relay::Way;
-use beamgap_rig::world::{Options, World};
+use beamgap_fault_harness::case::Case;
+use beamgap_fault_harness::history::What;
+use beamgap_fault_harness::now;
+use beamgap_fault_harness::relay::Way;
+use beamgap_fault_harness::world::{Options, World};
 use std::io::{Read, Write};
 use std::path::Path;
 use std::time::Duration;
--- a/tests/fleet_seeds.rs
+++ b/tests/fleet_seeds.rs
@@ -3,8 +3,8 @@
 //!
 //! `RIG_SEEDS=1..500 RIG_JOBS=6 cargo test --release --test fleet_seeds seeds -- --nocapture`
 
-use beamgap_rig::checker::Summary;
-use beamgap_rig::world::{play_seed, play_shared_seed};
+use beamgap_fault_harness::checker::Summary;
+use beamgap_fault_harness::world::{play_seed, play_shared_seed};
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/tests/fleet_tasks.rs
+++ b/tests/fleet_tasks.rs
@@ -1,11 +1,11 @@
 //! Hard cases of tasks of a whole fleet, each with several real processes. The promises are those of `docs/leases.md`; after
 //! each case the judge looks at what the target saw.
 
-use beamgap_rig::case::Case;
-use beamgap_rig::history::What;
-use beamgap_rig::now;
-use beamgap_rig::relay::Way;
-use beamgap_rig::world::Options;
+use beamgap_fault_harness::case::Case;
+use beamgap_fault_harness::history::What;
+use beamgap_fault_harness::now;
+use beamgap_fault_harness::relay::Way;
+use beamgap_fault_harness::world::Options;
 use serde_json::Value;
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
@@ -42,7 +42,7 @@
 
 /// Waits until an act has begun since a time, with a token above this one.
 fn acts_again(w: &Case, since: f64, above: u64) -> f64 {
-    let began = |e: &beamgap_rig::history::Event| match &e.what {
+    let began = |e: &beamgap_fault_harness::history::Event| match &e.what {
         What::Began { token, .. } => (e.at >= since && *token > above).then_some(e.at),
         _ => None,
     };
@@ -82,7 +82,7 @@
     w.judge_tasks(&["feed"], &[]).unwrap_or_else(|e| panic!("{e}"));
 }
 
-fn steps_of(w: &beamgap_rig::world::World) -> usize {
+fn steps_of(w: &beamgap_fault_harness::world::World) -> usize {
     w.history.all().iter().filter(|e| matches!(e.what, What::Began { .. })).count()
 }
 
@@ -91,7 +91,7 @@
     // Every act waits behind its look, so that the holder can be stopped exactly there.
     let w = world("stopped", 30, "unknown = \"skip\"", "look=150");
     w.wait("it acts", SOON, |w| steps_of(w) > 2).unwrap();
-    let looks = |w: &beamgap_rig::world::World, from: f64| {
+    let looks = |w: &beamgap_fault_harness::world::World, from: f64| {
         w.history.all().into_iter().find_map(|e| match e.what {
             What::Look { member, token, .. } if e.at >= from => Some((member, token)),
             _ => None,
@@ -113,7 +113,7 @@
     acts_again(&w, at, token);
     w.wait("three lengths", SOON, |_| now() - at > 3.0 * LEASE).unwrap();
     w.members[stopped].wake();
-    let refused = |w: &beamgap_rig::world::World| {
+    let refused = |w: &beamgap_fault_harness::world::World| {
         w.history.all().iter().any(|e| matches!(e.what, What::Stale { token: t, .. } if t == token))
     };
     w.wait("its act is refused", SOON, refused).unwrap();
@@ -145,8 +145,8 @@
         let began = steps_of(&w);
         w.wait("it acts", SOON, |w| steps_of(w) > began + 2).unwrap();
         let at = now();
-        w.fault(&beamgap_rig::faults::Fault::Outage).unwrap();
-        w.fault(&beamgap_rig::faults::Fault::Power).unwrap();
+        w.fault(&beamgap_fault_harness::faults::Fault::Outage).unwrap();
+        w.fault(&beamgap_fault_harness::faults::Fault::Power).unwrap();
         acts_again(&w, at, token);
     }
     over(&w);
@@ -191,7 +191,7 @@
     })
     .unwrap();
     let late =
-        |e: &beamgap_rig::history::Event| matches!(e.what, What::Began { .. }) && e.at > decided + 400.0;
+        |e: &beamgap_fault_harness::history::Event| matches!(e.what, What::Began { .. }) && e.at > decided + 400.0;
     assert!(!w.history.all().iter().any(late), "an act began after the change was in force");
     assert_eq!(w.change(&["policy", "rollback", "--json"]), (0, Some(2)));
     over(&w);
@@ -216,7 +216,7 @@
     w.judge_tasks(&["feed"], &[]).unwrap_or_else(|e| panic!("{e}"));
 }
 
-fn holder_of(w: &beamgap_rig::world::World) -> Option<String> {
+fn holder_of(w: &beamgap_fault_harness::world::World) -> Option<String> {
     w.task("feed")["holder"].as_str().map(str::to_owned)
 }
 
@@ -228,7 +228,7 @@
     let gone = now();
     (0..2).for_each(|m| w.kill(m));
     w.wait("longer than the lease", SOON, |_| now() - gone > 2.0 * LEASE).unwrap();
-    let late = |e: &beamgap_rig::history::Event| matches!(e.what, What::Began { .. }) && e.at > gone + LEASE;
+    let late = |e: &beamgap_fault_harness::history::Event| matches!(e.what, What::Began { .. }) && e.at > gone + LEASE;
     assert!(!w.history.all().iter().any(late), "somebody acted without a majority, after the lease's end");
     let back = now();
     (0..2).for_each(|m| w.begin(m).unwrap());
@@ -245,7 +245,7 @@
     let full = now();
     w.wait("longer than the lease", SOON, |_| now() - full > 1.5 * LEASE).unwrap();
     // The one act that was under way may have begun: what comes after it needs the record.
-    let late = |e: &&beamgap_rig::history::Event| matches!(e.what, What::Began { .. }) && e.at > full + 300.0;
+    let late = |e: &&beamgap_fault_harness::history::Event| matches!(e.what, What::Began { .. }) && e.at > full + 300.0;
     assert_eq!(w.history.all().iter().filter(late).count(), 0, "a step began that no disk knows of");
     (0..3).for_each(|m| w.members[m].fill_disk(false));
     acts_again(&w, full + 300.0, 0);
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -4,9 +4,9 @@
 use beamgap::node::clock::Clock;
 use beamgap::node::config::Config;
 use beamgap::node::Node;
-use beamgap_standins::boxes::Power;
-use beamgap_standins::fleet::{Fleet, Report, Roll};
-use beamgap_standins::proxy::Script;
+use beamgap_fakes::boxes::Power;
+use beamgap_fakes::fleet::{Fleet, Report, Roll};
+use beamgap_fakes::proxy::Script;
 use beamgap_xds::core::stream::Variant;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -165,7 +165,7 @@
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         tokio::task::spawn_blocking(move || drop(front)).await.unwrap();
         // While it is away a box drains and stays, as nobody can tell the proxies; they serve on by what they hold.
-        let sent = |tallies: &[Arc<beamgap_standins::proxy::Tally>]| -> u64 {
+        let sent = |tallies: &[Arc<beamgap_fakes::proxy::Tally>]| -> u64 {
             tallies.iter().map(|t| t.sent.load(Ordering::Relaxed)).sum()
         };
         let before = sent(&tallies);
