--- a/crates/protocol-models/src/leases.rs
+++ b/crates/protocol-models/src/leases.rs
@@ -1,7 +1,7 @@
 //! Leases as a state machine: three members, two tasks, clocks that drift apart within the bound.
 //!
 //! The parts that act are the program's own ([`LeaseLeader`], [`LeaseHolder`] and [`State`] of `crates/leases`). As in
-//! [`crate::switch`], a log to which one leader at a time commits stands in for consensus. Messages are lost, late and
+//! [`crate::rollout`], a log to which one leader at a time commits stands in for consensus. Messages are lost, late and
 //! duplicated; leaders change; members die and come back with nothing, and stand still between the check of the clock
 //! and the action. Member 0's clock is as slow as the bound allows, the leaders' clocks as fast: the worst pair.
 //!
