--- a/crates/budgets/tests/fleet.rs
+++ b/crates/budgets/tests/fleet.rs
@@ -38,7 +38,7 @@
             let used = (fleet.count(0) - before) as f64
                 / (300.0 * 5.0)
                 / fleet.fronts[moved_to].clock.rate;
-            println!("{members} members, move {round}: {used:.3} of the whole used 3 s after it");
+            println!("{members} members, move {round}: {used:.3} of the budget used 3 s after it");
             assert!(used >= 0.94, "{members}: {used}");
         }
         assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
@@ -60,7 +60,7 @@
     let rate_of =
         |m: usize| (fleet.counts[0][&m] - before.get(&m).copied().unwrap_or(0)) as f64 / 10.0;
     let rates: Vec<f64> = (0..4).map(rate_of).collect();
-    // 10 and, of what is left, parts of 1 : 2 : 1.
+    // 10, and the remainder divided 1 : 2 : 1.
     for (m, fair) in [(0, 10.0), (1, 27.0), (2, 54.0), (3, 27.0)] {
         let part = rates[m] / fair;
         assert!((0.88..=1.08).contains(&part), "m{m}: {rates:?}");
@@ -107,7 +107,7 @@
         let got = (fleet.counts[0][&m] - before[&m]) as f64 / 1.5;
         assert!(
             (6.0..=9.5).contains(&got),
-            "m{m} has {got} a second of the 9 set aside for it"
+            "m{m} has {got} a second of the 9 of its floor"
         );
     }
     fleet.run(4000.0);
@@ -115,7 +115,7 @@
     fleet.run(1000.0);
     assert!(
         (5..9).all(|m| fleet.counts[0][&m] == before[&m]),
-        "beyond its right it has nothing"
+        "it admits after its lease has expired"
     );
     assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
 }
@@ -155,10 +155,7 @@
     let asked = fleet.polls;
     fleet.run(60_000.0);
     let per_member = (fleet.polls - asked) as f64 / 5.0 / 60.0;
-    assert!(
-        per_member < 1.4,
-        "{per_member} questions a second and member"
-    );
+    assert!(per_member < 1.4, "{per_member} polls a second and member");
     let local = fleet.local_time(0);
     let request = fleet.fronts[0].member.poll_request(local, 1 << 40, |_| 0);
     assert!(
@@ -234,7 +231,7 @@
     let used = (fleet.count(0) - before) as f64 / 600.0;
     assert!(
         used >= 0.93,
-        "{used} of the whole was used round the change"
+        "{used} of the budget was used round the change"
     );
     assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
 }
@@ -285,7 +282,7 @@
         .collect();
     assert_eq!(places, [0, 1, 2, 3]);
     assert!((0.99..=1.0001).contains(&all(&fleet)), "{}", all(&fleet));
-    // Who is cut off bears nothing once its part has ended.
+    // A member that is cut off bears nothing once its share has expired.
     fleet.fronts[0].cut_off_until = f64::INFINITY;
     fleet.run(4000.0);
     assert!(
@@ -329,10 +326,10 @@
         }
         times.sort_by(f64::total_cmp);
         used.sort_by(f64::total_cmp);
-        let by_hand = 1.0 / members as f64;
-        let questions = fleet.polls as f64 / fleet.now * 1000.0;
+        let static_share = 1.0 / members as f64;
+        let polls = fleet.polls as f64 / fleet.now * 1000.0;
         println!(
-            "{members} members: 0.95 of the whole at the new place after {:.0} ms (p50), {:.0} (most); {:.3} of the whole used; by hand {by_hand:.3}; {questions:.0} questions a second",
+            "{members} members: 0.95 of the budget at the new place after {:.0} ms (p50), {:.0} (most); {:.3} of the budget used; static {static_share:.3}; {polls:.0} polls a second",
             times[2], times[4], used[2]
         );
         assert!(excess(&fleet.admitted[0], per_second, burst) <= 0.0);
