--- a/examples/record_decisions/host.rs
+++ b/examples/record_decisions/host.rs
@@ -1,9 +1,9 @@
-//! The program under recording: one `beamgap-simhost` process and the text exchanged with it.
+//! The program under recording: one `beamgap-simulator-host` process and the text exchanged with it.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// A running `beamgap-simhost`, with all that was sent to it and received from it.
+/// A running `beamgap-simulator-host`, with all that was sent to it and received from it.
 pub struct Host {
     child: Child,
     input: ChildStdin,
--- a/examples/record_decisions/main.rs
+++ b/examples/record_decisions/main.rs
@@ -1,11 +1,11 @@
 //! Records a replay stream for `tests/replay.rs`: events for the decision module and the actions it gave.
 //!
-//! A small made-up world (engines, clients, service discovery) plays against `beamgap-simhost` on the
+//! A small made-up world (engines, clients, service discovery) plays against `beamgap-simulator-host` on the
 //! simulator's text wire. The seed decides everything, so that the same program gives the same recording.
 //!
 //! ```text
 //! cargo build --release
-//! cargo run --example record_decisions -- target/release/beamgap-simhost tests/replay
+//! cargo run --example record_decisions -- target/release/beamgap-simulator-host tests/replay
 //! ```
 
 mod host;
--- a/src/bin/beamgap-simhost/main.rs
+++ b/src/bin/beamgap-simulator-host/main.rs
@@ -9,7 +9,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("beamgap-simhost: {text}");
+            eprintln!("beamgap-simulator-host: {text}");
             ExitCode::FAILURE
         }
     }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -20,7 +20,7 @@
 }
 
 fn actions_for(events: String) -> String {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_beamgap-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_beamgap-simulator-host"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -10,7 +10,7 @@
 const ORDER: &str = "order 3 5d3a91c4-9a26-468c-a1e0-bdd93e783a4d 12.0 1 11 - 240.0 lookup - 384";
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_beamgap-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_beamgap-simulator-host"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
