--- a/crates/budgets/tests/common/fleet.rs
+++ b/crates/budgets/tests/common/fleet.rs
@@ -7,8 +7,8 @@
 use beamgap_budgets::message::{PollRequest, PollResponse};
 use beamgap_budgets::spec::{Amount, BudgetSpec};
 use beamgap_budgets::{BudgetTimings, InjectedBug};
-use beamgap_fleet_types::MemberId;
 use beamgap_fakes::draw::Draw;
+use beamgap_fleet_types::MemberId;
 use std::collections::{BTreeMap, HashMap};
 
 /// Length of a step, in milliseconds.
--- a/crates/budgets/tests/common/front.rs
+++ b/crates/budgets/tests/common/front.rs
@@ -3,8 +3,8 @@
 use super::fleet::MAX_DRIFT;
 use beamgap_budgets::member::BudgetMember;
 use beamgap_budgets::message::{PollRequest, PollResponse};
-use beamgap_fleet_types::MemberId;
 use beamgap_fakes::draw::Draw;
+use beamgap_fleet_types::MemberId;
 
 /// A clock that reads `true time * rate + offset`.
 #[derive(Clone, Copy)]
--- a/crates/fault-harness/src/world/mod.rs
+++ b/crates/fault-harness/src/world/mod.rs
@@ -124,7 +124,8 @@
 impl World {
     /// Starts a fleet in a folder of its own, founds it, and has clients ask.
     pub fn start(binary: &Path, name: &str, options: Options) -> Result<World, String> {
-        let folder = std::env::temp_dir().join(format!("beamgap-fault-harness-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("beamgap-fault-harness-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder); // Of an earlier run, if at all.
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let history = History::default();
--- a/examples/fleet_policy.rs
+++ b/examples/fleet_policy.rs
@@ -6,11 +6,11 @@
 //! per request and memory of one front end before 6, 60 and 80 engines, two programs in turn.
 
 use beamgap::fleet::test_hooks::machine_clock;
-use beamgap_policy::document::parse;
-use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy};
 use beamgap_fault_harness::history::What;
 use beamgap_fault_harness::now;
 use beamgap_fault_harness::world::{Options, World};
+use beamgap_policy::document::parse;
+use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
--- a/tests/fleet_tasks.rs
+++ b/tests/fleet_tasks.rs
@@ -190,8 +190,9 @@
         task["holder"].is_null() && task["why_not"] == "forbidden by the policy in force"
     })
     .unwrap();
-    let late =
-        |e: &beamgap_fault_harness::history::Event| matches!(e.what, What::Began { .. }) && e.at > decided + 400.0;
+    let late = |e: &beamgap_fault_harness::history::Event| {
+        matches!(e.what, What::Began { .. }) && e.at > decided + 400.0
+    };
     assert!(!w.history.all().iter().any(late), "an act began after the change was in force");
     assert_eq!(w.change(&["policy", "rollback", "--json"]), (0, Some(2)));
     over(&w);
@@ -228,7 +229,9 @@
     let gone = now();
     (0..2).for_each(|m| w.kill(m));
     w.wait("longer than the lease", SOON, |_| now() - gone > 2.0 * LEASE).unwrap();
-    let late = |e: &beamgap_fault_harness::history::Event| matches!(e.what, What::Began { .. }) && e.at > gone + LEASE;
+    let late = |e: &beamgap_fault_harness::history::Event| {
+        matches!(e.what, What::Began { .. }) && e.at > gone + LEASE
+    };
     assert!(!w.history.all().iter().any(late), "somebody acted without a majority, after the lease's end");
     let back = now();
     (0..2).for_each(|m| w.begin(m).unwrap());
@@ -245,7 +248,9 @@
     let full = now();
     w.wait("longer than the lease", SOON, |_| now() - full > 1.5 * LEASE).unwrap();
     // The one act that was under way may have begun: what comes after it needs the record.
-    let late = |e: &&beamgap_fault_harness::history::Event| matches!(e.what, What::Began { .. }) && e.at > full + 300.0;
+    let late = |e: &&beamgap_fault_harness::history::Event| {
+        matches!(e.what, What::Began { .. }) && e.at > full + 300.0
+    };
     assert_eq!(w.history.all().iter().filter(late).count(), 0, "a step began that no disk knows of");
     (0..3).for_each(|m| w.members[m].fill_disk(false));
     acts_again(&w, full + 300.0, 0);
