--- a/crates/fleet-types/src/lib.rs
+++ b/crates/fleet-types/src/lib.rs
@@ -16,6 +16,8 @@
 //! assert_ne!(before_restart, after_restart);
 //! ```
 
+#![deny(missing_docs)]
+
 pub mod clock;
 mod member_id;
 mod name;
