--- a/src/bin/beamgap-simulator-host/main.rs
+++ b/src/bin/beamgap-simulator-host/main.rs
@@ -1,46 +1,58 @@
 //! Hosts gateways on the simulator's wire: batches of events on standard input, replies on standard output.
+//!
+//! [`message`] reads a line, [`host`] passes it to the gateway instance that it names, and [`action`] writes what
+//! the gateway answers. Nothing is decided here.
 
-mod wire;
+mod action;
+mod error;
+mod fields;
+mod host;
+mod message;
 
+use error::HostError;
+use host::Host;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match run() {
+    match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("beamgap-simulator-host: {text}");
+        Err(error) => {
+            eprintln!("beamgap-simulator-host: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
-    let mut input = io::stdin().lock();
-    let mut output = io::stdout().lock();
-    let mut host = wire::Host::default();
-    let mut line = Vec::new();
-    for number in 1.. {
-        line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("line {number}: {e}"))?;
-        if read == 0 {
-            let whole = host.between_batches();
-            return if whole {
-                Ok(())
-            } else {
-                Err(format!("line {number}: found end of input, expected eof_batch"))
-            };
+/// Answers batches until the input ends.
+fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
+    let mut host = Host::default();
+    let mut bytes = Vec::new();
+    for line in 1.. {
+        bytes.clear();
+        let length =
+            input.read_until(b'\n', &mut bytes).map_err(|source| HostError::Read { line, source })?;
+        if length == 0 {
+            if host.batch_is_open() {
+                return Err(HostError::EndInsideBatch { line });
+            }
+            return Ok(());
         }
-        if line.last() != Some(&b'\n') {
-            return Err(format!("line {number}: found end of input, expected end of line"));
-        }
-        let text =
-            std::str::from_utf8(&line).map_err(|_| format!("line {number}: found bytes, expected UTF-8"))?;
-        let text = text.trim_end_matches(['\n', '\r']);
-        if let Some(reply) = host.line(text).map_err(|e| format!("line {number}: {}", e.0))? {
+        let text = text_of(&bytes, line)?;
+        let reply = host.handle_line(text).map_err(|source| HostError::Malformed { line, source })?;
+        if let Some(reply) = reply {
             let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-            sent.map_err(|e| format!("line {number}: reply not written: {e}"))?;
+            sent.map_err(|source| HostError::Write { line, source })?;
         }
     }
     Ok(())
 }
+
+/// The text of a line without its line ending.
+fn text_of(bytes: &[u8], line: u64) -> Result<&str, HostError> {
+    if bytes.last() != Some(&b'\n') {
+        return Err(HostError::EndInsideLine { line });
+    }
+    let text = std::str::from_utf8(bytes).map_err(|source| HostError::NotUtf8 { line, source })?;
+    Ok(text.trim_end_matches(['\n', '\r']))
+}
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,17 +6,32 @@
 use crate::*;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
+use thiserror::Error;
 
-/// A line that is not as it should be: what was found, what was expected.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Malformed(pub String);
+/// Characters of the input that an error repeats at most.
+const EXCERPT_CHARS: usize = 60;
+
+/// A value is not of the form that it should have.
+#[derive(Debug, PartialEq, Eq, Error)]
+#[error("found '{found}', expected {expected}")]
+pub struct ParseError {
+    /// The beginning of what stood there.
+    pub found: String,
+    /// What should have stood there.
+    pub expected: String,
+}
 
 /// What was read, or why not.
-pub type Parsed<T> = Result<T, Malformed>;
+pub type Parsed<T> = Result<T, ParseError>;
 
-/// Says what was found where something else was expected.
+/// The error for `found` where `expected` should have stood.
 pub fn bad<T>(found: &str, expected: &str) -> Parsed<T> {
-    Err(Malformed(format!("found '{}', expected {expected}", found.chars().take(60).collect::<String>())))
+    Err(ParseError { found: excerpt(found), expected: expected.to_owned() })
+}
+
+/// The beginning of a text, for an error to repeat.
+pub fn excerpt(text: &str) -> String {
+    text.chars().take(EXCERPT_CHARS).collect()
 }
 
 /// Reads a finite number.
