--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings by the names that the platform gives them: one reading for the simulator's wire and the node's
 //! configuration. Keys that are not known are passed over; absent ones bind nothing.
 
-pub mod fit;
+pub mod notes;
 
 use crate::*;
 use std::cell::RefCell;
@@ -126,7 +126,7 @@
     s.key_rest = p.time("Contract.TurnGap")?.unwrap_or_default();
     read_engine_rules(&p, &mut s)?;
     s.check().or_else(|e| bad(&e.to_string(), "settings that make sense"))?;
-    let fit = fit::fit(given, &p.asked.borrow());
+    let fit = notes::fit(given, &p.asked.borrow());
     Ok((s, fit))
 }
 
