--- a/src/bin/beamgap-simulator-host/fields.rs
+++ b/src/bin/beamgap-simulator-host/fields.rs
@@ -1,6 +1,6 @@
 //! The fields of a line: separated by one space each, with `-` for an absent value.
 
-use beamgap::settings::{bad, micros, number, report_field, Parsed};
+use beamgap::settings::{micros, number, report_field, unexpected, Parsed};
 use beamgap::{Attempt, EngineId, LoadReport, Micros, Outcome, RequestId};
 use std::str::{FromStr, Split};
 use std::sync::Arc;
@@ -21,8 +21,8 @@
     pub fn text(&mut self, expected: &str) -> Parsed<&'a str> {
         match self.0.next() {
             Some(field) if !field.is_empty() => Ok(field),
-            Some(_) => bad("nothing", expected),
-            None => bad("end of line", expected),
+            Some(_) => unexpected("nothing", expected),
+            None => unexpected("end of line", expected),
         }
     }
 
@@ -66,7 +66,7 @@
         match self.text("1 or 0")? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => bad(other, "1 or 0"),
+            other => unexpected(other, "1 or 0"),
         }
     }
 
@@ -104,7 +104,7 @@
             "520" => Outcome::Reset,
             "444" => Outcome::Cancelled,
             "409" => Outcome::NotSent,
-            other => return bad(other, "an outcome code"),
+            other => return unexpected(other, "an outcome code"),
         };
         Ok(outcome)
     }
@@ -114,7 +114,9 @@
         let Some(text) = self.optional_text("a load report")? else { return Ok(None) };
         let mut report = LoadReport::default();
         for pair in text.split(',') {
-            let Some((name, value)) = pair.split_once(':') else { return bad(pair, "a name:value pair") };
+            let Some((name, value)) = pair.split_once(':') else {
+                return unexpected(pair, "a name:value pair");
+            };
             let value = number(value, "a number")?;
             report_field(&mut report, name, value);
         }
@@ -130,11 +132,11 @@
     pub fn end(mut self) -> Parsed<()> {
         match self.0.next() {
             None => Ok(()),
-            Some(field) => bad(field, "end of line"),
+            Some(field) => unexpected(field, "end of line"),
         }
     }
 }
 
 fn parse_integer<T: FromStr>(field: &str, expected: &str) -> Parsed<T> {
-    field.parse().or_else(|_| bad(field, expected))
+    field.parse().or_else(|_| unexpected(field, expected))
 }
--- a/src/bin/beamgap-simulator-host/message.rs
+++ b/src/bin/beamgap-simulator-host/message.rs
@@ -22,7 +22,7 @@
 
 use crate::fields::{Fields, ABSENT};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use beamgap::settings::{bad, micros, settings, Parsed};
+use beamgap::settings::{micros, read_settings, unexpected, Parsed};
 use beamgap::{
     AttemptEnd, ClassId, EngineEntry, EngineState, Event, ListKind, Micros, Progress, Request, Settings,
     TimerId, TrueCost,
@@ -117,7 +117,7 @@
         "timeout_fired" => read_timer(&mut fields)?,
         "sampled" => read_probe_end(&mut fields)?,
         "peer_data" => read_peer_message(&mut fields)?,
-        other => return bad(other, "the name of a message"),
+        other => return unexpected(other, "the name of a message"),
     };
     fields.end()?;
     Ok(message)
@@ -133,10 +133,12 @@
     let seed = fields.integer("a salt")?;
     let mut pairs = HashMap::new();
     while let Some(field) = fields.next_field() {
-        let Some((path, value)) = field.split_once('=') else { return bad(field, "a path=value pair") };
+        let Some((path, value)) = field.split_once('=') else {
+            return unexpected(field, "a path=value pair");
+        };
         pairs.insert(path.to_owned(), value.to_owned());
     }
-    let settings = Box::new(settings(&pairs)?);
+    let settings = Box::new(read_settings(&pairs)?);
     Ok(Message::Start(StartMessage { instance, seed, settings }))
 }
 
@@ -164,7 +166,7 @@
         "SERVING" => Ok(EngineState::Serving),
         "DRAINING" => Ok(EngineState::Draining),
         "DELETED" => Ok(EngineState::Removed),
-        other => bad(other, EXPECTED),
+        other => unexpected(other, EXPECTED),
     }
 }
 
@@ -183,7 +185,7 @@
         "full" => Ok(Some(ListKind::Full)),
         "cached" => Ok(Some(ListKind::Cached)),
         "failed" => Ok(None),
-        other => bad(other, EXPECTED),
+        other => unexpected(other, EXPECTED),
     }
 }
 
@@ -241,7 +243,7 @@
         2 => Ok(Progress::Spilling(value)),
         3 if value < WAITS_FOR_HOLDER_FROM => Ok(Progress::WaitsForMemory),
         3 => Ok(Progress::WaitsForHolder),
-        other => bad(&other.to_string(), EXPECTED_TOPIC),
+        other => unexpected(&other.to_string(), EXPECTED_TOPIC),
     }
 }
 
@@ -294,7 +296,7 @@
     let from = fields.integer("a sender")?;
     let data = match fields.text("base64")? {
         ABSENT => Vec::new(),
-        text => BASE64_STANDARD.decode(text).or_else(|_| bad(text, "base64 with padding"))?,
+        text => BASE64_STANDARD.decode(text).or_else(|_| unexpected(text, "base64 with padding"))?,
     };
     Ok(Message::Event { instance, event: Event::Peer { from, data } })
 }
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -13,7 +13,7 @@
 use super::operator;
 use super::section::{address, text_of, wrong, ReadResult};
 use crate::fleet::settings as fleet_settings;
-use crate::settings::read as read_settings;
+use crate::settings::read_settings_with_notes;
 use crate::{KindSettings, Micros, Settings};
 use beamgap_config::schema::Block;
 use beamgap_config::Document;
@@ -226,7 +226,7 @@
     let Some(nested) = root.get("settings") else { return wrong("settings", "is missing") };
     let pairs = Pairs::flatten(nested);
     let (mut module, notes) =
-        read_settings(&pairs.0).or_else(|e| wrong("settings", format!("are wrong: {e}")))?;
+        read_settings_with_notes(&pairs.0).or_else(|e| wrong("settings", format!("are wrong: {e}")))?;
     // A rejection always carries a Retry-After, whether or not the simulator's clients are given one.
     let longest = pairs.number("Limits.MaxRetryAfter", 0.0)?;
     let longest = if longest > 0.0 { super::clock::to_micros(longest) } else { DEFAULT_MAX_RETRY_AFTER };
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,12 @@
-//! Settings by the names that the platform gives them: one reading for the simulator's wire and the node's
-//! configuration. Keys that are not known are passed over; absent ones bind nothing.
+//! Reads the decision module's settings by the platform's names, for the simulator's wire and for the node's
+//! configuration. Unknown paths are ignored; an absent limit is no limit.
 
 pub mod notes;
 
-use crate::*;
+use crate::{
+    ClassSettings, Discovery, KindSettings, LoadReport, Micros, Repeat, RepeatGroup, Reports, RetryBudget,
+    Settings, SlowStart, TenantSettings, WhenShort,
+};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use thiserror::Error;
@@ -21,11 +24,11 @@
     pub expected: String,
 }
 
-/// What was read, or why not.
+/// A value that was read, or why it could not be.
 pub type Parsed<T> = Result<T, ParseError>;
 
 /// The error for `found` where `expected` should have stood.
-pub fn bad<T>(found: &str, expected: &str) -> Parsed<T> {
+pub fn unexpected<T>(found: &str, expected: &str) -> Parsed<T> {
     Err(ParseError { found: excerpt(found), expected: expected.to_owned() })
 }
 
@@ -38,18 +41,19 @@
 pub fn number(part: &str, what: &str) -> Parsed<f64> {
     match part.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
-        _ => bad(part, what),
+        _ => unexpected(part, what),
     }
 }
 
-/// Milliseconds to the module's time.
+/// Converts milliseconds to the decision module's time; negative ones become zero.
 pub fn micros(ms: f64) -> Micros {
     Micros((ms * 1000.0).round().max(0.0) as u64)
 }
 
-/// Settings by their paths.
+/// Values by their paths.
 struct Pairs<'a> {
     given: &'a HashMap<String, String>,
+    /// The paths that were looked up.
     asked: RefCell<BTreeSet<String>>,
 }
 
@@ -58,86 +62,107 @@
         self.asked.borrow_mut().insert(path.to_owned());
         self.given.get(path)
     }
+
     fn text(&self, path: &str) -> Option<&str> {
-        self.get(path).map(String::as_str).filter(|v| !v.is_empty() && *v != "-")
+        self.get(path).map(String::as_str).filter(|value| !value.is_empty() && *value != "-")
     }
+
     fn number(&self, path: &str) -> Parsed<Option<f64>> {
-        self.text(path).map(|v| number(v, &format!("a number for {path}"))).transpose()
+        self.text(path).map(|value| number(value, &format!("a number for {path}"))).transpose()
     }
+
     fn time(&self, path: &str) -> Parsed<Option<Micros>> {
         Ok(self.number(path)?.map(micros))
     }
+
     fn flag(&self, path: &str) -> Parsed<Option<bool>> {
         match self.text(path) {
             None => Ok(None),
             Some("true" | "1") => Ok(Some(true)),
             Some("false" | "0") => Ok(Some(false)),
-            Some(other) => bad(other, &format!("true or false for {path}")),
+            Some(other) => unexpected(other, &format!("true or false for {path}")),
         }
     }
+
     fn list(&self, path: &str) -> Option<Vec<String>> {
         let value = self.get(path)?;
-        Some(value.split(',').filter(|v| !v.is_empty()).map(str::to_owned).collect())
+        Some(value.split(',').filter(|value| !value.is_empty()).map(str::to_owned).collect())
     }
+
     fn numbers(&self, path: &str, length: usize) -> Parsed<Option<Vec<f64>>> {
         let Some(list) = self.list(path) else { return Ok(None) };
         if list.len() != length {
-            return bad(&format!("{path} of length {}", list.len()), &format!("length {length}"));
+            return unexpected(&format!("{path} of length {}", list.len()), &format!("length {length}"));
         }
-        list.iter().map(|v| number(v, &format!("numbers for {path}"))).collect::<Parsed<Vec<f64>>>().map(Some)
+        list.iter()
+            .map(|value| number(value, &format!("numbers for {path}")))
+            .collect::<Parsed<Vec<f64>>>()
+            .map(Some)
     }
+
     fn flags(&self, path: &str, length: usize) -> Parsed<Option<Vec<bool>>> {
         let Some(list) = self.list(path) else { return Ok(None) };
         if list.len() != length {
-            return bad(&format!("{path} of length {}", list.len()), &format!("length {length}"));
+            return unexpected(&format!("{path} of length {}", list.len()), &format!("length {length}"));
         }
-        Ok(Some(list.iter().map(|v| v == "true" || v == "1").collect()))
+        Ok(Some(list.iter().map(|value| value == "true" || value == "1").collect()))
     }
+
     fn count(&self, path: &str) -> Parsed<usize> {
         let path = format!("{path}.count");
         match self.text(&path) {
             None => Ok(0),
-            Some(v) => v.parse().or_else(|_| bad(v, &format!("a count for {path}"))),
+            Some(value) => value.parse().or_else(|_| unexpected(value, &format!("a count for {path}"))),
         }
     }
+
     fn one_of<T: Copy>(&self, path: &str, choices: &[(&str, T)], absent: T) -> Parsed<T> {
         let Some(text) = self.text(path) else { return Ok(absent) };
         let found = choices.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
-        found.map_or_else(|| bad(text, &format!("a known word for {path}")), Ok)
+        found.map_or_else(|| unexpected(text, &format!("a known word for {path}")), Ok)
     }
 }
 
-/// Reads the settings of a start line; keys that are not known are passed over, absent ones bind nothing.
-pub fn settings(pairs: &HashMap<String, String>) -> Parsed<Settings> {
-    read(pairs).map(|(settings, _)| settings)
+/// Reads settings by their paths; unknown paths are ignored, and an absent limit is no limit.
+///
+/// # Errors
+///
+/// A value is not of the expected form, or the settings contradict each other.
+pub fn read_settings(given: &HashMap<String, String>) -> Parsed<Settings> {
+    let (settings, _) = read_settings_with_notes(given)?;
+    Ok(settings)
 }
 
-/// Likewise, with lines that tell how far they fit: what has no use here, and what is assumed.
-pub fn read(given: &HashMap<String, String>) -> Parsed<(Settings, Vec<String>)> {
-    let p = Pairs { given, asked: RefCell::default() };
-    let mut s = Settings::plain(read_classes(&p)?);
-    s.kinds = read_kinds(&p)?;
-    s.tenants = read_tenants(&p)?;
-    read_deployment(&p, &mut s)?;
-    read_limits(&p, &mut s)?;
-    s.retry_budget = read_retry_budget(&p)?;
-    s.slow_start = read_slow_start(&p)?;
-    s.drain_grace = p.time("Contract.DrainGrace")?.unwrap_or_default();
-    s.key_rest = p.time("Contract.TurnGap")?.unwrap_or_default();
-    read_engine_rules(&p, &mut s)?;
-    s.check().or_else(|e| bad(&e.to_string(), "settings that make sense"))?;
-    let fit = notes::fit(given, &p.asked.borrow());
-    Ok((s, fit))
+/// Like [`read_settings`], with lines for the log: which paths were ignored, and which defaults are assumed.
+///
+/// # Errors
+///
+/// Those of [`read_settings`].
+pub fn read_settings_with_notes(given: &HashMap<String, String>) -> Parsed<(Settings, Vec<String>)> {
+    let pairs = Pairs { given, asked: RefCell::default() };
+    let mut settings = Settings::plain(read_classes(&pairs)?);
+    settings.kinds = read_kinds(&pairs)?;
+    settings.tenants = read_tenants(&pairs)?;
+    read_deployment(&pairs, &mut settings)?;
+    read_limits(&pairs, &mut settings)?;
+    settings.retry_budget = read_retry_budget(&pairs)?;
+    settings.slow_start = read_slow_start(&pairs)?;
+    settings.drain_grace = pairs.time("Contract.DrainGrace")?.unwrap_or_default();
+    settings.key_rest = pairs.time("Contract.TurnGap")?.unwrap_or_default();
+    read_engine_rules(&pairs, &mut settings)?;
+    settings.check().or_else(|error| unexpected(&error.to_string(), "settings that make sense"))?;
+    let notes = notes::notes(given, &pairs.asked.borrow());
+    Ok((settings, notes))
 }
 
-fn read_classes(p: &Pairs) -> Parsed<Vec<ClassSettings>> {
-    let count = p.count("Classes")?;
-    let threads = p.numbers("Domain.ThreadsByClass", count)?;
-    let holds_tables = p.flags("Domain.ClassLoad", count)?;
-    let waits_for_holder = p.flags("Domain.ClassWaits", count)?;
+fn read_classes(pairs: &Pairs) -> Parsed<Vec<ClassSettings>> {
+    let count = pairs.count("Classes")?;
+    let threads = pairs.numbers("Domain.ThreadsByClass", count)?;
+    let holds_tables = pairs.flags("Domain.ClassLoad", count)?;
+    let waits_for_holder = pairs.flags("Domain.ClassWaits", count)?;
     let mut classes = Vec::new();
     for place in 0..count {
-        let mut class = read_class(p, place)?;
+        let mut class = read_class(pairs, place)?;
         class.threads = threads.as_ref().map_or(1.0, |threads| threads[place]);
         class.holds_tables = holds_tables.as_ref().is_some_and(|holds| holds[place]);
         class.waits_for_holder = waits_for_holder.as_ref().is_some_and(|waits| waits[place]);
@@ -146,104 +171,107 @@
     Ok(classes)
 }
 
-fn read_class(p: &Pairs, place: usize) -> Parsed<ClassSettings> {
+fn read_class(pairs: &Pairs, place: usize) -> Parsed<ClassSettings> {
     let at = |key: &str| format!("Classes.{place}.{key}");
-    let Some(deadline) = p.time(&at("HardLimit"))? else { return bad("no value", &at("HardLimit")) };
-    let window = p.time(&at("Window"))?.unwrap_or_default();
+    let Some(deadline) = pairs.time(&at("HardLimit"))? else {
+        return unexpected("no value", &at("HardLimit"));
+    };
+    let window = pairs.time(&at("Window"))?.unwrap_or_default();
     let groups = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)];
-    let group = p.one_of(&at("KeyScope"), &groups, RepeatGroup::All)?;
-    let name = p.text(&at("Name")).unwrap_or("").to_owned();
-    let latency_objective = p.time(&at("OnTime"))?.unwrap_or(deadline);
+    let group = pairs.one_of(&at("KeyScope"), &groups, RepeatGroup::All)?;
+    let name = pairs.text(&at("Name")).unwrap_or("").to_owned();
+    let latency_objective = pairs.time(&at("OnTime"))?.unwrap_or(deadline);
     let mut class = ClassSettings::plain(&name, latency_objective, deadline);
-    class.objective_stretch = p.number(&at("AimStretch"))?.unwrap_or(0.0);
-    class.priority_weight = p.number(&at("Value"))?.unwrap_or(1.0);
-    class.late_weight = p.number(&at("LateWorth"))?.unwrap_or(0.0);
+    class.objective_stretch = pairs.number(&at("AimStretch"))?.unwrap_or(0.0);
+    class.priority_weight = pairs.number(&at("Value"))?.unwrap_or(1.0);
+    class.late_weight = pairs.number(&at("LateWorth"))?.unwrap_or(0.0);
     let repeats =
         [("pure", Repeat::Safe), ("token", Repeat::Keyed { group, window }), ("side_effect", Repeat::Unsafe)];
-    class.repeat = p.one_of(&at("Repeat"), &repeats, Repeat::Unsafe)?;
-    class.in_order = p.flag(&at("ByArrival"))?.unwrap_or(false);
-    class.kinds = p.list(&at("MachineTypesOpen"));
-    class.zones = p.list(&at("AzsAllowed"));
+    class.repeat = pairs.one_of(&at("Repeat"), &repeats, Repeat::Unsafe)?;
+    class.in_order = pairs.flag(&at("ByArrival"))?.unwrap_or(false);
+    class.kinds = pairs.list(&at("MachineTypesOpen"));
+    class.zones = pairs.list(&at("AzsAllowed"));
     Ok(class)
 }
 
-fn read_kinds(p: &Pairs) -> Parsed<Vec<KindSettings>> {
-    let names = p.list("MachineTypes").unwrap_or_default();
-    let cores = p.numbers("Domain.CoresByKind", names.len())?;
-    let memory_mb = p.numbers("Domain.RamOfKindMb", names.len())?;
-    let kind = |(place, name)| KindSettings {
-        name,
-        cores: cores.as_ref().map(|cores| cores[place]),
-        memory_mb: memory_mb.as_ref().map(|memory_mb| memory_mb[place]),
-    };
-    Ok(names.into_iter().enumerate().map(kind).collect())
+fn read_kinds(pairs: &Pairs) -> Parsed<Vec<KindSettings>> {
+    let names = pairs.list("MachineTypes").unwrap_or_default();
+    let cores = pairs.numbers("Domain.CoresByKind", names.len())?;
+    let memory_mb = pairs.numbers("Domain.RamOfKindMb", names.len())?;
+    let mut kinds = Vec::new();
+    for (place, name) in names.into_iter().enumerate() {
+        let cores = cores.as_ref().map(|cores| cores[place]);
+        let memory_mb = memory_mb.as_ref().map(|memory_mb| memory_mb[place]);
+        kinds.push(KindSettings { name, cores, memory_mb });
+    }
+    Ok(kinds)
 }
 
-fn read_tenants(p: &Pairs) -> Parsed<Vec<TenantSettings>> {
+fn read_tenants(pairs: &Pairs) -> Parsed<Vec<TenantSettings>> {
     let mut tenants = Vec::new();
-    for place in 0..p.count("Parties")? {
-        let name = p.text(&format!("Parties.{place}.Name")).unwrap_or("").to_owned();
-        let quota_per_s = p.number(&format!("Parties.{place}.QuotaPerS"))?;
+    for place in 0..pairs.count("Parties")? {
+        let name = pairs.text(&format!("Parties.{place}.Name")).unwrap_or("").to_owned();
+        let quota_per_s = pairs.number(&format!("Parties.{place}.QuotaPerS"))?;
         tenants.push(TenantSettings { name, quota_per_s });
     }
     Ok(tenants)
 }
 
 /// The gateways, and how load reports and the engine list reach them.
-fn read_deployment(p: &Pairs, s: &mut Settings) -> Parsed<()> {
-    s.gateways = p.number("Balancers")?.unwrap_or(1.0) as u32;
-    s.own_number = p.number("Me")?.unwrap_or(0.0) as u32;
-    s.zone = p.text("Zone").map(str::to_owned);
-    s.over_quota_weight = p.number("OverShareWorth")?.unwrap_or(1.0);
+fn read_deployment(pairs: &Pairs, settings: &mut Settings) -> Parsed<()> {
+    settings.gateways = pairs.number("Balancers")?.unwrap_or(1.0) as u32;
+    settings.own_number = pairs.number("Me")?.unwrap_or(0.0) as u32;
+    settings.zone = pairs.text("Zone").map(str::to_owned);
+    settings.over_quota_weight = pairs.number("OverShareWorth")?.unwrap_or(1.0);
     let reports = [("inline", Reports::InAnswers), ("on_probe", Reports::InProbes), ("off", Reports::Absent)];
-    s.reports = p.one_of("Report.How", &reports, Reports::Absent)?;
-    let ask_within = p.time("Contract.AskWithin")?.unwrap_or(Micros(u64::MAX));
+    settings.reports = pairs.one_of("Report.How", &reports, Reports::Absent)?;
+    let ask_within = pairs.time("Contract.AskWithin")?.unwrap_or(Micros(u64::MAX));
     let discovery = [("automatic", Discovery::Pushed), ("subscribe", Discovery::Subscribed { ask_within })];
-    s.discovery = p.one_of("MembershipMode", &discovery, Discovery::Pushed)?;
+    settings.discovery = pairs.one_of("MembershipMode", &discovery, Discovery::Pushed)?;
     Ok(())
 }
 
-fn read_limits(p: &Pairs, s: &mut Settings) -> Parsed<()> {
-    s.max_attempts = p.number("Limits.SendCap")?.map(|cap| cap as u32);
-    s.hedging = p.flag("Limits.SecondCopies")?.unwrap_or(false);
-    s.cancel = p.flag("Limits.Cancel")?.unwrap_or(false);
-    s.peers = p.flag("Limits.PeerMessages")?.unwrap_or(false);
-    if p.flag("Limits.RetryAfter")?.unwrap_or(false) {
-        s.retry_after = p.time("Limits.MaxRetryAfter")?;
+fn read_limits(pairs: &Pairs, settings: &mut Settings) -> Parsed<()> {
+    settings.max_attempts = pairs.number("Limits.SendCap")?.map(|cap| cap as u32);
+    settings.hedging = pairs.flag("Limits.SecondCopies")?.unwrap_or(false);
+    settings.cancel = pairs.flag("Limits.Cancel")?.unwrap_or(false);
+    settings.peers = pairs.flag("Limits.PeerMessages")?.unwrap_or(false);
+    if pairs.flag("Limits.RetryAfter")?.unwrap_or(false) {
+        settings.retry_after = pairs.time("Limits.MaxRetryAfter")?;
     }
     Ok(())
 }
 
-fn read_retry_budget(p: &Pairs) -> Parsed<Option<RetryBudget>> {
-    let per_request = p.number("Contract.ExtraRatio")?;
-    let free = p.number("Contract.MinExtra")?;
+fn read_retry_budget(pairs: &Pairs) -> Parsed<Option<RetryBudget>> {
+    let per_request = pairs.number("Contract.ExtraRatio")?;
+    let free = pairs.number("Contract.MinExtra")?;
     if per_request.is_none() && free.is_none() {
         return Ok(None);
     }
-    let span = p.time("Contract.RatioSpan")?.unwrap_or(Micros(u64::MAX));
+    let span = pairs.time("Contract.RatioSpan")?.unwrap_or(Micros(u64::MAX));
     let budget = RetryBudget { free: free.unwrap_or(0.0), per_request: per_request.unwrap_or(0.0), span };
     Ok(Some(budget))
 }
 
-fn read_slow_start(p: &Pairs) -> Parsed<Option<SlowStart>> {
-    let fall_multiple = p.number("Contract.FallMultiple")?;
-    let fall_span = p.time("Contract.Fall")?;
+fn read_slow_start(pairs: &Pairs) -> Parsed<Option<SlowStart>> {
+    let fall_multiple = pairs.number("Contract.FallMultiple")?;
+    let fall_span = pairs.time("Contract.Fall")?;
     let (Some(fall_multiple), Some(fall_span)) = (fall_multiple, fall_span) else { return Ok(None) };
-    let start_share = p.number("Contract.StartCapacity")?.unwrap_or(0.0);
-    let warm_within = p.time("Contract.WarmWithin")?.unwrap_or_default();
+    let start_share = pairs.number("Contract.StartCapacity")?.unwrap_or(0.0);
+    let warm_within = pairs.time("Contract.WarmWithin")?.unwrap_or_default();
     Ok(Some(SlowStart { start_share, warm_within, fall_multiple, fall_span }))
 }
 
 /// How engines grant memory and heed priorities, and what they report.
-fn read_engine_rules(p: &Pairs, s: &mut Settings) -> Parsed<()> {
-    s.grants = p.flag("Domain.Grants")?.unwrap_or(false);
-    s.priorities = p.flag("Domain.Priorities")?.unwrap_or(false);
+fn read_engine_rules(pairs: &Pairs, settings: &mut Settings) -> Parsed<()> {
+    settings.grants = pairs.flag("Domain.Grants")?.unwrap_or(false);
+    settings.priorities = pairs.flag("Domain.Priorities")?.unwrap_or(false);
     let when_short =
         [("line_up", WhenShort::Waits), ("cut", WhenShort::GetsLess), ("overcommit", WhenShort::LetIn)];
-    s.when_short = p.one_of("Domain.OutOfMemory", &when_short, WhenShort::Waits)?;
-    s.largest_grant = p.number("Domain.LargestShare")?.unwrap_or(1.0);
-    s.progress_interval = p.time("Domain.TellsEvery")?.filter(|every| every.0 > 0);
-    s.reports_cost = p.flag("Domain.TellsCost")?.unwrap_or(false);
+    settings.when_short = pairs.one_of("Domain.OutOfMemory", &when_short, WhenShort::Waits)?;
+    settings.largest_grant = pairs.number("Domain.LargestShare")?.unwrap_or(1.0);
+    settings.progress_interval = pairs.time("Domain.TellsEvery")?.filter(|every| every.0 > 0);
+    settings.reports_cost = pairs.flag("Domain.TellsCost")?.unwrap_or(false);
     Ok(())
 }
 
--- a/src/settings/notes.rs
+++ b/src/settings/notes.rs
@@ -1,9 +1,9 @@
-//! How far given settings fit this program: what it has no use for, and what it assumes where a figure is absent.
+//! Notes for the log on settings that were read: the paths that were ignored, and the defaults that are assumed.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// What the node itself reads beside the module's settings.
-const NODE: [&str; 6] = [
+/// Paths that the node reads itself, beside the decision module's settings.
+const READ_BY_NODE: [&str; 6] = [
     "Limits.DialTimeout",
     "Limits.ConnIdle",
     "Limits.StreamsPerConn",
@@ -12,11 +12,11 @@
     "Azs",
 ];
 
-/// What is told to people, or follows from what is read.
-const PASSED_OVER: [&str; 3] = ["Domain.Notes", "Domain.ReportX0", "Domain.ReportX1"];
+/// Paths that need no note when they are ignored: they are for people, or follow from others.
+const IGNORED_SILENTLY: [&str; 3] = ["Domain.Notes", "Domain.ReportX0", "Domain.ReportX1"];
 
-/// A figure by its path, and what holds where it is absent.
-const ASSUMED: [(&str, &str); 22] = [
+/// Paths, and what is assumed where one is absent; `*` stands for the number of a class.
+const DEFAULTS: [(&str, &str); 22] = [
     ("Azs", "no zones"),
     ("Balancers", "one front end"),
     ("Classes.*.AimStretch", "an aim that does not grow with the work"),
@@ -41,33 +41,76 @@
     ("Report.How", "no load reports"),
 ];
 
-const TOLD_MOST: usize = 2000; // bytes of a line: settings of any size make no longer one
+/// Noted where load reports come with probes only.
+const REPORTS_ON_PROBE: &str =
+    "Report.How: loads are told only when asked for, so own work, answers and notes tell them";
 
-/// The lines for the log. `asked` are the paths that were looked up when `given` was read.
-pub fn fit(given: &HashMap<String, String>, asked: &BTreeSet<String>) -> Vec<String> {
-    let known = |path: &str| asked.contains(path) || NODE.contains(&path) || PASSED_OVER.contains(&path);
-    let unused: BTreeSet<&str> = given.keys().map(String::as_str).filter(|path| !known(path)).collect();
-    let classes = given.get("Classes.count").and_then(|n| n.parse::<usize>().ok()).unwrap_or(0).min(64);
-    let says = |path: &str| given.get(path).is_some_and(|text| !text.is_empty() && text != "-");
+/// Characters of a note's list at most, so that settings of any size make no longer line.
+const MAX_LIST_CHARS: usize = 2000;
+
+/// Classes whose defaults are noted at most.
+const MAX_CLASSES: usize = 64;
+
+/// The notes on `given`. `asked` are the paths that were looked up when it was read.
+pub fn notes(given: &HashMap<String, String>, asked: &BTreeSet<String>) -> Vec<String> {
+    let mut notes = Vec::new();
+    let ignored = ignored_paths(given, asked);
+    if !ignored.is_empty() {
+        notes.push(note("settings without use here", &ignored.join(" ")));
+    }
+    let assumed = assumed_defaults(given);
+    if !assumed.is_empty() {
+        notes.push(note("settings assumed", &assumed.join("; ")));
+    }
+    notes
+}
+
+/// The given paths that nothing reads, in order.
+fn ignored_paths<'a>(given: &'a HashMap<String, String>, asked: &BTreeSet<String>) -> Vec<&'a str> {
+    let is_known =
+        |path: &str| asked.contains(path) || READ_BY_NODE.contains(&path) || IGNORED_SILENTLY.contains(&path);
+    let mut ignored: Vec<&str> = given.keys().map(String::as_str).filter(|path| !is_known(path)).collect();
+    ignored.sort_unstable();
+    ignored
+}
+
+/// What is assumed for the paths that have no value.
+fn assumed_defaults(given: &HashMap<String, String>) -> Vec<String> {
+    let classes = class_count(given);
     let mut assumed = Vec::new();
-    for (path, what) in ASSUMED {
-        if path.contains('*') {
-            let at = |i: usize| path.replace('*', &i.to_string());
-            assumed.extend((0..classes).map(at).filter(|at| !says(at)).map(|at| format!("{at}: {what}")));
-        } else if !says(path) {
-            assumed.push(format!("{path}: {what}"));
+    for (pattern, default) in DEFAULTS {
+        for path in paths_of(pattern, classes) {
+            if !has_value(given, &path) {
+                assumed.push(format!("{path}: {default}"));
+            }
         }
     }
     if given.get("Report.How").is_some_and(|how| how == "on_probe") {
-        assumed.push(
-            "Report.How: loads are told only when asked for, so own work, answers and notes tell them".into(),
-        );
+        assumed.push(REPORTS_ON_PROBE.to_owned());
     }
-    let line = |head: &str, parts: Vec<String>, between: &str| {
-        let plain = |c: char| if c.is_control() { '?' } else { c };
-        let text: String = parts.join(between).chars().take(TOLD_MOST).map(plain).collect();
-        Some(format!("{head}: {text}")).filter(|_| !parts.is_empty())
-    };
-    let unused = line("settings without use here", unused.into_iter().map(str::to_owned).collect(), " ");
-    unused.into_iter().chain(line("settings assumed", assumed, "; ")).collect()
+    assumed
+}
+
+fn class_count(given: &HashMap<String, String>) -> usize {
+    let count = given.get("Classes.count").and_then(|count| count.parse::<usize>().ok());
+    count.unwrap_or(0).min(MAX_CLASSES)
+}
+
+/// The paths that a pattern stands for.
+fn paths_of(pattern: &str, classes: usize) -> Vec<String> {
+    if !pattern.contains('*') {
+        return vec![pattern.to_owned()];
+    }
+    (0..classes).map(|class| pattern.replace('*', &class.to_string())).collect()
+}
+
+fn has_value(given: &HashMap<String, String>, path: &str) -> bool {
+    given.get(path).is_some_and(|text| !text.is_empty() && text != "-")
+}
+
+/// One line: the list is cut to its greatest length, and control characters are replaced.
+fn note(head: &str, list: &str) -> String {
+    let printable = |c: char| if c.is_control() { '?' } else { c };
+    let list: String = list.chars().take(MAX_LIST_CHARS).map(printable).collect();
+    format!("{head}: {list}")
 }
