--- a/src/settings.rs
+++ b/src/settings.rs
@@ -38,10 +38,10 @@
 }
 
 /// Reads a finite number.
-pub fn number(part: &str, what: &str) -> Parsed<f64> {
-    match part.parse::<f64>() {
+pub fn number(text: &str, expected: &str) -> Parsed<f64> {
+    match text.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
-        _ => unexpected(part, what),
+        _ => unexpected(text, expected),
     }
 }
 
@@ -89,22 +89,23 @@
         Some(value.split(',').filter(|value| !value.is_empty()).map(str::to_owned).collect())
     }
 
-    fn numbers(&self, path: &str, length: usize) -> Parsed<Option<Vec<f64>>> {
+    fn list_of_length(&self, path: &str, length: usize) -> Parsed<Option<Vec<String>>> {
         let Some(list) = self.list(path) else { return Ok(None) };
         if list.len() != length {
             return unexpected(&format!("{path} of length {}", list.len()), &format!("length {length}"));
         }
-        list.iter()
-            .map(|value| number(value, &format!("numbers for {path}")))
-            .collect::<Parsed<Vec<f64>>>()
-            .map(Some)
+        Ok(Some(list))
+    }
+
+    fn numbers(&self, path: &str, length: usize) -> Parsed<Option<Vec<f64>>> {
+        let Some(list) = self.list_of_length(path, length)? else { return Ok(None) };
+        let expected = format!("numbers for {path}");
+        let numbers: Parsed<Vec<f64>> = list.iter().map(|value| number(value, &expected)).collect();
+        numbers.map(Some)
     }
 
     fn flags(&self, path: &str, length: usize) -> Parsed<Option<Vec<bool>>> {
-        let Some(list) = self.list(path) else { return Ok(None) };
-        if list.len() != length {
-            return unexpected(&format!("{path} of length {}", list.len()), &format!("length {length}"));
-        }
+        let Some(list) = self.list_of_length(path, length)? else { return Ok(None) };
         Ok(Some(list.iter().map(|value| value == "true" || value == "1").collect()))
     }
 
@@ -275,7 +276,8 @@
     Ok(())
 }
 
-/// Puts one figure of a load report into its place. The simulator's wire and the sockets have names of their own.
+/// Sets the field of a load report that has this name, on the simulator's wire or on the engines' sockets; a value
+/// of an unknown name is kept beside the fields.
 pub fn report_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "outstanding" | "inflight" => report.in_flight = Some(value),
