--- a/crates/protocol-models/src/lib.rs
+++ b/crates/protocol-models/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`attempts`] is the protocol of attempts between the node and its engines: send, cancel, confirm, send again, late
 //! answers, broken and cut connections, engines that die. It is a model beside the code, not the code: a change of
-//! `src/node/exchange` or `src/node/backend/warehouse` that touches these steps is to be made here too.
+//! `src/node/dispatcher` or `src/node/backend/line_protocol` that touches these steps is to be made here too.
 //!
 //! [`rollout`] is the replicated change of a policy, [`leases`] how one holder at most acts; there the program's own parts act.
 
--- a/src/node/backend/roster.rs
+++ b/src/node/backend/engine_registry.rs
@@ -1,7 +1,7 @@
 //! Which engines there are and where, with the connections to each: shared by all backends.
 
-use crate::node::bulletin::Listing;
-use crate::node::slots::Key;
+use crate::node::discovery::Listing;
+use crate::node::slab::Key;
 use crate::{EngineId, EngineState, ListKind};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
--- a/src/node/backend/warehouse/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -1,24 +1,24 @@
 //! Warehouses: their connections, the lines spoken on them, and what each end proves.
 
+mod connection_io;
+mod connection_limit;
 mod dial;
-mod line;
-mod links;
-mod talk;
+mod wire;
 
-use super::roster::Roster;
+use super::engine_registry::Roster;
 use super::Cx;
-use crate::node::bulletin::Listing;
-use crate::node::deadlines::{Deadlines, Handle, Wake};
-use crate::node::exchange::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
+use crate::node::discovery::Listing;
+use crate::node::dispatcher::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
 use crate::node::reactor::{Link, Owner, ReadEnd};
-use crate::node::slots::{Key, Slots};
+use crate::node::slab::{Key, Slots};
+use crate::node::timer_queue::{Deadlines, Handle, Wake};
 use crate::{settings, EngineId, ListKind, LoadReport, Micros, Outcome, Progress, TrueCost};
-use line::{line, page, Line, Lost};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tracing::trace;
+use wire::{line, page, Line, Lost};
 
 const LOOK_MS: f64 = 250.0; // between looks at a connection: twice as often as notes come
 const QUIET_MS: f64 = 700.0; // without a byte while attempts are out; then `there` asks whether it works
--- a/src/node/backend/mod.rs
+++ b/src/node/backend/mod.rs
@@ -1,12 +1,12 @@
 //! Engines as the node reaches them: the platform's warehouses, and boxes that speak MySQL.
 
+mod engine_registry;
+pub mod line_protocol;
 pub mod mysql;
-mod roster;
-pub mod warehouse;
 
-use super::deadlines::Deadlines;
-use super::exchange::Heard;
+use super::dispatcher::Heard;
 use super::front::closing::ClosingConnections;
+use super::timer_queue::Deadlines;
 use mio::Registry;
 
 /// What a backend or a front works with while it handles one thing.
--- a/src/node/backend/mysql/connection.rs
+++ b/src/node/backend/mysql/connection.rs
@@ -5,7 +5,7 @@
 impl Conn {
     pub(super) fn command(&mut self, command: Command, body: &[u8]) {
         let mut out = Vec::new();
-        packets::push(&mut out, 0, &[&[command as u8], body].concat());
+        mysql_packets::push(&mut out, 0, &[&[command as u8], body].concat());
         self.link.put(&out);
     }
 
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -1,18 +1,18 @@
 //! Boxes that speak MySQL: logging in, preparing a statement on whichever box runs its next execution, and what
 //! each end proves. A connection carries one attempt at a time.
 
-use super::roster::Roster;
+use super::engine_registry::Roster;
 use super::Cx;
 mod connection;
 mod wire;
 
-use crate::node::bulletin::Listing;
 use crate::node::config::MysqlSettings;
-use crate::node::deadlines::Wake;
-use crate::node::exchange::{Answer, AttemptRef, Bound, Ended, Heard, Payload, Start};
-use crate::node::packets::{self, Course, Step, PACKET_MOST};
+use crate::node::discovery::Listing;
+use crate::node::dispatcher::{Answer, AttemptRef, Bound, Ended, Heard, Payload, Start};
+use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
 use crate::node::reactor::{Link, Owner, ReadEnd};
-use crate::node::slots::{Key, Slots};
+use crate::node::slab::{Key, Slots};
+use crate::node::timer_queue::Wake;
 use crate::{EngineId, ListKind, Outcome};
 use mysql_common::constants::Command;
 use mysql_common::io::ParseBuf;
@@ -302,14 +302,14 @@
             let input = std::mem::take(&mut conn.link.input);
             let mut used = 0;
             let mut lost = false;
-            while let Ok(Some((number, body))) = packets::packet(&input[used..]) {
+            while let Ok(Some((number, body))) = mysql_packets::packet(&input[used..]) {
                 used += 4 + body.len();
                 if matches!(self.packet(key, number, body, cx), Next::Lose) {
                     lost = true;
                     break;
                 }
             }
-            lost |= packets::packet(&input[used..]).is_err();
+            lost |= mysql_packets::packet(&input[used..]).is_err();
             let Some(conn) = self.conns.get_mut(key) else { return };
             conn.link.input = input;
             conn.link.used(used);
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -37,7 +37,7 @@
             },
             Phase::Running(course) => {
                 let step = course.step(body);
-                packets::push(&mut conn.answer, 0, body);
+                mysql_packets::push(&mut conn.answer, 0, body);
                 let size = conn.answer.len();
                 match step {
                     Step::More if size <= RESULT_MOST => {
@@ -51,7 +51,7 @@
                     Step::More => {
                         cx.log.push(format!("result: dropped, bytes={size}"));
                         let text = "the result is larger than beamgap keeps; it has run";
-                        let body = packets::error(1105, "HY000", text);
+                        let body = mysql_packets::error(1105, "HY000", text);
                         // The rest of the result is still to come: the connection goes.
                         self.end(key, Outcome::NotSent, Some(Answer::Error(body)), cx);
                         Next::Lose
@@ -92,13 +92,13 @@
             Some(self.settings.box_user.as_bytes()),
             None::<Vec<u8>>,
             Some(name),
-            packets::capabilities(),
+            mysql_packets::capabilities(),
             None,
             PACKET_MOST as u32,
         );
         let (mut out, mut reply) = (Vec::new(), Vec::new());
         response.serialize(&mut reply);
-        packets::push(&mut out, number.wrapping_add(1), &reply);
+        mysql_packets::push(&mut out, number.wrapping_add(1), &reply);
         conn.link.put(&out);
         conn.phase = Phase::Login;
         Next::Go
@@ -120,7 +120,7 @@
                 conn.nonce = nonce.to_vec();
                 let mut out = Vec::new();
                 let scramble = scramble(&switch[..end], nonce, &self.settings.box_password);
-                packets::push(&mut out, number.wrapping_add(1), &scramble);
+                mysql_packets::push(&mut out, number.wrapping_add(1), &scramble);
                 conn.link.put(&out);
                 Next::Go
             }
@@ -138,7 +138,7 @@
     /// An error of the box: what it proves, and whether it is the client's to know.
     pub(super) fn error(&mut self, key: Key, body: &[u8], cx: &mut Cx) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
-        let code = packets::error_code(body).unwrap_or(0);
+        let code = mysql_packets::error_code(body).unwrap_or(0);
         let logged_in = !matches!(conn.phase, Phase::Greeting | Phase::Login);
         if !logged_in {
             cx.log.push(format!("login: engine={} error={code}", conn.engine.0));
--- a/src/node/config/known.rs
+++ b/src/node/config/initial_list.rs
@@ -1,6 +1,6 @@
 //! The bulletin's events of the start, in JSON.
 
-use crate::node::bulletin::{Listing, News};
+use crate::node::discovery::{Listing, News};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use crate::node::section::{address, wrong, ReadResult};
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -2,13 +2,13 @@
 //! its defaults by a module of its own. Every error names the faulty key.
 
 mod control;
-mod known;
+mod flat_settings;
+mod initial_list;
 pub mod mysql;
-mod pairs;
 mod schema;
 mod xds;
 
-use super::bulletin::News;
+use super::discovery::News;
 use super::json::{self, OwnedValue, ValueAsObject, ValueAsScalar, ValueObjectAccess};
 use super::operator;
 use super::section::{address, text_of, wrong, ReadResult};
@@ -19,10 +19,10 @@
 use beamgap_config::Document;
 use beamgap_xds::transport::Service;
 pub use control::ControlSettings;
-use known::read_known;
+use flat_settings::Pairs;
+use initial_list::read_known;
 use mysql::read_mysql;
 pub use mysql::{Account, MysqlSettings, OrderBy, Rule};
-use pairs::Pairs;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -4,9 +4,9 @@
 pub mod xds;
 
 use super::backend::Cx;
-use super::deadlines::Wake;
 use super::reactor::{Link, Owner, ReadEnd};
-use super::slots::{Key, Slots};
+use super::slab::{Key, Slots};
+use super::timer_queue::Wake;
 use crate::EngineStatus;
 use mio::net::TcpStream;
 use std::net::SocketAddr;
--- a/src/node/bulletin.rs
+++ b/src/node/discovery.rs
@@ -3,8 +3,8 @@
 //! whole fleet loses it at once.
 
 use super::clock::to_micros;
-use super::deadlines::{Deadlines, Handle, Wake};
 use super::reactor::{Link, Owner, ReadEnd};
+use super::timer_queue::{Deadlines, Handle, Wake};
 use crate::mix;
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
 use mio::Registry;
--- a/src/node/exchange/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -1,15 +1,15 @@
 //! The core: requests, attempts and outcomes, and no wire. It keeps the table of open requests, drives the
 //! decision module, and owns two promises: one final answer for each request, and one attempt out at most.
 
-mod module;
-pub mod orders;
+mod decisions;
+pub mod message;
 pub mod recent_names;
 pub mod request;
 mod shutdown;
 
 use super::clock::{from_micros, to_micros};
-use super::deadlines::{Deadlines, Handle, Wake};
-use super::slots::{Key, Slots};
+use super::slab::{Key, Slots};
+use super::timer_queue::{Deadlines, Handle, Wake};
 use crate::fleet::admission::Admitted;
 use crate::fleet::budgets::HeldUnits;
 use crate::{
@@ -17,7 +17,7 @@
     LoadReport, Micros, Outcome, Progress, Repeat, Request, RequestId, Settings, SettingsError,
     SlowStartShare, TimerId, TrueCost,
 };
-pub use orders::*;
+pub use message::*;
 use recent_names::RecentNames;
 pub use request::*;
 use std::collections::{HashMap, VecDeque};
--- a/src/node/front/closing.rs
+++ b/src/node/front/closing.rs
@@ -4,9 +4,9 @@
 //! until it closes too. Closing a socket over unread bytes would reset the connection, and the client would lose the
 //! answer that was written just before.
 
-use crate::node::deadlines::{Deadlines, Handle, Wake};
 use crate::node::reactor::{Link, Owner, ReadEnd};
-use crate::node::slots::{Key, Slots};
+use crate::node::slab::{Key, Slots};
+use crate::node::timer_queue::{Deadlines, Handle, Wake};
 use mio::Registry;
 
 /// How long a client has to read what is written and to close, in milliseconds.
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -158,7 +158,7 @@
             sent,
             budget,
             waited_at_client: 0.0,
-            tables: tables::group(&statement).unwrap_or(0),
+            tables: table_group::table_group(&statement).unwrap_or(0),
             work_ms,
             memory_mb,
             tenant,
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -5,13 +5,13 @@
 mod message;
 
 use crate::node::backend::Cx;
-use crate::node::deadlines::{Handle, Wake};
-use crate::node::exchange::{Answer, Ask, Asker, Front, Heard, Payload};
+use crate::node::dispatcher::{Answer, Ask, Asker, Front, Heard, Payload};
 use crate::node::front::withdraw;
 use crate::node::json::{self, *};
 use crate::node::reactor::{heaviest, Link, Owner, ReadEnd};
-use crate::node::slots::{Key, Slots};
-use crate::node::tables;
+use crate::node::slab::{Key, Slots};
+use crate::node::table_group;
+use crate::node::timer_queue::{Handle, Wake};
 use crate::{ClassId, Settings};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use framing::{framed, Framed};
--- a/src/node/front/mod.rs
+++ b/src/node/front/mod.rs
@@ -4,7 +4,7 @@
 pub mod jsonrpc;
 pub mod mysql;
 
-use super::exchange::{Asker, Heard};
+use super::dispatcher::{Asker, Heard};
 
 /// A client has given a request up. One that the core has not heard of yet is not begun at all.
 fn withdraw(asker: Asker, heard: &mut Vec<Heard>) {
--- a/src/node/front/mysql/login.rs
+++ b/src/node/front/mysql/login.rs
@@ -52,7 +52,7 @@
         match good {
             Some(account) => {
                 (session.tenant, session.phase) = (account.tenant.clone(), Phase::Ready);
-                session.reply(number, &packets::ok());
+                session.reply(number, &mysql_packets::ok());
                 true
             }
             None => {
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -8,13 +8,13 @@
 pub mod statement;
 use crate::node::backend::Cx;
 use crate::node::config::{MysqlSettings, OrderBy};
-use crate::node::deadlines::Wake;
-use crate::node::exchange::{Answer, Ask, Asker, Bound, Front, Heard, Payload};
+use crate::node::dispatcher::{Answer, Ask, Asker, Bound, Front, Heard, Payload};
 use crate::node::front::withdraw;
-use crate::node::packets::{self, error, PACKET_MOST};
+use crate::node::mysql_packets::{self, error, PACKET_MOST};
 use crate::node::reactor::{heaviest, Link, Owner, ReadEnd};
-use crate::node::slots::{Key, Slots};
-use crate::node::tables;
+use crate::node::slab::{Key, Slots};
+use crate::node::table_group;
+use crate::node::timer_queue::Wake;
 use crate::Repeat;
 use crate::Settings;
 use mio::net::TcpStream;
@@ -108,7 +108,7 @@
     }
     fn reply(&mut self, after: u8, body: &[u8]) {
         let mut out = Vec::new();
-        packets::push(&mut out, after.wrapping_add(1), body);
+        mysql_packets::push(&mut out, after.wrapping_add(1), body);
         self.link.put(&out);
     }
     fn wrong(&mut self, after: u8, (code, state, message): (u16, &str, &str)) {
@@ -156,14 +156,14 @@
             self.connections,
             first,
             Some([rest, &[0]].concat()),
-            packets::capabilities(),
+            mysql_packets::capabilities(),
             COLLATION,
             StatusFlags::SERVER_STATUS_AUTOCOMMIT,
             Some(PLUGIN),
         );
         let (mut body, mut out) = (Vec::new(), Vec::new());
         greeting.serialize(&mut body);
-        packets::push(&mut out, 0, &body);
+        mysql_packets::push(&mut out, 0, &body);
         link.put(&out);
         let key = self.sessions.insert(Session {
             link,
@@ -210,7 +210,7 @@
                     more = false; // The answer, or a client that takes it, brings us back here.
                     break;
                 }
-                match packets::packet(&session.link.input) {
+                match mysql_packets::packet(&session.link.input) {
                     Ok(None) => break,
                     Ok(Some((number, body))) => {
                         let body = body.to_vec();
@@ -267,7 +267,7 @@
         session.phase = Phase::Ready;
         match answer {
             Answer::Served(mut body) => {
-                packets::renumber(&mut body, number.wrapping_add(1));
+                mysql_packets::renumber(&mut body, number.wrapping_add(1));
                 session.link.put(&body);
             }
             Answer::Error(body) => session.reply(number, &body),
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -12,12 +12,12 @@
         let handle = rest.first_chunk::<4>().map(|id| u32::from_le_bytes(*id));
         match *command {
             QUIT => return false,
-            PING => session.reply(number, &packets::ok()),
+            PING => session.reply(number, &mysql_packets::ok()),
             INIT_DB => session.choose_schema(number, rest),
             RESET_CONNECTION => {
                 session.statements.clear();
                 session.schema = None;
-                session.reply(number, &packets::ok());
+                session.reply(number, &mysql_packets::ok());
             }
             QUERY => self.query(key, number, rest, cx),
             STMT_PREPARE => session.prepare(number, rest),
@@ -29,7 +29,7 @@
             STMT_RESET => match handle.and_then(|id| session.statements.get_mut(&id)) {
                 Some(statement) => {
                     statement.long.clear();
-                    session.reply(number, &packets::ok());
+                    session.reply(number, &mysql_packets::ok());
                 }
                 None => session.wrong(number, UNKNOWN_STATEMENT),
             },
@@ -99,7 +99,7 @@
         session.requests += 1;
         session.phase = Phase::Busy(number);
         let id = session.requests;
-        let tables = tables::group(&text).unwrap_or(0);
+        let tables = table_group::table_group(&text).unwrap_or(0);
         cx.heard.push(Heard::Asked(Ask {
             asker: Asker { front: Front::Mysql, conn: key, id },
             name: Arc::from(format!("m{}-{}-{id}", key.slot, key.generation)),
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -12,7 +12,7 @@
         match std::str::from_utf8(name) {
             Ok(name) if !name.is_empty() => {
                 self.schema = Some(name.to_owned());
-                self.reply(number, &packets::ok());
+                self.reply(number, &mysql_packets::ok());
             }
             _ => self.wrong(number, (1049, "42000", "Unknown database")),
         }
@@ -41,14 +41,14 @@
         body.extend((parameters as u16).to_le_bytes());
         body.extend([0, 0, 0]);
         let (mut out, mut number) = (Vec::new(), number.wrapping_add(1));
-        packets::push(&mut out, number, &body);
+        mysql_packets::push(&mut out, number, &body);
         if parameters > 0 {
             let parameter = parameter_definition();
             for _ in 0..parameters {
                 number = number.wrapping_add(1);
-                packets::push(&mut out, number, &parameter);
+                mysql_packets::push(&mut out, number, &parameter);
             }
-            packets::push(&mut out, number.wrapping_add(1), &packets::eof());
+            mysql_packets::push(&mut out, number.wrapping_add(1), &mysql_packets::eof());
         }
         self.link.put(&out);
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,39 +1,38 @@
 //! The real front end: the decision module on real sockets, in one thread.
 //!
-//! A request's stages: a front reads it ([`front`]), the core ([`exchange`]) asks the decision module and keeps the
-//! promises, a backend ([`backend`]) carries the attempt. [`bulletin`] tells of engines, [`deadlines`] of time.
+//! A request's stages: a front reads it ([`front`]), the core ([`dispatcher`]) asks the decision module and keeps the
+//! promises, a backend ([`backend`]) carries the attempt. [`discovery`] tells of engines, [`timer_queue`] of time.
 
+mod event_loop;
 mod start;
-mod turns;
 
 pub mod backend;
-pub mod bulletin;
 pub mod clock;
 pub mod config;
 pub mod control;
-pub mod deadlines;
-pub mod exchange;
+pub mod discovery;
+pub mod dispatcher;
 pub mod front;
 pub mod json;
+pub mod mysql_packets;
 pub mod operator;
-pub mod packets;
 pub mod reactor;
 pub mod section;
 pub mod shutdown;
-pub mod slots;
-pub mod tables;
+pub mod slab;
+pub mod table_group;
+pub mod timer_queue;
 use crate::fleet::admission::{AdmissionControl, AdmissionRequest};
 use crate::Repeat;
+use backend::line_protocol::Warehouses;
 use backend::mysql::MysqlBoxes;
-use backend::warehouse::Warehouses;
 use backend::Cx;
-use bulletin::{Bulletin, News};
 use clock::Clock;
 use config::{Config, ConfigError};
 use control::xds::Feed;
 use control::{Control, Kind, View};
-use deadlines::{Deadlines, Handle, Wake};
-use exchange::{AttemptRef, Exchange, Front, Heard, Order};
+use discovery::{Bulletin, News};
+use dispatcher::{AttemptRef, Exchange, Front, Heard, Order};
 use front::closing::ClosingConnections;
 use front::jsonrpc::JsonRpc;
 use front::mysql::MysqlFront;
@@ -47,6 +46,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+use timer_queue::{Deadlines, Handle, Wake};
 
 const ACCEPT_PAUSE_MS: f64 = 5.0; // before accepting again where descriptors are short
 const TRANSIT_MS: f64 = 1.0; // a message's way from its client: within a room, and no more than the grace
--- a/src/node/reactor.rs
+++ b/src/node/reactor.rs
@@ -1,6 +1,6 @@
 //! Sockets under mio's poll: links with bounded buffers, and the tokens that name their owners.
 
-use super::slots::Key;
+use super::slab::Key;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::io::{self, ErrorKind, Read, Write};
--- a/src/node/tables.rs
+++ b/src/node/table_group.rs
@@ -77,7 +77,7 @@
 
 /// The group of tables of a statement. Names of tables stand behind words such as FROM; only where none of these
 /// tells, a qualified name elsewhere does (it may be a column of an alias).
-pub fn group(sql: &[u8]) -> Option<u64> {
+pub fn table_group(sql: &[u8]) -> Option<u64> {
     const BEFORE: &[&str] = &["from", "join", "into", "update", "table", "using", "only", "call"];
     const AFTER: &[&str] = &["where", "set", "on", "group", "order", "having", "limit", "values", "select"];
     let tokens = tokens(sql);
--- a/src/node/deadlines.rs
+++ b/src/node/timer_queue.rs
@@ -1,6 +1,6 @@
 //! The one ordered structure that all deadlines hang in.
 
-use super::slots::Key;
+use super::slab::Key;
 use crate::{Attempt, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -1,15 +1,15 @@
 //! Backends by themselves: what has not been written when a box drains is taken back.
 
+use beamgap::node::backend::line_protocol::Warehouses;
 use beamgap::node::backend::mysql::MysqlBoxes;
-use beamgap::node::backend::warehouse::Warehouses;
 use beamgap::node::backend::Cx;
-use beamgap::node::bulletin::Listing;
 use beamgap::node::config::MysqlSettings;
-use beamgap::node::deadlines::Deadlines;
-use beamgap::node::exchange::{AttemptRef, Front, Heard, Payload, Start};
+use beamgap::node::discovery::Listing;
+use beamgap::node::dispatcher::{AttemptRef, Front, Heard, Payload, Start};
 use beamgap::node::front::closing::ClosingConnections;
 use beamgap::node::reactor::Owner;
-use beamgap::node::slots::Key;
+use beamgap::node::slab::Key;
+use beamgap::node::timer_queue::Deadlines;
 use beamgap::{Attempt, ClassId, EngineEntry, EngineId, EngineState, ListKind, Outcome};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -98,7 +98,7 @@
     // Guards against input that panics: spoiled messages from clients, spoiled answers from warehouses.
     let mut seed = 7;
     let mut stage = Stage::new(1, r#""listen":"127.0.0.1:0","#);
-    let address = stage.node.address(beamgap::node::exchange::Front::JsonRpc).unwrap();
+    let address = stage.node.address(beamgap::node::dispatcher::Front::JsonRpc).unwrap();
     let body = r#"{"jsonrpc":"2.0","id":3,"method":"lookup","params":{"rid":"00000000000000ab","budget":900,"acct":"leinster",
         "est":1e3,"memory":2,"doc":"c2VsZWN0IDEgZnJvbSBzXzEudA=="}}"#;
     let good = format!("Content-Length: {}\r\n\r\n{body}", body.len());
--- a/tests/common/boxes.rs
+++ b/tests/common/boxes.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)]
 
 use super::stage::{Peer, Stage};
-use beamgap::node::exchange::Front;
-use beamgap::node::packets::{self, eof, error, ok, packet, push};
+use beamgap::node::dispatcher::Front;
+use beamgap::node::mysql_packets::{self, eof, error, ok, packet, push};
 use mysql::OptsBuilder;
 use mysql_common::constants::StatusFlags;
 use mysql_common::packets::HandshakePacket;
@@ -86,7 +86,7 @@
             7,
             NONCE[..8].try_into().unwrap(),
             Some([&NONCE[8..], &[0]].concat()),
-            packets::capabilities(),
+            mysql_packets::capabilities(),
             45,
             StatusFlags::SERVER_STATUS_AUTOCOMMIT,
             Some(&b"mysql_native_password"[..]),
--- a/tests/common/stage.rs
+++ b/tests/common/stage.rs
@@ -10,7 +10,7 @@
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use beamgap::node::clock::Clock;
 use beamgap::node::config::Config;
-use beamgap::node::exchange::Front;
+use beamgap::node::dispatcher::Front;
 use beamgap::node::json::{self, *};
 use beamgap::node::Node;
 pub use peer::*;
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -9,7 +9,7 @@
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use beamgap::node::clock::Clock;
 use beamgap::node::config::Config;
-use beamgap::node::exchange::Front;
+use beamgap::node::dispatcher::Front;
 use beamgap::node::Node;
 use beamgap_fakes::draw::Draw;
 use beamgap_fakes::rules::{judge, Asked, Rules, Said};
--- a/tests/discovery_frames.rs
+++ b/tests/discovery_frames.rs
@@ -1,7 +1,7 @@
 //! Frames of discovery: read whole or not at all.
 
-use beamgap::node::bulletin::{frame, BadFrame};
 use beamgap::node::clock::to_micros;
+use beamgap::node::discovery::{frame, BadFrame};
 use beamgap::{EngineState, ListKind};
 
 fn bytes(number: u64, kind: u8, records: &[u8]) -> Vec<u8> {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,8 +5,8 @@
 #[path = "common/stage.rs"]
 mod stage;
 
-use beamgap::node::bulletin::Bulletin;
-use beamgap::node::deadlines::Deadlines;
+use beamgap::node::discovery::Bulletin;
+use beamgap::node::timer_queue::Deadlines;
 use beamgap::*;
 use common::{engine, list, member, ms, request, settings, Bench};
 use stage::Stage;
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -5,8 +5,8 @@
 #[path = "common/stage.rs"]
 mod stage;
 
-use beamgap::node::exchange::Front;
-use beamgap::node::packets::{error_code, packet, push};
+use beamgap::node::dispatcher::Front;
+use beamgap::node::mysql_packets::{error_code, packet, push};
 use boxes::{Boxes, Next};
 use mysql::prelude::Queryable;
 use mysql::{Conn, Error};
--- a/tests/mysql_packets.rs
+++ b/tests/mysql_packets.rs
@@ -1,6 +1,6 @@
 //! Packets of the MySQL wire: framing, numbers, and where a response ends.
 
-use beamgap::node::packets::{
+use beamgap::node::mysql_packets::{
     eof, error, ok, packet, push, renumber, Course,
     Step::{Broken, Done, Error, More},
     TooLong,
--- a/tests/recent_names.rs
+++ b/tests/recent_names.rs
@@ -1,6 +1,6 @@
 //! Names of recent requests: kept for a span, and bounded in number.
 
-use beamgap::node::exchange::recent_names::{RecentNames, MAX_NAMES};
+use beamgap::node::dispatcher::recent_names::{RecentNames, MAX_NAMES};
 use beamgap::Settings;
 use std::sync::Arc;
 
--- a/tests/slots.rs
+++ b/tests/slab.rs
@@ -1,6 +1,6 @@
 //! Tables of numbered slots.
 
-use beamgap::node::slots::Slots;
+use beamgap::node::slab::Slots;
 
 #[test]
 fn an_old_key_finds_nothing_in_a_slot_used_again() {
--- a/tests/table_groups.rs
+++ b/tests/table_groups.rs
@@ -1,6 +1,6 @@
 //! Which group of tables a statement reads or writes.
 
-use beamgap::node::tables::group;
+use beamgap::node::table_group::table_group;
 
 #[test]
 fn the_schema_of_the_table_names_the_group() {
@@ -21,6 +21,6 @@
         ("/* unclosed from a_1.b", None),
         ("select * from a_99999999999999999999.b", None),
     ] {
-        assert_eq!(group(sql.as_bytes()), expected, "{sql}");
+        assert_eq!(table_group(sql.as_bytes()), expected, "{sql}");
     }
 }
--- a/tests/deadlines.rs
+++ b/tests/timer_queue.rs
@@ -1,6 +1,6 @@
 //! The order of deadlines.
 
-use beamgap::node::deadlines::{Deadlines, Wake};
+use beamgap::node::timer_queue::{Deadlines, Wake};
 
 #[test]
 fn deadlines_come_in_order_and_can_be_taken_back() {
