--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -17,7 +17,7 @@
                 Some(Ok(())) => {
                     trace!(target: ACCOUNT, "up: engine={} ms={:.1}", conn.engine.0, cx.now - conn.since);
                     (conn.up, conn.heard) = (true, cx.now);
-                    conn.look_at(cx.now + LOOK_MS, key, cx.deadlines);
+                    conn.look_at(cx.now + LOOK_MS, key, cx.timers);
                 }
             }
         }
--- a/src/node/backend/line_protocol/dial.rs
+++ b/src/node/backend/line_protocol/dial.rs
@@ -67,7 +67,7 @@
             self.lose(key, Outcome::ConnectFailed, cx);
             return None;
         }
-        self.conns.get_mut(key)?.look_at(cx.now + self.dial_ms.min(LATE_MS), key, cx.deadlines);
+        self.conns.get_mut(key)?.look_at(cx.now + self.dial_ms.min(LATE_MS), key, cx.timers);
         Some(key)
     }
 
@@ -80,7 +80,7 @@
             conn.late = true;
             return self.lose(key, Outcome::ConnectFailed, cx);
         }
-        conn.look_at(since + self.dial_ms, key, cx.deadlines);
+        conn.look_at(since + self.dial_ms, key, cx.timers);
         let (engine, wants) = (conn.engine.clone(), std::mem::take(&mut conn.wants));
         for want in wants {
             let to = self.in_use(&engine, &want, since - LIFE_MS).unwrap_or(key);
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -11,7 +11,7 @@
 use crate::node::dispatcher::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
 use crate::node::reactor::{Link, Owner, ReadEnd};
 use crate::node::slab::{Key, Slots};
-use crate::node::timer_queue::{Deadlines, Handle, Wake};
+use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::{settings, EngineId, ListKind, LoadReport, Micros, Outcome, Progress, TrueCost};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io::ErrorKind;
@@ -67,7 +67,7 @@
     late: bool,
     since: f64,
     heard: f64,
-    next_look: Option<Handle>,
+    next_look: Option<TimerHandle>,
     /// When it last carried a byte, and how long it had been quiet before the last request, till that is answered.
     used: f64,
     quiet: f64,
@@ -90,9 +90,9 @@
     }
 
     /// Sets the one look to come.
-    fn look_at(&mut self, at: f64, key: Key, deadlines: &mut Deadlines) {
-        self.next_look.take().into_iter().for_each(|before| deadlines.clear(before));
-        self.next_look = Some(deadlines.set(at, Wake::Backend(key)));
+    fn look_at(&mut self, at: f64, key: Key, timers: &mut TimerQueue) {
+        self.next_look.take().into_iter().for_each(|before| timers.clear(before));
+        self.next_look = Some(timers.set(at, TimerEvent::Backend(key)));
     }
 }
 
@@ -254,7 +254,7 @@
             let tag = format!("g{}", self.tags);
             conn.link.put(format!("there {tag}\r\n").as_bytes());
             conn.called_off.push_back((tag, at, cx.now));
-            conn.look_at(cx.now + CONFIRM_MS, key, cx.deadlines);
+            conn.look_at(cx.now + CONFIRM_MS, key, cx.timers);
         }
         CalledOff::Told(key)
     }
@@ -295,7 +295,7 @@
         let (id, up, ms) = (&conn.engine.0, conn.up, cx.now - conn.since);
         trace!(target: ACCOUNT, "close: engine={id} up={up} ms={ms:.1} load={}", conn.load());
         self.roster.unlink(&conn.engine, key);
-        conn.next_look.into_iter().for_each(|look| cx.deadlines.clear(look));
+        conn.next_look.into_iter().for_each(|look| cx.timers.clear(look));
         let called_off = conn.called_off.into_iter().map(|(_, at, _)| (at, Outcome::Cancelled));
         let mut ends: Vec<_> = conn.open.into_values().map(|a| (a.at, outcome)).chain(called_off).collect();
         for mut want in conn.wants {
@@ -349,7 +349,7 @@
             self.flush(key, cx);
         }
         if let Some(conn) = self.conns.get_mut(key) {
-            conn.look_at(cx.now + LOOK_MS, key, cx.deadlines);
+            conn.look_at(cx.now + LOOK_MS, key, cx.timers);
         }
     }
 }
--- a/src/node/backend/mod.rs
+++ b/src/node/backend/mod.rs
@@ -6,7 +6,7 @@
 
 use super::dispatcher::Heard;
 use super::front::closing::ClosingConnections;
-use super::timer_queue::Deadlines;
+use super::timer_queue::TimerQueue;
 use mio::Registry;
 
 /// What a backend or a front works with while it handles one thing.
@@ -16,7 +16,7 @@
     /// Where sockets are registered.
     pub registry: &'a Registry,
     /// All deadlines.
-    pub deadlines: &'a mut Deadlines,
+    pub timers: &'a mut TimerQueue,
     /// Client connections that are being closed.
     pub closing: &'a mut ClosingConnections,
     /// What the core is to hear.
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -12,7 +12,7 @@
 use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
 use crate::node::reactor::{Link, Owner, ReadEnd};
 use crate::node::slab::{Key, Slots};
-use crate::node::timer_queue::Wake;
+use crate::node::timer_queue::TimerEvent;
 use crate::{EngineId, ListKind, Outcome};
 use mysql_common::constants::Command;
 use mysql_common::io::ParseBuf;
@@ -216,7 +216,7 @@
             self.lose(key, Outcome::ConnectFailed, cx);
             return None;
         }
-        cx.deadlines.set(cx.now + self.dial_ms, Wake::MysqlBox(key));
+        cx.timers.set(cx.now + self.dial_ms, TimerEvent::MysqlBox(key));
         Some(key)
     }
 
@@ -292,7 +292,7 @@
                 Some(Err(_)) => return self.lose(key, Outcome::ConnectFailed, cx),
                 Some(Ok(())) => {
                     conn.phase = Phase::Greeting;
-                    cx.deadlines.set(conn.since + LOGIN_MS, Wake::MysqlBox(key));
+                    cx.timers.set(conn.since + LOGIN_MS, TimerEvent::MysqlBox(key));
                 }
             }
         }
@@ -365,7 +365,7 @@
             Phase::Dialling | Phase::Greeting | Phase::Login => {}
             Phase::Idle if cx.now - conn.used >= self.idle_ms => self.lose(key, Outcome::Reset, cx),
             _ => {
-                cx.deadlines.set(cx.now + LOOK_MS, Wake::MysqlBox(key));
+                cx.timers.set(cx.now + LOOK_MS, TimerEvent::MysqlBox(key));
             }
         }
     }
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -108,7 +108,7 @@
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         match body {
             [0, ..] => {
-                cx.deadlines.set(cx.now + LOOK_MS, Wake::MysqlBox(key));
+                cx.timers.set(cx.now + LOOK_MS, TimerEvent::MysqlBox(key));
                 conn.phase = Phase::Idle;
                 conn.advance(cx.now);
                 Next::Go
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -6,7 +6,7 @@
 use super::backend::Cx;
 use super::reactor::{Link, Owner, ReadEnd};
 use super::slab::{Key, Slots};
-use super::timer_queue::Wake;
+use super::timer_queue::TimerEvent;
 use crate::EngineStatus;
 use mio::net::TcpStream;
 use std::net::SocketAddr;
@@ -158,7 +158,7 @@
             self.conns.remove(key);
             return;
         }
-        cx.deadlines.set(cx.now + IDLE_MS, Wake::Control(key));
+        cx.timers.set(cx.now + IDLE_MS, TimerEvent::Control(key));
         if kind == Kind::Agent {
             conn.link.put(view.agent_line().as_bytes());
             conn.last = true;
@@ -222,7 +222,7 @@
         if cx.now - conn.heard >= IDLE_MS {
             self.conns.remove(key);
         } else {
-            cx.deadlines.set(conn.heard + IDLE_MS, Wake::Control(key));
+            cx.timers.set(conn.heard + IDLE_MS, TimerEvent::Control(key));
         }
     }
 }
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -4,7 +4,7 @@
 
 use super::clock::to_micros;
 use super::reactor::{Link, Owner, ReadEnd};
-use super::timer_queue::{Deadlines, Handle, Wake};
+use super::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::mix;
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
 use mio::Registry;
@@ -113,7 +113,7 @@
     greeted: bool,
     generation: u32,
     heard: f64,
-    next_look: Option<Handle>,
+    next_look: Option<TimerHandle>,
     /// Tries to connect since one last succeeded.
     failed: i32,
     random: u64,
@@ -134,7 +134,7 @@
     }
 
     /// Connects where there is no connection, drops one that has fallen silent, and comes back.
-    pub fn look(&mut self, now: f64, registry: &Registry, deadlines: &mut Deadlines) {
+    pub fn look(&mut self, now: f64, registry: &Registry, timers: &mut TimerQueue) {
         if self.link.is_some() && now - self.heard > SILENT_MS {
             self.link = None;
         }
@@ -149,7 +149,7 @@
         let again = (AGAIN_MS * AGAIN_GROWS.powi(self.failed - 1)).min(AGAIN_MOST);
         let pause = if self.greeted { LOOK_MS } else { again };
         let lot = 1.0 - SPREAD + 2.0 * SPREAD * self.lot();
-        self.look_in(now, pause * lot, deadlines);
+        self.look_in(now, pause * lot, timers);
     }
 
     /// A draw from 0 to 1.
@@ -159,9 +159,9 @@
     }
 
     /// Sets the one look to come: a second chain of looks would drop what the first has just dialled.
-    fn look_in(&mut self, now: f64, ms: f64, deadlines: &mut Deadlines) {
-        self.next_look.take().into_iter().for_each(|before| deadlines.clear(before));
-        self.next_look = Some(deadlines.set(now + ms, Wake::Bulletin));
+    fn look_in(&mut self, now: f64, ms: f64, timers: &mut TimerQueue) {
+        self.next_look.take().into_iter().for_each(|before| timers.clear(before));
+        self.next_look = Some(timers.set(now + ms, TimerEvent::Bulletin));
     }
 
     /// The bulletin has moved: the old connection is dropped, the new address dialled at once, and the news go on
@@ -171,12 +171,12 @@
         now: f64,
         address: SocketAddr,
         known: Vec<News>,
-        deadlines: &mut Deadlines,
+        timers: &mut TimerQueue,
     ) -> Vec<News> {
         if address != self.address {
             (self.address, self.link, self.failed) = (address, None, 0);
             let spread = MOVED_MS * self.lot();
-            self.look_in(now, spread, deadlines);
+            self.look_in(now, spread, timers);
         }
         known.into_iter().filter_map(|news| self.take(news)).collect()
     }
--- a/src/node/dispatcher/decisions.rs
+++ b/src/node/dispatcher/decisions.rs
@@ -4,13 +4,13 @@
 
 impl Exchange {
     /// Tells the decision module and does what it says; what its actions end at once is told it in turn.
-    pub(super) fn tell(&mut self, now: f64, event: Event, deadlines: &mut Deadlines) {
+    pub(super) fn tell(&mut self, now: f64, event: Event, timers: &mut TimerQueue) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
             self.gateway.handle(to_micros(now), event, &mut actions);
             for action in actions.drain(..) {
-                if let Some(closed) = self.apply(now, action, deadlines) {
+                if let Some(closed) = self.apply(now, action, timers) {
                     events.push_back(Event::AttemptEnded(closed));
                 }
             }
@@ -35,28 +35,23 @@
         self.names.get(id).copied()
     }
 
-    pub(super) fn apply(
-        &mut self,
-        now: f64,
-        action: Action,
-        deadlines: &mut Deadlines,
-    ) -> Option<AttemptEnd> {
+    pub(super) fn apply(&mut self, now: f64, action: Action, timers: &mut TimerQueue) -> Option<AttemptEnd> {
         match action {
             Action::Forward { request, engine, give_up_after } => {
-                self.send(now, request, engine, give_up_after, deadlines)
+                self.send(now, request, engine, give_up_after, timers)
             }
             Action::Reject { request, retry_after } => {
                 let key = self.key(&request)?;
                 let answer = self.given_up(key, retry_after.map_or(BACKOFF, from_micros));
                 self.answer(key, answer);
-                self.forget(key, deadlines);
+                self.forget(key, timers);
                 None
             }
             Action::Fail { request } => {
                 let key = self.key(&request)?;
                 let late = self.open.get(key).is_some_and(|open| now >= open.deadline);
                 self.answer(key, if late { Answer::TimedOut } else { Answer::Failed });
-                self.forget(key, deadlines);
+                self.forget(key, timers);
                 None
             }
             Action::Cancel { request, attempt } => {
@@ -72,9 +67,9 @@
                     self.orders.push(Order::GiveUp(attempt, true));
                     return None;
                 }
-                let closed = self.close_attempt(now, &Ended::bare(attempt, Outcome::Cancelled), deadlines)?;
+                let closed = self.close_attempt(now, &Ended::bare(attempt, Outcome::Cancelled), timers)?;
                 self.orders.push(Order::GiveUp(attempt, false));
-                self.forget(attempt.request, deadlines);
+                self.forget(attempt.request, timers);
                 Some(closed)
             }
             Action::SetTerms { request, memory_mb, priority } => {
@@ -92,7 +87,7 @@
                 None
             }
             Action::SetTimer { after, timer } => {
-                deadlines.set(now + from_micros(after), Wake::Module(timer));
+                timers.set(now + from_micros(after), TimerEvent::Module(timer));
                 None
             }
             Action::Log(event) => {
@@ -110,7 +105,7 @@
         request: RequestId,
         engine: EngineId,
         give_up_after: Option<Micros>,
-        deadlines: &mut Deadlines,
+        timers: &mut TimerQueue,
     ) -> Option<AttemptEnd> {
         let key = self.key(&request)?;
         let open = self.open.get_mut(key)?;
@@ -145,7 +140,7 @@
         if retry_budget.is_some_and(|budget| !budget.try_acquire(&request.0)) {
             let answer = self.given_up(key, BACKOFF);
             self.answer(key, answer);
-            self.forget(key, deadlines);
+            self.forget(key, timers);
             return Some(AttemptEnd {
                 request,
                 attempt,
@@ -161,7 +156,7 @@
         let (id, to, no) = (&request.0, &engine.0, attempt.0);
         trace!(target: ACCOUNT, "send: id={id} class={class} engine={to} attempt={no} work={work:.0}");
         open.sent += 1;
-        let due = deadlines.set(now + max_ms, Wake::AttemptOver(key, attempt));
+        let due = timers.set(now + max_ms, TimerEvent::AttemptOver(key, attempt));
         open.out = Some(Out { attempt, engine: engine.clone(), since: now, due });
         self.orders.push(Order::Start(Start {
             attempt: AttemptRef { request: key, attempt },
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -9,7 +9,7 @@
 
 use super::clock::{from_micros, to_micros};
 use super::slab::{Key, Slots};
-use super::timer_queue::{Deadlines, Handle, Wake};
+use super::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::fleet::admission::Admitted;
 use crate::fleet::budgets::HeldUnits;
 use crate::{
@@ -43,14 +43,14 @@
     attempt: Attempt,
     engine: EngineId,
     since: f64,
-    due: Handle,
+    due: TimerHandle,
 }
 
 struct Open {
     asker: Option<Asker>,
     ask: Ask,
     deadline: f64,
-    over: Option<Handle>,
+    over: Option<TimerHandle>,
     attempts: u32,
     /// Of these, those that went out.
     sent: u32,
@@ -164,20 +164,20 @@
     }
 
     /// Takes news in.
-    pub fn hear(&mut self, now: f64, heard: Heard, deadlines: &mut Deadlines) {
+    pub fn hear(&mut self, now: f64, heard: Heard, timers: &mut TimerQueue) {
         match heard {
-            Heard::Asked(ask) => self.asked(now, ask, deadlines),
+            Heard::Asked(ask) => self.asked(now, ask, timers),
             Heard::Gone(asker) => {
                 let Some(key) = self.askers.remove(&asker) else { return };
                 let Some(open) = self.open.get_mut(key) else { return };
                 open.asker = None;
                 let id = RequestId(open.ask.name.clone());
                 trace!(target: ACCOUNT, "gone: id={}", id.0);
-                self.tell(now, Event::ClientGone(id), deadlines);
+                self.tell(now, Event::ClientGone(id), timers);
                 self.withdraw(key);
-                self.forget(key, deadlines);
+                self.forget(key, timers);
             }
-            Heard::Ended(ended) => self.ended(now, ended, deadlines),
+            Heard::Ended(ended) => self.ended(now, ended, timers),
             Heard::Noted(r, note) => {
                 let Some(open) = self.open.get(r.request) else { return };
                 let Some(out) = open.out.as_ref().filter(|out| out.attempt == r.attempt) else { return };
@@ -185,7 +185,7 @@
                 self.tell(
                     now,
                     Event::AttemptProgress { request, attempt: r.attempt, engine, progress: note },
-                    deadlines,
+                    timers,
                 );
             }
             Heard::Members(kind, version, members) => {
@@ -197,38 +197,38 @@
                         }
                     }
                 }
-                self.tell(now, Event::EngineList { kind, version, entries: members }, deadlines);
+                self.tell(now, Event::EngineList { kind, version, entries: members }, timers);
             }
         }
     }
 
     /// A timer of the decision module is up.
-    pub fn timer(&mut self, now: f64, timer: TimerId, deadlines: &mut Deadlines) {
-        self.tell(now, Event::Timer(timer), deadlines);
+    pub fn timer(&mut self, now: f64, timer: TimerId, timers: &mut TimerQueue) {
+        self.tell(now, Event::Timer(timer), timers);
     }
 
     /// An attempt has had its time.
-    pub fn attempt_over(&mut self, now: f64, r: AttemptRef, deadlines: &mut Deadlines) {
+    pub fn attempt_over(&mut self, now: f64, r: AttemptRef, timers: &mut TimerQueue) {
         let out = self.open.get(r.request).and_then(|open| open.out.as_ref());
         if out.is_some_and(|out| out.attempt == r.attempt) {
             self.orders.push(Order::GiveUp(r, false));
-            self.ended(now, Ended::bare(r, Outcome::TimedOut), deadlines);
+            self.ended(now, Ended::bare(r, Outcome::TimedOut), timers);
         }
     }
 
     /// A client has stopped waiting. The decision module has answered by now as a rule; if not, the core does.
-    pub fn request_over(&mut self, now: f64, key: Key, deadlines: &mut Deadlines) {
+    pub fn request_over(&mut self, now: f64, key: Key, timers: &mut TimerQueue) {
         let Some(open) = self.open.get(key) else { return };
         let id = RequestId(open.ask.name.clone());
         // Before its time only a graceful shutdown cuts it off.
         let cut = now < open.deadline;
         let answer = if cut { self.given_up(key, BACKOFF) } else { Answer::TimedOut };
         self.answer(key, answer);
-        self.tell(now, Event::ClientGone(id), deadlines);
-        self.forget(key, deadlines);
+        self.tell(now, Event::ClientGone(id), timers);
+        self.forget(key, timers);
     }
 
-    fn asked(&mut self, now: f64, ask: Ask, deadlines: &mut Deadlines) {
+    fn asked(&mut self, now: f64, ask: Ask, timers: &mut TimerQueue) {
         let id = RequestId(ask.name.clone());
         let size = ask.payload.size();
         let full =
@@ -273,7 +273,7 @@
         });
         if let Some(open) = self.open.get_mut(key) {
             let over = (deadline + ANSWER_GRACE_MS).min(self.response_deadline.max(now));
-            open.over = Some(deadlines.set(over, Wake::RequestOver(key)));
+            open.over = Some(timers.set(over, TimerEvent::RequestOver(key)));
         }
         if let Some(open) = self.open.get(key) {
             let (class, budget) = (open.ask.class.0, open.ask.budget);
@@ -287,11 +287,11 @@
         }
         self.names.insert(id, key);
         self.askers.insert(asker, key);
-        self.tell(now, Event::RequestArrived(request), deadlines);
+        self.tell(now, Event::RequestArrived(request), timers);
     }
 
-    fn ended(&mut self, now: f64, ended: Ended, deadlines: &mut Deadlines) {
-        let Some(mut closed) = self.close_attempt(now, &ended, deadlines) else { return };
+    fn ended(&mut self, now: f64, ended: Ended, timers: &mut TimerQueue) {
+        let Some(mut closed) = self.close_attempt(now, &ended, timers) else { return };
         let (id, engine, outcome) = (&closed.request.0, &closed.engine.0, closed.outcome);
         let ms = closed.latency.as_millis();
         trace!(target: ACCOUNT, "end: id={id} engine={engine} outcome={outcome:?} ms={ms:.1}");
@@ -304,15 +304,15 @@
             self.answer(key, answer);
             closed.request_answered = true;
         }
-        self.tell(now, Event::AttemptEnded(closed), deadlines);
-        self.forget(key, deadlines);
+        self.tell(now, Event::AttemptEnded(closed), timers);
+        self.forget(key, timers);
     }
 
     /// Takes an attempt out of the table; `None` if it is not out any more (a late line tells nothing).
-    fn close_attempt(&mut self, now: f64, ended: &Ended, deadlines: &mut Deadlines) -> Option<AttemptEnd> {
+    fn close_attempt(&mut self, now: f64, ended: &Ended, timers: &mut TimerQueue) -> Option<AttemptEnd> {
         let open = self.open.get_mut(ended.attempt.request)?;
         let out = open.out.take_if(|out| out.attempt == ended.attempt.attempt)?;
-        deadlines.clear(out.due);
+        timers.clear(out.due);
         open.may_have_run |= !ended.outcome.never_ran();
         open.unsure |= ended.outcome.may_still_run() && !ended.confirmed;
         Some(AttemptEnd {
@@ -338,10 +338,10 @@
     }
 
     /// Drops a request that is answered and has nothing out.
-    fn forget(&mut self, key: Key, deadlines: &mut Deadlines) {
+    fn forget(&mut self, key: Key, timers: &mut TimerQueue) {
         let done = self.open.get(key).is_some_and(|open| open.asker.is_none() && open.out.is_none());
         if let Some(open) = done.then(|| self.open.remove(key)).flatten() {
-            open.over.into_iter().for_each(|over| deadlines.clear(over));
+            open.over.into_iter().for_each(|over| timers.clear(over));
             self.names.remove(&RequestId(open.ask.name.clone()));
             self.payload -= open.ask.payload.size();
             self.linger(open);
--- a/src/node/dispatcher/shutdown.rs
+++ b/src/node/dispatcher/shutdown.rs
@@ -21,16 +21,16 @@
 
     /// A graceful shutdown has begun: what is still owed at `response_deadline` is answered then, and what can't end
     /// before is refused at once where it was never sent.
-    pub fn shut_down_by(&mut self, now: f64, response_deadline: f64, deadlines: &mut Deadlines) {
+    pub fn shut_down_by(&mut self, now: f64, response_deadline: f64, timers: &mut TimerQueue) {
         self.response_deadline = response_deadline;
         for key in self.open.keys() {
             let Some(open) = self.open.get_mut(key).filter(|open| open.deadline > response_deadline) else {
                 continue;
             };
-            open.over.take().into_iter().for_each(|over| deadlines.clear(over));
-            open.over = Some(deadlines.set(response_deadline, Wake::RequestOver(key)));
+            open.over.take().into_iter().for_each(|over| timers.clear(over));
+            open.over = Some(timers.set(response_deadline, TimerEvent::RequestOver(key)));
         }
-        self.refuse_unfinishable(now, deadlines);
+        self.refuse_unfinishable(now, timers);
     }
 
     /// From now on each new request is refused: its connection is about to be closed.
@@ -48,7 +48,7 @@
     }
 
     /// Refuses what waits, was never sent, and can't end any more before the response deadline of a graceful shutdown.
-    pub fn refuse_unfinishable(&mut self, now: f64, deadlines: &mut Deadlines) {
+    pub fn refuse_unfinishable(&mut self, now: f64, timers: &mut TimerQueue) {
         for key in self.open.keys() {
             let Some(open) = self.open.get(key).filter(|open| open.sent == 0 && open.asker.is_some()) else {
                 continue;
@@ -56,8 +56,8 @@
             if self.is_unfinishable(now, open) {
                 let id = RequestId(open.ask.name.clone());
                 self.answer(key, Answer::Refused { backoff_ms: BACKOFF });
-                self.tell(now, Event::ClientGone(id), deadlines);
-                self.forget(key, deadlines);
+                self.tell(now, Event::ClientGone(id), timers);
+                self.forget(key, timers);
             }
         }
     }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -19,7 +19,7 @@
         let from = self.clock.now();
         let again = self.jsonrpc.take_again();
         let unread = self.closing.take_unread();
-        let due = self.deadlines.first().map_or(f64::INFINITY, |at| (at - from).max(0.0));
+        let due = self.timers.first().map_or(f64::INFINITY, |at| (at - from).max(0.0));
         let most = if again.is_empty() && unread.is_empty() { most } else { Duration::ZERO };
         let wait = if self.clock.is_set() && due > 0.0 { most } else { most.min(millis(due)) };
         match self.poll.poll(&mut self.events, Some(wait)) {
@@ -38,7 +38,7 @@
             self.ready(owner, read_closed, now, sent);
         }
         let now = self.clock.now();
-        while let Some(wake) = self.deadlines.pop(now) {
+        while let Some(wake) = self.timers.pop(now) {
             self.wake(wake, self.clock.now());
         }
         self.fleet();
@@ -52,15 +52,15 @@
         if let Owner::Control(_) | Owner::Fixed(HTTP_LISTENER | AGENT_LISTENER) = owner {
             return self.control_ready(owner, now);
         }
-        let Node { poll, deadlines, log, jsonrpc, mysql, warehouses, bulletin, closing, .. } = self;
-        let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard: &mut heard, log };
+        let Node { poll, timers, log, jsonrpc, mysql, warehouses, bulletin, closing, .. } = self;
+        let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
         match owner {
             Owner::Fixed(SIGNAL) => self.begin_shutdown(),
             Owner::Fixed(RELOAD) => {} // Only ends the wait.
             Owner::Fixed(LISTENER) => self.accept(Front::JsonRpc, now, sent, &mut heard),
             Owner::Fixed(_) => self.accept(Front::Mysql, now, sent, &mut heard),
             Owner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent, &mut cx),
-            Owner::Closing(key) => closing.ready(key, deadlines),
+            Owner::Closing(key) => closing.ready(key, timers),
             Owner::Warehouse(key) => warehouses.ready(key, &mut cx),
             Owner::Bulletin(generation) => {
                 let news = bulletin.as_mut().map(|b| b.ready(now, generation)).unwrap_or_default();
@@ -75,51 +75,51 @@
         self.settle(heard);
     }
 
-    pub(super) fn wake(&mut self, wake: Wake, now: f64) {
+    pub(super) fn wake(&mut self, wake: TimerEvent, now: f64) {
         let mut heard = Vec::new();
-        let Node { poll, deadlines, log, jsonrpc, mysql, warehouses, bulletin, exchange, control, .. } = self;
+        let Node { poll, timers, log, jsonrpc, mysql, warehouses, bulletin, exchange, control, .. } = self;
         let (registry, closing) = (poll.registry(), &mut self.closing);
-        let mut cx = Cx { now, registry, deadlines, closing, heard: &mut heard, log };
+        let mut cx = Cx { now, registry, timers, closing, heard: &mut heard, log };
         match wake {
-            Wake::Module(timer) => exchange.timer(now, timer, deadlines),
-            Wake::RequestOver(key) => exchange.request_over(now, key, deadlines),
-            Wake::AttemptOver(request, attempt) => {
-                exchange.attempt_over(now, AttemptRef { request, attempt }, deadlines);
+            TimerEvent::Module(timer) => exchange.timer(now, timer, timers),
+            TimerEvent::RequestOver(key) => exchange.request_over(now, key, timers),
+            TimerEvent::AttemptOver(request, attempt) => {
+                exchange.attempt_over(now, AttemptRef { request, attempt }, timers);
             }
-            Wake::Backend(key) => warehouses.look(key, &mut cx),
-            Wake::Bulletin => bulletin.iter_mut().for_each(|b| b.look(now, registry, deadlines)),
-            Wake::AcceptAgain => {
+            TimerEvent::Backend(key) => warehouses.look(key, &mut cx),
+            TimerEvent::Bulletin => bulletin.iter_mut().for_each(|b| b.look(now, registry, timers)),
+            TimerEvent::AcceptAgain => {
                 self.accept_paused = false;
                 self.accept(Front::JsonRpc, now, now - ACCEPT_PAUSE_MS, &mut heard);
                 self.accept(Front::Mysql, now, now, &mut heard);
             }
-            Wake::Client(key) => jsonrpc.due(key, &mut cx),
-            Wake::ClosingConnection(key) => closing.expired(key),
-            Wake::Shutdown => self.advance_shutdown(now, &mut heard),
-            Wake::MysqlBox(key) => mysql.iter_mut().for_each(|(_, boxes)| boxes.look(key, &mut cx)),
-            Wake::MysqlLogin(key) => {
+            TimerEvent::Client(key) => jsonrpc.due(key, &mut cx),
+            TimerEvent::ClosingConnection(key) => closing.expired(key),
+            TimerEvent::Shutdown => self.advance_shutdown(now, &mut heard),
+            TimerEvent::MysqlBox(key) => mysql.iter_mut().for_each(|(_, boxes)| boxes.look(key, &mut cx)),
+            TimerEvent::MysqlLogin(key) => {
                 mysql.iter_mut().for_each(|(front, _)| front.login_over(key, &mut cx));
             }
-            Wake::Control(key) => control.look(key, &mut cx),
+            TimerEvent::Control(key) => control.look(key, &mut cx),
             // Health and warmth change without any socket saying so; `feed` looks at them after each turn.
-            Wake::Xds => {
-                deadlines.set(now + control::xds::FEED_MS, Wake::Xds);
+            TimerEvent::Xds => {
+                timers.set(now + control::xds::FEED_MS, TimerEvent::Xds);
             }
             // `fleet` looks after each turn.
-            Wake::Fleet => self.admission_due = None,
+            TimerEvent::Fleet => self.admission_due = None,
         }
         self.settle(heard);
     }
 
     pub(super) fn accept(&mut self, front: Front, now: f64, sent: f64, heard: &mut Vec<Heard>) {
         while !self.accept_paused {
-            let Node { poll, deadlines, log, jsonrpc, mysql, listeners, shutdown, closing, .. } = self;
+            let Node { poll, timers, log, jsonrpc, mysql, listeners, shutdown, closing, .. } = self;
             let Some((_, listener)) = listeners.iter().find(|(of, _)| *of == front) else { return };
             let clients = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
-            let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard, log };
+            let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard, log };
             // Guards against clients that ask once and stay, or never ask: they make room for those that come.
             let full = clients >= self.client_sockets
-                && !cx.closing.evict(cx.deadlines)
+                && !cx.closing.evict(cx.timers)
                 && !jsonrpc.make_room(sent, &mut cx);
             let accepted = if full { Err(ErrorKind::QuotaExceeded.into()) } else { listener.accept() };
             match accepted {
@@ -135,7 +135,7 @@
                 Err(_) => {
                     // Out of descriptors, or at the clients' part: those that wait stay in the system's line.
                     self.accept_paused = true;
-                    self.deadlines.set(now + ACCEPT_PAUSE_MS, Wake::AcceptAgain);
+                    self.timers.set(now + ACCEPT_PAUSE_MS, TimerEvent::AcceptAgain);
                 }
             }
         }
@@ -147,8 +147,8 @@
             self.xds.iter_mut().for_each(Feed::hurry);
         }
         for News { number, kind, listings } in news {
-            let Node { poll, deadlines, log, mysql, warehouses, closing, .. } = self;
-            let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard, log };
+            let Node { poll, timers, log, mysql, warehouses, closing, .. } = self;
+            let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard, log };
             warehouses.members(kind, &listings, &mut cx);
             mysql.iter_mut().for_each(|(_, boxes)| boxes.members(kind, &listings, &mut cx));
             for listing in &listings {
@@ -172,15 +172,15 @@
             for heard in heard.drain(..) {
                 let heard = if self.admission.is_some() { self.admit(heard) } else { Some(heard) };
                 let heard = heard.into_iter();
-                heard.for_each(|heard| self.exchange.hear(now, heard, &mut self.deadlines));
+                heard.for_each(|heard| self.exchange.hear(now, heard, &mut self.timers));
             }
             self.log.append(&mut self.exchange.take_logs());
             let orders = self.exchange.take_orders();
             if orders.is_empty() {
                 return;
             }
-            let Node { poll, deadlines, log, jsonrpc, mysql, warehouses, closing, .. } = self;
-            let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard: &mut heard, log };
+            let Node { poll, timers, log, jsonrpc, mysql, warehouses, closing, .. } = self;
+            let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
             for order in orders {
                 match (order, mysql.as_mut()) {
                     (Order::Answer(asker, answer), Some((front, _))) if asker.front == Front::Mysql => {
--- a/src/node/front/closing.rs
+++ b/src/node/front/closing.rs
@@ -6,7 +6,7 @@
 
 use crate::node::reactor::{Link, Owner, ReadEnd};
 use crate::node::slab::{Key, Slots};
-use crate::node::timer_queue::{Deadlines, Handle, Wake};
+use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use mio::Registry;
 
 /// How long a client has to read what is written and to close, in milliseconds.
@@ -22,7 +22,7 @@
     link: Link,
     dropped_bytes: usize,
     is_shut_down: bool,
-    deadline: Handle,
+    deadline: TimerHandle,
 }
 
 /// The connections that are being closed, of all fronts.
@@ -44,26 +44,26 @@
     }
 
     /// Begins to close a connection. Its deadline is [`LINGER_MS`] from `now`.
-    pub fn add(&mut self, mut link: Link, now: f64, registry: &Registry, deadlines: &mut Deadlines) {
+    pub fn add(&mut self, mut link: Link, now: f64, registry: &Registry, timers: &mut TimerQueue) {
         link.used(link.input.len());
         let key = self.connections.insert_with(|key| ClosingConnection {
             link,
             dropped_bytes: 0,
             is_shut_down: false,
-            deadline: deadlines.set(now + LINGER_MS, Wake::ClosingConnection(key)),
+            deadline: timers.set(now + LINGER_MS, TimerEvent::ClosingConnection(key)),
         });
         let Some(connection) = self.connections.get_mut(key) else { return };
         match connection.link.rewatch(registry, Owner::Closing(key)) {
-            Ok(()) => self.ready(key, deadlines),
-            Err(_) => self.remove(key, deadlines),
+            Ok(()) => self.ready(key, timers),
+            Err(_) => self.remove(key, timers),
         }
     }
 
     /// The socket is readable or writable.
-    pub fn ready(&mut self, key: Key, deadlines: &mut Deadlines) {
+    pub fn ready(&mut self, key: Key, timers: &mut TimerQueue) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if connection.link.flush().is_err() {
-            return self.remove(key, deadlines);
+            return self.remove(key, timers);
         }
         let is_written = connection.link.waiting() == 0;
         if is_written && !connection.is_shut_down {
@@ -81,7 +81,7 @@
             Ok(ReadEnd::Open) if connection.link.has_more() => self.unread.push(key),
             Ok(ReadEnd::Open) => {}
             Ok(ReadEnd::Closed) if !is_written => {}
-            Ok(ReadEnd::Closed) | Err(_) => self.remove(key, deadlines),
+            Ok(ReadEnd::Closed) | Err(_) => self.remove(key, timers),
         }
     }
 
@@ -96,15 +96,15 @@
     }
 
     /// Closes a connection before its deadline to free its descriptor; false if there is none.
-    pub fn evict(&mut self, deadlines: &mut Deadlines) -> bool {
+    pub fn evict(&mut self, timers: &mut TimerQueue) -> bool {
         let first = self.connections.iter().map(|(key, _)| key).next();
-        first.into_iter().for_each(|key| self.remove(key, deadlines));
+        first.into_iter().for_each(|key| self.remove(key, timers));
         first.is_some()
     }
 
-    fn remove(&mut self, key: Key, deadlines: &mut Deadlines) {
+    fn remove(&mut self, key: Key, timers: &mut TimerQueue) {
         if let Some(connection) = self.connections.remove(key) {
-            deadlines.clear(connection.deadline);
+            timers.clear(connection.deadline);
         }
     }
 }
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -11,7 +11,7 @@
 use crate::node::reactor::{heaviest, Link, Owner, ReadEnd};
 use crate::node::slab::{Key, Slots};
 use crate::node::table_group;
-use crate::node::timer_queue::{Handle, Wake};
+use crate::node::timer_queue::{TimerEvent, TimerHandle};
 use crate::{ClassId, Settings};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use framing::{framed, Framed};
@@ -53,7 +53,7 @@
     since: f64,
     /// Since when a message stands half said.
     part: Option<f64>,
-    due: Option<Handle>,
+    due: Option<TimerHandle>,
 }
 
 impl Client {
@@ -147,7 +147,7 @@
         let Some(client) = self.clients.get_mut(key) else { return };
         match client.link.watch(cx.registry, Owner::JsonRpc(key)) {
             Ok(()) => {
-                client.due = Some(cx.deadlines.set(cx.now + FIRST_MS, Wake::Client(key)));
+                client.due = Some(cx.timers.set(cx.now + FIRST_MS, TimerEvent::Client(key)));
                 self.ready(key, false, sent, cx);
             }
             Err(e) => {
@@ -231,8 +231,8 @@
                 client.part = client.part.filter(|_| half && used == 0).or(half.then_some(cx.now));
                 if let Some(since) = client.part {
                     let first = if client.asked { f64::INFINITY } else { client.since + FIRST_MS };
-                    client.due.take().into_iter().for_each(|due| cx.deadlines.clear(due));
-                    client.due = Some(cx.deadlines.set(first.min(since + WHOLE_MS), Wake::Client(key)));
+                    client.due.take().into_iter().for_each(|due| cx.timers.clear(due));
+                    client.due = Some(cx.timers.set(first.min(since + WHOLE_MS), TimerEvent::Client(key)));
                 }
                 if end == ReadEnd::Open && client.link.has_more() {
                     self.again.push(key);
@@ -275,7 +275,7 @@
     /// Withdraws what a client has open, and lets it read what is written before its connection is closed.
     fn leave(&mut self, key: Key, cx: &mut Cx) {
         if let Some(client) = self.remove(key, cx) {
-            cx.closing.add(client.link, cx.now, cx.registry, cx.deadlines);
+            cx.closing.add(client.link, cx.now, cx.registry, cx.timers);
         }
     }
 
@@ -286,7 +286,7 @@
     fn remove(&mut self, key: Key, cx: &mut Cx) -> Option<Client> {
         self.gone(key, cx);
         let mut client = self.clients.remove(key)?;
-        client.due.take().into_iter().for_each(|due| cx.deadlines.clear(due));
+        client.due.take().into_iter().for_each(|due| cx.timers.clear(due));
         Some(client)
     }
 
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -14,7 +14,7 @@
 use crate::node::reactor::{heaviest, Link, Owner, ReadEnd};
 use crate::node::slab::{Key, Slots};
 use crate::node::table_group;
-use crate::node::timer_queue::Wake;
+use crate::node::timer_queue::TimerEvent;
 use crate::Repeat;
 use crate::Settings;
 use mio::net::TcpStream;
@@ -181,7 +181,7 @@
             self.sessions.remove(key);
             return;
         }
-        cx.deadlines.set(cx.now + LOGIN_MS, Wake::MysqlLogin(key));
+        cx.timers.set(cx.now + LOGIN_MS, TimerEvent::MysqlLogin(key));
         self.ready(key, false, cx);
     }
 
@@ -242,7 +242,7 @@
     /// Lets a client go, which may first read what is written.
     fn part(&mut self, key: Key, cx: &mut Cx) {
         if let Some(session) = self.remove(key, cx) {
-            cx.closing.add(session.link, cx.now, cx.registry, cx.deadlines);
+            cx.closing.add(session.link, cx.now, cx.registry, cx.timers);
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -46,7 +46,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use timer_queue::{Deadlines, Handle, Wake};
+use timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 
 const ACCEPT_PAUSE_MS: f64 = 5.0; // before accepting again where descriptors are short
 const TRANSIT_MS: f64 = 1.0; // a message's way from its client: within a room, and no more than the grace
@@ -65,7 +65,7 @@
     listeners: Vec<(Front, TcpListener)>,
     accept_paused: bool,
     client_sockets: usize,
-    deadlines: Deadlines,
+    timers: TimerQueue,
     exchange: Exchange,
     jsonrpc: JsonRpc,
     mysql: Option<(MysqlFront, MysqlBoxes)>,
@@ -79,7 +79,7 @@
     xds: Option<Feed>,
     /// Admission control of a fleet with a policy, and when its leader is next to be polled; none if it is off.
     admission: Option<AdmissionControl>,
-    admission_due: Option<Handle>,
+    admission_due: Option<TimerHandle>,
     waker: Option<Arc<Waker>>,
     /// What the file said at the start of all that a reload does not apply.
     at_start: BTreeMap<String, OwnedValue>,
@@ -133,9 +133,7 @@
         self.log.extend(changed.map(|key| format!("reload: {key} has changed: needs a restart")));
         let now = self.clock.now();
         let news = match (&mut self.bulletin, config.bulletin) {
-            (Some(bulletin), Some(address)) => {
-                bulletin.moved(now, address, config.known, &mut self.deadlines)
-            }
+            (Some(bulletin), Some(address)) => bulletin.moved(now, address, config.known, &mut self.timers),
             (None, None) => return,
             _ => return self.log.push("reload: bulletin has come or gone: needs a restart".to_owned()),
         };
@@ -150,13 +148,13 @@
             let now = self.clock.now();
             let deadlines = self.exchange.settings().classes.iter().map(|c| c.deadline.as_millis());
             let shutdown = GracefulShutdown::new(now, deadlines.fold(0.0, f64::max));
-            self.exchange.shut_down_by(now, shutdown.response_deadline(), &mut self.deadlines);
+            self.exchange.shut_down_by(now, shutdown.response_deadline(), &mut self.timers);
             self.shutdown = Some(shutdown);
             if let Some(admission) = &mut self.admission {
                 admission.start_draining();
             }
             self.log.push(format!("ending: open={}", self.exchange.open_requests()));
-            self.deadlines.set(now, Wake::Shutdown);
+            self.timers.set(now, TimerEvent::Shutdown);
         }
     }
 
@@ -186,14 +184,14 @@
         self.exchange.cold_among(admission.warm_up_share());
         let due = now + admission.next_poll_in();
         if let Some(before) = self.admission_due.take() {
-            self.deadlines.clear(before);
+            self.timers.clear(before);
         }
-        self.admission_due = Some(self.deadlines.set(due, Wake::Fleet));
+        self.admission_due = Some(self.timers.set(due, TimerEvent::Fleet));
         let mut heard = Vec::new();
-        let Node { poll, deadlines, log, warehouses, closing, .. } = self;
+        let Node { poll, timers, log, warehouses, closing, .. } = self;
         warehouses.keep_links(
             most,
-            &mut Cx { now, registry: poll.registry(), deadlines, closing, heard: &mut heard, log },
+            &mut Cx { now, registry: poll.registry(), timers, closing, heard: &mut heard, log },
         );
         if !changed.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
@@ -253,8 +251,8 @@
 
     fn control_ready(&mut self, owner: Owner, now: f64) {
         let view = self.view();
-        let Node { poll, deadlines, log, control, control_listeners, closing, .. } = self;
-        let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard: &mut Vec::new(), log };
+        let Node { poll, timers, log, control, control_listeners, closing, .. } = self;
+        let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut Vec::new(), log };
         if let Owner::Control(key) = owner {
             return control.ready(key, &view, &mut cx);
         }
@@ -268,19 +266,19 @@
 
     /// Takes a graceful shutdown further, as its state machine says.
     fn advance_shutdown(&mut self, now: f64, heard: &mut Vec<Heard>) {
-        let Node { poll, deadlines, log, jsonrpc, mysql, exchange, shutdown, closing, .. } = self;
+        let Node { poll, timers, log, jsonrpc, mysql, exchange, shutdown, closing, .. } = self;
         let Some(shutdown) = shutdown else { return };
-        exchange.refuse_unfinishable(now, deadlines);
+        exchange.refuse_unfinishable(now, timers);
         let connections = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
         let step = shutdown.advance(now, exchange.open_requests(), connections);
-        let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard, log };
+        let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard, log };
         if step.close_idle_clients {
             exchange.refuse_new();
             jsonrpc.close_quiet(&mut cx);
             mysql.iter_mut().for_each(|(front, _)| front.close_quiet(&mut cx));
         }
         if let Some(next) = step.next {
-            deadlines.set(next, Wake::Shutdown);
+            timers.set(next, TimerEvent::Shutdown);
         }
         if step.close_listeners {
             self.close_listeners(now, heard);
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -71,7 +71,7 @@
             listeners,
             accept_paused: false,
             client_sockets,
-            deadlines: Deadlines::default(),
+            timers: TimerQueue::default(),
             exchange,
             jsonrpc,
             mysql,
@@ -96,7 +96,7 @@
         }
         if let Some(xds) = &node.xds {
             node.log.push(format!("listen: xds address={}", xds.address()));
-            node.deadlines.set(node.clock.now(), Wake::Xds);
+            node.timers.set(node.clock.now(), TimerEvent::Xds);
         }
         if let Some(address) = node.admission.as_ref().and_then(AdmissionControl::listen_address) {
             node.log.push(format!("listen: fleet address={address}"));
@@ -104,7 +104,7 @@
         let mut heard = Vec::new();
         node.news(config.known, &mut heard);
         if node.bulletin.is_some() {
-            node.deadlines.set(node.clock.now(), Wake::Bulletin);
+            node.timers.set(node.clock.now(), TimerEvent::Bulletin);
         }
         node.settle(heard);
         node.fleet();
--- a/src/node/timer_queue.rs
+++ b/src/node/timer_queue.rs
@@ -7,7 +7,7 @@
 
 /// What falls due.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wake {
+pub enum TimerEvent {
     /// A timer of the decision module.
     Module(TimerId),
     /// The client of a request has stopped waiting.
@@ -57,25 +57,25 @@
 
 /// Names a deadline, to take it back.
 #[derive(Clone, Copy, Debug)]
-pub struct Handle(Due);
+pub struct TimerHandle(Due);
 
 /// Deadlines in order; those of one time in the order in which they were set.
 #[derive(Debug, Default)]
-pub struct Deadlines {
-    due: BTreeMap<Due, Wake>,
+pub struct TimerQueue {
+    due: BTreeMap<Due, TimerEvent>,
     next: u64,
 }
 
-impl Deadlines {
+impl TimerQueue {
     /// Sets a deadline.
-    pub fn set(&mut self, at: f64, wake: Wake) -> Handle {
+    pub fn set(&mut self, at: f64, wake: TimerEvent) -> TimerHandle {
         self.next += 1;
         let due = Due(at, self.next);
         self.due.insert(due, wake);
-        Handle(due)
+        TimerHandle(due)
     }
     /// Takes one back; nothing happens if it is past.
-    pub fn clear(&mut self, handle: Handle) {
+    pub fn clear(&mut self, handle: TimerHandle) {
         self.due.remove(&handle.0);
     }
     /// When the first one falls due.
@@ -83,7 +83,7 @@
         self.due.first_key_value().map(|(due, _)| due.0)
     }
     /// Takes the first one out if it is due.
-    pub fn pop(&mut self, now: f64) -> Option<Wake> {
+    pub fn pop(&mut self, now: f64) -> Option<TimerEvent> {
         let first = self.due.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -9,7 +9,7 @@
 use beamgap::node::front::closing::ClosingConnections;
 use beamgap::node::reactor::Owner;
 use beamgap::node::slab::Key;
-use beamgap::node::timer_queue::Deadlines;
+use beamgap::node::timer_queue::TimerQueue;
 use beamgap::{Attempt, ClassId, EngineEntry, EngineId, EngineState, ListKind, Outcome};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -84,12 +84,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let poll = mio::Poll::new().unwrap();
-        let (mut deadlines, mut heard, mut log) = (Deadlines::default(), Vec::new(), Vec::new());
+        let (mut timers, mut heard, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
         let mut closing = ClosingConnections::default();
         let mut cx = Cx {
             now: 0.0,
             registry: poll.registry(),
-            deadlines: &mut deadlines,
+            timers: &mut timers,
             closing: &mut closing,
             heard: &mut heard,
             log: &mut log,
@@ -112,13 +112,13 @@
     let [mut pool, _] = pools();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut poll = mio::Poll::new().unwrap();
-    let (mut deadlines, mut heard, mut log) = (Deadlines::default(), Vec::new(), Vec::new());
+    let (mut timers, mut heard, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
     let registry = poll.registry().try_clone().unwrap();
     let mut closing = ClosingConnections::default();
     let mut cx = Cx {
         now: 0.0,
         registry: &registry,
-        deadlines: &mut deadlines,
+        timers: &mut timers,
         closing: &mut closing,
         heard: &mut heard,
         log: &mut log,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 mod stage;
 
 use beamgap::node::discovery::Bulletin;
-use beamgap::node::timer_queue::Deadlines;
+use beamgap::node::timer_queue::TimerQueue;
 use beamgap::*;
 use common::{engine, list, member, ms, request, settings, Bench};
 use stage::Stage;
@@ -309,18 +309,18 @@
     let address = listener.local_addr().unwrap();
     let mut poll = mio::Poll::new().unwrap();
     let mut events = mio::Events::with_capacity(1024);
-    let mut all: Vec<(Bulletin, Deadlines, bool)> = (0..FRONTS)
+    let mut all: Vec<(Bulletin, TimerQueue, bool)> = (0..FRONTS)
         .map(|me| {
-            (Bulletin::new(address, Vec::new(), Vec::new(), 1, u64::from(me)), Deadlines::default(), false)
+            (Bulletin::new(address, Vec::new(), Vec::new(), 1, u64::from(me)), TimerQueue::default(), false)
         })
         .collect();
     let mut dials: Vec<usize> = Vec::new();
     for step in 0..150u32 {
         let now = f64::from(step) * 20.0;
-        for (bulletin, deadlines, begun) in &mut all {
-            if !*begun || deadlines.pop(now).is_some() {
+        for (bulletin, timers, begun) in &mut all {
+            if !*begun || timers.pop(now).is_some() {
                 *begun = true;
-                bulletin.look(now, poll.registry(), deadlines);
+                bulletin.look(now, poll.registry(), timers);
             }
         }
         // It takes each connection and ends it at once.
