--- a/src/node/backend/engine_registry.rs
+++ b/src/node/backend/engine_registry.rs
@@ -1,7 +1,7 @@
 //! Which engines there are and where, with the connections to each: shared by all backends.
 
 use crate::node::discovery::Listing;
-use crate::node::slab::Key;
+use crate::node::slab::SlotKey;
 use crate::{EngineId, EngineState, ListKind};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     /// Whether it takes work.
     pub state: EngineState,
     /// The connections to it.
-    pub links: Vec<Key>,
+    pub links: Vec<SlotKey>,
     /// How long a connection to it may be quiet and still be used, and until when that is believed.
     pub keeps: Option<(f64, f64)>,
     /// When a byte last came from it, on any connection.
@@ -27,7 +27,7 @@
 
 impl Roster {
     /// Takes news in; gives the connections that lead to nobody any more.
-    pub fn apply(&mut self, kind: ListKind, listings: &[Listing]) -> Vec<Key> {
+    pub fn apply(&mut self, kind: ListKind, listings: &[Listing]) -> Vec<SlotKey> {
         if kind != ListKind::Changes {
             let named: HashSet<&EngineId> = listings.iter().map(|l| &l.member.engine).collect();
             let gone = self.0.iter_mut().filter(|(id, _)| !named.contains(id));
@@ -82,7 +82,7 @@
     }
 
     /// The connections to an engine.
-    pub fn links(&self, id: &EngineId) -> &[Key] {
+    pub fn links(&self, id: &EngineId) -> &[SlotKey] {
         self.0.get(id).map_or(&[], |engine| &engine.links)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// A connection to an engine is no more.
-    pub fn unlink(&mut self, id: &EngineId, key: Key) {
+    pub fn unlink(&mut self, id: &EngineId, key: SlotKey) {
         if let Some(engine) = self.0.get_mut(id) {
             engine.links.retain(|link| *link != key);
         }
--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -4,7 +4,7 @@
 
 impl Warehouses {
     /// A socket has something to say.
-    pub fn ready(&mut self, key: Key, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         if !conn.up {
             match conn.link.connected() {
@@ -31,7 +31,7 @@
         self.flush(key, cx);
     }
 
-    pub(super) fn read(&mut self, key: Key, cx: &mut Cx) -> Result<(), Lost> {
+    pub(super) fn read(&mut self, key: SlotKey, cx: &mut Cx) -> Result<(), Lost> {
         loop {
             let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
             let before = conn.link.input.len();
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn line(&mut self, key: Key, line: Line<'_>, cx: &mut Cx) -> Result<(), Lost> {
+    pub(super) fn line(&mut self, key: SlotKey, line: Line<'_>, cx: &mut Cx) -> Result<(), Lost> {
         let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
         if matches!(line.word, "green" | "red") {
             // Either tells that the connection works; how the engine is, the list and the answers tell.
@@ -141,7 +141,7 @@
 
     /// Writes what the socket takes. The next `want` goes out only when all before it is written, so that a
     /// drain still finds it unsent.
-    pub(super) fn flush(&mut self, key: Key, cx: &mut Cx) {
+    pub(super) fn flush(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get_mut(key).filter(|conn| conn.up) else { return };
         loop {
             if conn.link.flush().is_err() {
--- a/src/node/backend/line_protocol/dial.rs
+++ b/src/node/backend/line_protocol/dial.rs
@@ -7,7 +7,13 @@
     /// that is spoilt or cut off takes all that is open on it along, so each is to carry little. What must not run
     /// twice goes by a new one where it can: one that was idle may be reset as the request comes, and nobody can tell
     /// whether it was read.
-    pub(super) fn choose(&mut self, id: &EngineId, name: &Arc<str>, once: bool, cx: &mut Cx) -> Option<Key> {
+    pub(super) fn choose(
+        &mut self,
+        id: &EngineId,
+        name: &Arc<str>,
+        once: bool,
+        cx: &mut Cx,
+    ) -> Option<SlotKey> {
         let keeps = self.roster.keeps(id, cx.now);
         let fits = |conn: &Conn| {
             let quiet = cx.now - conn.used > keeps;
@@ -18,7 +24,7 @@
         };
         let fitting =
             self.roster.links(id).iter().copied().filter(|key| self.conns.get(*key).is_some_and(fits));
-        let load = |key: &Key| self.conns.get(*key).map_or(0, Conn::load);
+        let load = |key: &SlotKey| self.conns.get(*key).map_or(0, Conn::load);
         let least = fitting.min_by_key(load);
         let spare = self.conns.len() < self.sockets;
         match least {
@@ -27,19 +33,19 @@
         }
     }
 
-    pub(super) fn dial(&mut self, id: &EngineId, cx: &mut Cx) -> Option<Key> {
+    pub(super) fn dial(&mut self, id: &EngineId, cx: &mut Cx) -> Option<SlotKey> {
         if self.conns.len() >= self.sockets {
             let idle = self.conns.iter().find(|(_, conn)| conn.load() == 0).map(|(key, _)| key)?;
             self.lose(idle, Outcome::Reset, cx);
         }
         if self.roster.links(id).len() >= self.links_most {
             self.links_vain = true;
-            let idle = |key: &Key| self.conns.get(*key).is_some_and(|conn| conn.load() == 0);
+            let idle = |key: &SlotKey| self.conns.get(*key).is_some_and(|conn| conn.load() == 0);
             let idle = self.roster.links(id).iter().copied().find(idle)?;
             self.lose(idle, Outcome::Reset, cx);
         }
         let engine = self.roster.get_mut(id)?;
-        let link = Link::dial(engine.address)
+        let link = BufferedSocket::dial(engine.address)
             .map_err(|e| cx.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
         let (since, heard) = (cx.now, cx.now);
@@ -62,7 +68,7 @@
         });
         engine.links.push(key);
         trace!(target: ACCOUNT, "dial: engine={} links={} all={}", id.0, engine.links.len(), self.conns.len());
-        let watched = self.conns.get_mut(key)?.link.watch(cx.registry, Owner::Warehouse(key));
+        let watched = self.conns.get_mut(key)?.link.watch(cx.registry, SocketOwner::Warehouse(key));
         if watched.is_err() {
             self.lose(key, Outcome::ConnectFailed, cx);
             return None;
@@ -73,7 +79,7 @@
 
     /// A dial that is not up yet. What waits behind it goes on by a connection that is, if there is one: that one dial
     /// is late says nothing of an engine that talks on another. After the time for connecting it has failed.
-    pub(super) fn look_at_dial(&mut self, key: Key, cx: &mut Cx) {
+    pub(super) fn look_at_dial(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         let since = conn.since;
         if cx.now - since >= self.dial_ms {
@@ -89,7 +95,7 @@
     }
 
     /// Of an engine's connections that are up and have carried something since then, the least loaded that fits.
-    pub(super) fn in_use(&self, id: &EngineId, want: &Want, since: f64) -> Option<Key> {
+    pub(super) fn in_use(&self, id: &EngineId, want: &Want, since: f64) -> Option<SlotKey> {
         let fits = |conn: &Conn| {
             let clean = !conn.spent.contains(&want.name) && !conn.open.contains_key(&want.name);
             let lives = conn.up && conn.heard >= since && conn.asked.is_none();
@@ -102,7 +108,7 @@
     }
 
     /// Puts a `want` of which no byte is written onto another connection.
-    pub(super) fn hand_over(&mut self, want: Want, to: Key, cx: &mut Cx) {
+    pub(super) fn hand_over(&mut self, want: Want, to: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get_mut(to) else { return };
         self.placed.insert(want.at, (to, want.name.clone()));
         conn.wants.push_back(want);
@@ -111,7 +117,7 @@
 
     /// Guards against connections that die unseen while they are quiet, as behind a box that forgets them: the next
     /// request on such a one is reset at once, read or not. What one showed holds for the engine's others.
-    pub(super) fn learn_keeps(&mut self, key: Key, cx: &mut Cx) {
+    pub(super) fn learn_keeps(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get(key).filter(|conn| !conn.open.is_empty()) else { return };
         let known = self.roster.keeps(&conn.engine, cx.now);
         let Some(engine) = self.roster.get_mut(&conn.engine) else { return };
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -9,8 +9,8 @@
 use super::Cx;
 use crate::node::discovery::Listing;
 use crate::node::dispatcher::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
-use crate::node::reactor::{Link, Owner, ReadEnd};
-use crate::node::slab::{Key, Slots};
+use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::{settings, EngineId, ListKind, LoadReport, Micros, Outcome, Progress, TrueCost};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 struct Conn {
     engine: EngineId,
-    link: Link,
+    link: BufferedSocket,
     up: bool,
     /// It did not come up in its time.
     late: bool,
@@ -90,7 +90,7 @@
     }
 
     /// Sets the one look to come.
-    fn look_at(&mut self, at: f64, key: Key, timers: &mut TimerQueue) {
+    fn look_at(&mut self, at: f64, key: SlotKey, timers: &mut TimerQueue) {
         self.next_look.take().into_iter().for_each(|before| timers.clear(before));
         self.next_look = Some(timers.set(at, TimerEvent::Backend(key)));
     }
@@ -102,9 +102,9 @@
     /// Not a byte of it was written.
     TakenBack,
     /// The engine is told on this connection.
-    Told(Key),
+    Told(SlotKey),
     /// A part of it waits to be written, alone on this connection.
-    Stuck(Key),
+    Stuck(SlotKey),
     /// It is not known any more.
     Gone,
 }
@@ -122,8 +122,8 @@
     links_vain: bool,
     tags: u64,
     roster: Roster,
-    conns: Slots<Conn>,
-    placed: HashMap<AttemptRef, (Key, Arc<str>)>,
+    conns: Slab<Conn>,
+    placed: HashMap<AttemptRef, (SlotKey, Arc<str>)>,
 }
 
 impl Warehouses {
@@ -146,7 +146,7 @@
             links_vain: false,
             tags: 0,
             roster: Roster::default(),
-            conns: Slots::default(),
+            conns: Slab::default(),
             placed: HashMap::new(),
         }
     }
@@ -173,7 +173,7 @@
     }
 
     /// Ends what waits unwritten on a connection: turned away unseen.
-    fn take_back(&mut self, key: Key, cx: &mut Cx) {
+    fn take_back(&mut self, key: SlotKey, cx: &mut Cx) {
         let wants = self.conns.get_mut(key).map(|conn| std::mem::take(&mut conn.wants));
         for want in wants.into_iter().flatten() {
             self.placed.remove(&want.at);
@@ -198,7 +198,7 @@
         cx.heard.push(Heard::Ended(Ended::bare(at, outcome)));
     }
 
-    fn queue(&mut self, key: Key, start: Start, once: bool, cx: &mut Cx) {
+    fn queue(&mut self, key: SlotKey, start: Start, once: bool, cx: &mut Cx) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         let class = self.classes.get(start.class.0).map_or("", |(name, _)| name);
         let mut head = format!("want {} profile={class},max={}", start.name, start.max_ms.floor().max(1.0));
@@ -290,7 +290,7 @@
 
     /// Drops a connection. What was sent on it ends as `outcome` says. What was not never ran: it goes on by another
     /// connection, since one that breaks says nothing of the warehouse, or ends so if there was none in time.
-    fn lose(&mut self, key: Key, outcome: Outcome, cx: &mut Cx) {
+    fn lose(&mut self, key: SlotKey, outcome: Outcome, cx: &mut Cx) {
         let Some(conn) = self.conns.remove(key) else { return };
         let (id, up, ms) = (&conn.engine.0, conn.up, cx.now - conn.since);
         trace!(target: ACCOUNT, "close: engine={id} up={up} ms={ms:.1} load={}", conn.load());
@@ -322,7 +322,7 @@
     }
 
     /// Looks after a connection: is it up in time, does it still answer, has it long been idle?
-    pub fn look(&mut self, key: Key, cx: &mut Cx) {
+    pub fn look(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         if !conn.up {
             return self.look_at_dial(key, cx);
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -10,8 +10,8 @@
 use crate::node::discovery::Listing;
 use crate::node::dispatcher::{Answer, AttemptRef, Bound, Ended, Heard, Payload, Start};
 use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
-use crate::node::reactor::{Link, Owner, ReadEnd};
-use crate::node::slab::{Key, Slots};
+use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::TimerEvent;
 use crate::{EngineId, ListKind, Outcome};
 use mysql_common::constants::Command;
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 struct Conn {
     engine: EngineId,
-    link: Link,
+    link: BufferedSocket,
     phase: Phase,
     since: f64,
     used: f64,
@@ -97,8 +97,8 @@
     sockets: usize,
     answers_most: usize,
     roster: Roster,
-    conns: Slots<Conn>,
-    placed: HashMap<AttemptRef, Key>,
+    conns: Slab<Conn>,
+    placed: HashMap<AttemptRef, SlotKey>,
 }
 
 /// What becomes of a connection after a packet.
@@ -124,7 +124,7 @@
             sockets,
             answers_most,
             roster: Roster::default(),
-            conns: Slots::default(),
+            conns: Slab::default(),
             placed: HashMap::new(),
         }
     }
@@ -169,14 +169,16 @@
     }
 
     /// An idle connection, best one on which the statement is prepared already.
-    fn idle(&self, engine: &EngineId, job: &Job) -> Option<Key> {
+    fn idle(&self, engine: &EngineId, job: &Job) -> Option<SlotKey> {
         let text = text_of(&job.payload);
-        let idle = |key: &&Key| self.conns.get(**key).is_some_and(|conn| matches!(conn.phase, Phase::Idle));
-        let known = |key: &&Key| self.conns.get(**key).is_some_and(|conn| conn.prepared.contains_key(&text));
+        let idle =
+            |key: &&SlotKey| self.conns.get(**key).is_some_and(|conn| matches!(conn.phase, Phase::Idle));
+        let known =
+            |key: &&SlotKey| self.conns.get(**key).is_some_and(|conn| conn.prepared.contains_key(&text));
         self.roster.links(engine).iter().filter(idle).max_by_key(known).copied()
     }
 
-    fn take(&mut self, key: Key, job: Job, cx: &mut Cx) {
+    fn take(&mut self, key: SlotKey, job: Job, cx: &mut Cx) {
         self.placed.insert(job.at, key);
         let Some(conn) = self.conns.get_mut(key) else { return };
         conn.job = Some(job);
@@ -186,14 +188,14 @@
         }
     }
 
-    fn dial(&mut self, id: &EngineId, cx: &mut Cx) -> Option<Key> {
+    fn dial(&mut self, id: &EngineId, cx: &mut Cx) -> Option<SlotKey> {
         if self.conns.len() >= self.sockets {
             let idle = self.conns.iter().find(|(_, conn)| matches!(conn.phase, Phase::Idle));
             let idle = idle.map(|(key, _)| key)?;
             self.lose(idle, Outcome::Reset, cx);
         }
         let engine = self.roster.get_mut(id)?;
-        let link = Link::dial(engine.address)
+        let link = BufferedSocket::dial(engine.address)
             .map_err(|e| cx.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
         let key = self.conns.insert(Conn {
@@ -212,7 +214,7 @@
             answer: Vec::new(),
         });
         engine.links.push(key);
-        if self.conns.get_mut(key)?.link.watch(cx.registry, Owner::MysqlBox(key)).is_err() {
+        if self.conns.get_mut(key)?.link.watch(cx.registry, SocketOwner::MysqlBox(key)).is_err() {
             self.lose(key, Outcome::ConnectFailed, cx);
             return None;
         }
@@ -276,7 +278,7 @@
         }
     }
 
-    fn flush(&mut self, key: Key, cx: &mut Cx) {
+    fn flush(&mut self, key: SlotKey, cx: &mut Cx) {
         let broken = self.conns.get_mut(key).is_some_and(|conn| conn.link.flush().is_err());
         if broken {
             self.lose(key, Outcome::Reset, cx);
@@ -284,7 +286,7 @@
     }
 
     /// A socket has something to say.
-    pub fn ready(&mut self, key: Key, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         if matches!(conn.phase, Phase::Dialling) {
             match conn.link.connected() {
@@ -324,7 +326,7 @@
     }
 
     /// Ends the attempt on a connection, which is free again.
-    fn end(&mut self, key: Key, outcome: Outcome, answer: Option<Answer>, cx: &mut Cx) -> Next {
+    fn end(&mut self, key: SlotKey, outcome: Outcome, answer: Option<Answer>, cx: &mut Cx) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         conn.answer = Vec::new();
         if let Some(job) = conn.job.take() {
@@ -342,7 +344,7 @@
     }
 
     /// Drops a connection. An attempt that was sent on it ends as `outcome` says; one that was not never ran.
-    fn lose(&mut self, key: Key, outcome: Outcome, cx: &mut Cx) {
+    fn lose(&mut self, key: SlotKey, outcome: Outcome, cx: &mut Cx) {
         let Some(conn) = self.conns.remove(key) else { return };
         self.roster.unlink(&conn.engine, key);
         if let Some(number) = conn.kill {
@@ -356,7 +358,7 @@
     }
 
     /// Looks after a connection: did it come up in time, has it long been idle?
-    pub fn look(&mut self, key: Key, cx: &mut Cx) {
+    pub fn look(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get(key) else { return };
         let age = cx.now - conn.since;
         match conn.phase {
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl MysqlBoxes {
-    pub(super) fn packet(&mut self, key: Key, number: u8, body: &[u8], cx: &mut Cx) -> Next {
+    pub(super) fn packet(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         match &mut conn.phase {
             Phase::Dialling | Phase::Idle => Next::Lose, // Nothing was asked.
@@ -72,7 +72,7 @@
         }
     }
 
-    pub(super) fn greeting(&mut self, key: Key, number: u8, body: &[u8], cx: &mut Cx) -> Next {
+    pub(super) fn greeting(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> Next {
         if body.first() == Some(&0xff) {
             return self.error(key, body, cx);
         }
@@ -104,7 +104,7 @@
         Next::Go
     }
 
-    pub(super) fn login(&mut self, key: Key, number: u8, body: &[u8], cx: &mut Cx) -> Next {
+    pub(super) fn login(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         match body {
             [0, ..] => {
@@ -136,7 +136,7 @@
     }
 
     /// An error of the box: what it proves, and whether it is the client's to know.
-    pub(super) fn error(&mut self, key: Key, body: &[u8], cx: &mut Cx) -> Next {
+    pub(super) fn error(&mut self, key: SlotKey, body: &[u8], cx: &mut Cx) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         let code = mysql_packets::error_code(body).unwrap_or(0);
         let logged_in = !matches!(conn.phase, Phase::Greeting | Phase::Login);
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -4,8 +4,8 @@
 pub mod xds;
 
 use super::backend::Cx;
-use super::reactor::{Link, Owner, ReadEnd};
-use super::slab::{Key, Slots};
+use super::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use super::slab::{Slab, SlotKey};
 use super::timer_queue::TimerEvent;
 use crate::EngineStatus;
 use mio::net::TcpStream;
@@ -62,7 +62,7 @@
 }
 
 struct Conn {
-    link: Link,
+    link: BufferedSocket,
     kind: Kind,
     heard: f64,
     /// The last answer is written; only the other side's close is waited for.
@@ -71,7 +71,7 @@
 
 /// The connections of balancers and proxies.
 pub struct Control {
-    conns: Slots<Conn>,
+    conns: Slab<Conn>,
     cluster: String,
 }
 
@@ -144,7 +144,7 @@
 impl Control {
     /// Nobody has asked yet; xDS will tell of this cluster.
     pub fn new(cluster: String) -> Control {
-        Control { conns: Slots::default(), cluster }
+        Control { conns: Slab::default(), cluster }
     }
 
     /// Somebody has connected.
@@ -152,9 +152,10 @@
         if self.conns.len() >= CONNS_MOST {
             return; // Dropped: those that ask are few, and the descriptors are for clients and engines.
         }
-        let key = self.conns.insert(Conn { link: Link::new(stream), kind, heard: cx.now, last: false });
+        let key =
+            self.conns.insert(Conn { link: BufferedSocket::new(stream), kind, heard: cx.now, last: false });
         let Some(conn) = self.conns.get_mut(key) else { return };
-        if conn.link.watch(cx.registry, Owner::Control(key)).is_err() {
+        if conn.link.watch(cx.registry, SocketOwner::Control(key)).is_err() {
             self.conns.remove(key);
             return;
         }
@@ -167,14 +168,14 @@
     }
 
     /// A socket has something to say.
-    pub fn ready(&mut self, key: Key, view: &View, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, view: &View, cx: &mut Cx) {
         if self.step(key, view, cx).is_none() {
             self.conns.remove(key);
         }
     }
 
     /// `None` when the connection is done with.
-    fn step(&mut self, key: Key, view: &View, cx: &mut Cx) -> Option<()> {
+    fn step(&mut self, key: SlotKey, view: &View, cx: &mut Cx) -> Option<()> {
         let conn = self.conns.get_mut(key)?;
         conn.heard = cx.now;
         conn.link.flush().ok()?;
@@ -217,7 +218,7 @@
     }
 
     /// Lets those go that have been silent for long.
-    pub fn look(&mut self, key: Key, cx: &mut Cx) {
+    pub fn look(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(conn) = self.conns.get(key) else { return };
         if cx.now - conn.heard >= IDLE_MS {
             self.conns.remove(key);
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -3,7 +3,7 @@
 //! whole fleet loses it at once.
 
 use super::clock::to_micros;
-use super::reactor::{Link, Owner, ReadEnd};
+use super::reactor::{BufferedSocket, ReadEnd, SocketOwner};
 use super::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::mix;
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
@@ -109,7 +109,7 @@
     zones: Vec<String>,
     kinds: Vec<String>,
     last: u64,
-    link: Option<Link>,
+    link: Option<BufferedSocket>,
     greeted: bool,
     generation: u32,
     heard: f64,
@@ -141,8 +141,10 @@
         if self.link.is_none() {
             self.generation = self.generation.wrapping_add(1);
             (self.greeted, self.heard) = (false, now);
-            self.link = Link::dial(self.address)
-                .and_then(|mut link| link.watch(registry, Owner::Bulletin(self.generation)).map(|()| link))
+            self.link = BufferedSocket::dial(self.address)
+                .and_then(|mut link| {
+                    link.watch(registry, SocketOwner::Bulletin(self.generation)).map(|()| link)
+                })
                 .ok();
             self.failed = (self.failed + 1).min(16);
         }
--- a/src/node/dispatcher/decisions.rs
+++ b/src/node/dispatcher/decisions.rs
@@ -19,7 +19,7 @@
 
     /// What a request that is given up hears. Guards against a load that may have run being sent again by its client
     /// on our word.
-    pub(super) fn given_up(&self, key: Key, backoff_ms: f64) -> Answer {
+    pub(super) fn given_up(&self, key: SlotKey, backoff_ms: f64) -> Answer {
         let may_have_run = self.open.get(key).is_some_and(|open| {
             let unsafe_class = self.settings.classes[open.ask.class.0].repeat == Repeat::Unsafe;
             unsafe_class && (open.may_have_run || open.out.is_some())
@@ -31,7 +31,7 @@
         }
     }
 
-    pub(super) fn key(&self, id: &RequestId) -> Option<Key> {
+    pub(super) fn key(&self, id: &RequestId) -> Option<SlotKey> {
         self.names.get(id).copied()
     }
 
--- a/src/node/dispatcher/message.rs
+++ b/src/node/dispatcher/message.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptRef {
     /// The request's slot.
-    pub request: Key,
+    pub request: SlotKey,
     /// Which attempt.
     pub attempt: Attempt,
 }
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -8,7 +8,7 @@
 mod shutdown;
 
 use super::clock::{from_micros, to_micros};
-use super::slab::{Key, Slots};
+use super::slab::{Slab, SlotKey};
 use super::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::fleet::admission::Admitted;
 use crate::fleet::budgets::HeldUnits;
@@ -78,9 +78,9 @@
     open_most: usize,
     payload_most: usize,
     payload: usize,
-    open: Slots<Open>,
-    names: HashMap<RequestId, Key>,
-    askers: HashMap<Asker, Key>,
+    open: Slab<Open>,
+    names: HashMap<RequestId, SlotKey>,
+    askers: HashMap<Asker, SlotKey>,
     recent_names: RecentNames,
     /// What the fleet's stocks still count, and until when: it may run on at an engine.
     lingering: Vec<(f64, Rc<HeldUnits>)>,
@@ -110,7 +110,7 @@
             open_most,
             payload_most,
             payload: 0,
-            open: Slots::default(),
+            open: Slab::default(),
             names: HashMap::new(),
             askers: HashMap::new(),
             lingering: Vec::new(),
@@ -217,7 +217,7 @@
     }
 
     /// A client has stopped waiting. The decision module has answered by now as a rule; if not, the core does.
-    pub fn request_over(&mut self, now: f64, key: Key, timers: &mut TimerQueue) {
+    pub fn request_over(&mut self, now: f64, key: SlotKey, timers: &mut TimerQueue) {
         let Some(open) = self.open.get(key) else { return };
         let id = RequestId(open.ask.name.clone());
         // Before its time only a graceful shutdown cuts it off.
@@ -328,7 +328,7 @@
     }
 
     /// Gives a request its final answer, unless it had one or the client is gone.
-    fn answer(&mut self, key: Key, answer: Answer) {
+    fn answer(&mut self, key: SlotKey, answer: Answer) {
         let Some(asker) = self.open.get_mut(key).and_then(|open| open.asker.take()) else { return };
         self.askers.remove(&asker);
         if let Some(open) = self.open.get(key) {
@@ -338,7 +338,7 @@
     }
 
     /// Drops a request that is answered and has nothing out.
-    fn forget(&mut self, key: Key, timers: &mut TimerQueue) {
+    fn forget(&mut self, key: SlotKey, timers: &mut TimerQueue) {
         let done = self.open.get(key).is_some_and(|open| open.asker.is_none() && open.out.is_none());
         if let Some(open) = done.then(|| self.open.remove(key)).flatten() {
             open.over.into_iter().for_each(|over| timers.clear(over));
--- a/src/node/dispatcher/request.rs
+++ b/src/node/dispatcher/request.rs
@@ -17,7 +17,7 @@
     /// By which front.
     pub front: Front,
     /// On which connection.
-    pub conn: Key,
+    pub conn: SlotKey,
     /// Under which number there.
     pub id: u64,
 }
--- a/src/node/dispatcher/shutdown.rs
+++ b/src/node/dispatcher/shutdown.rs
@@ -40,7 +40,7 @@
 
     /// Nobody waits for a request any more. Where the deployment lets nothing be called off, its attempt is still taken
     /// back if it has not begun.
-    pub(super) fn withdraw(&mut self, key: Key) {
+    pub(super) fn withdraw(&mut self, key: SlotKey) {
         let Some(out) = self.open.get(key).and_then(|open| open.out.as_ref()) else { return };
         if !self.settings.cancel {
             self.orders.push(Order::Withdraw(AttemptRef { request: key, attempt: out.attempt }));
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -29,10 +29,11 @@
         let now = self.clock.now();
         // What a poll finds at once may have come while the turn before was at work; what it waited for is fresh.
         let sent = if now - from < 0.2 { from } else { now } - TRANSIT_MS;
-        let ready = |event: &Event| Some((Owner::of(event.token())?, event.is_read_closed()));
-        let owners: Vec<(Owner, bool)> = self.events.iter().filter_map(ready).collect();
+        let ready = |event: &Event| Some((SocketOwner::of(event.token())?, event.is_read_closed()));
+        let owners: Vec<(SocketOwner, bool)> = self.events.iter().filter_map(ready).collect();
         // Those that flood come last: whoever has something new to say is heard first.
-        let again = again.into_iter().map(Owner::JsonRpc).chain(unread.into_iter().map(Owner::Closing));
+        let again =
+            again.into_iter().map(SocketOwner::JsonRpc).chain(unread.into_iter().map(SocketOwner::Closing));
         for (owner, read_closed) in owners.into_iter().chain(again.map(|owner| (owner, false))) {
             let now = self.clock.now();
             self.ready(owner, read_closed, now, sent);
@@ -47,30 +48,30 @@
     }
 
     /// A socket has something to say. `read_closed`: the other side has closed, whatever is left to read.
-    fn ready(&mut self, owner: Owner, read_closed: bool, now: f64, sent: f64) {
+    fn ready(&mut self, owner: SocketOwner, read_closed: bool, now: f64, sent: f64) {
         let mut heard = Vec::new();
-        if let Owner::Control(_) | Owner::Fixed(HTTP_LISTENER | AGENT_LISTENER) = owner {
+        if let SocketOwner::Control(_) | SocketOwner::Fixed(HTTP_LISTENER | AGENT_LISTENER) = owner {
             return self.control_ready(owner, now);
         }
         let Node { poll, timers, log, jsonrpc, mysql, warehouses, bulletin, closing, .. } = self;
         let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
         match owner {
-            Owner::Fixed(SIGNAL) => self.begin_shutdown(),
-            Owner::Fixed(RELOAD) => {} // Only ends the wait.
-            Owner::Fixed(LISTENER) => self.accept(Front::JsonRpc, now, sent, &mut heard),
-            Owner::Fixed(_) => self.accept(Front::Mysql, now, sent, &mut heard),
-            Owner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent, &mut cx),
-            Owner::Closing(key) => closing.ready(key, timers),
-            Owner::Warehouse(key) => warehouses.ready(key, &mut cx),
-            Owner::Bulletin(generation) => {
+            SocketOwner::Fixed(SIGNAL) => self.begin_shutdown(),
+            SocketOwner::Fixed(RELOAD) => {} // Only ends the wait.
+            SocketOwner::Fixed(LISTENER) => self.accept(Front::JsonRpc, now, sent, &mut heard),
+            SocketOwner::Fixed(_) => self.accept(Front::Mysql, now, sent, &mut heard),
+            SocketOwner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent, &mut cx),
+            SocketOwner::Closing(key) => closing.ready(key, timers),
+            SocketOwner::Warehouse(key) => warehouses.ready(key, &mut cx),
+            SocketOwner::Bulletin(generation) => {
                 let news = bulletin.as_mut().map(|b| b.ready(now, generation)).unwrap_or_default();
                 self.news(news, &mut heard);
             }
-            Owner::Mysql(key) => {
+            SocketOwner::Mysql(key) => {
                 mysql.iter_mut().for_each(|(front, _)| front.ready(key, read_closed, &mut cx));
             }
-            Owner::MysqlBox(key) => mysql.iter_mut().for_each(|(_, boxes)| boxes.ready(key, &mut cx)),
-            Owner::Control(_) => {} // Handled above.
+            SocketOwner::MysqlBox(key) => mysql.iter_mut().for_each(|(_, boxes)| boxes.ready(key, &mut cx)),
+            SocketOwner::Control(_) => {} // Handled above.
         }
         self.settle(heard);
     }
--- a/src/node/front/closing.rs
+++ b/src/node/front/closing.rs
@@ -4,8 +4,8 @@
 //! until it closes too. Closing a socket over unread bytes would reset the connection, and the client would lose the
 //! answer that was written just before.
 
-use crate::node::reactor::{Link, Owner, ReadEnd};
-use crate::node::slab::{Key, Slots};
+use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use mio::Registry;
 
@@ -19,7 +19,7 @@
 const READ_MOST: usize = 64 * 1024;
 
 struct ClosingConnection {
-    link: Link,
+    link: BufferedSocket,
     dropped_bytes: usize,
     is_shut_down: bool,
     deadline: TimerHandle,
@@ -28,8 +28,8 @@
 /// The connections that are being closed, of all fronts.
 #[derive(Default)]
 pub struct ClosingConnections {
-    connections: Slots<ClosingConnection>,
-    unread: Vec<Key>,
+    connections: Slab<ClosingConnection>,
+    unread: Vec<SlotKey>,
 }
 
 impl ClosingConnections {
@@ -44,7 +44,7 @@
     }
 
     /// Begins to close a connection. Its deadline is [`LINGER_MS`] from `now`.
-    pub fn add(&mut self, mut link: Link, now: f64, registry: &Registry, timers: &mut TimerQueue) {
+    pub fn add(&mut self, mut link: BufferedSocket, now: f64, registry: &Registry, timers: &mut TimerQueue) {
         link.used(link.input.len());
         let key = self.connections.insert_with(|key| ClosingConnection {
             link,
@@ -53,14 +53,14 @@
             deadline: timers.set(now + LINGER_MS, TimerEvent::ClosingConnection(key)),
         });
         let Some(connection) = self.connections.get_mut(key) else { return };
-        match connection.link.rewatch(registry, Owner::Closing(key)) {
+        match connection.link.rewatch(registry, SocketOwner::Closing(key)) {
             Ok(()) => self.ready(key, timers),
             Err(_) => self.remove(key, timers),
         }
     }
 
     /// The socket is readable or writable.
-    pub fn ready(&mut self, key: Key, timers: &mut TimerQueue) {
+    pub fn ready(&mut self, key: SlotKey, timers: &mut TimerQueue) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if connection.link.flush().is_err() {
             return self.remove(key, timers);
@@ -86,12 +86,12 @@
     }
 
     /// Connections of which more is to be read without an event of the poll.
-    pub fn take_unread(&mut self) -> Vec<Key> {
+    pub fn take_unread(&mut self) -> Vec<SlotKey> {
         std::mem::take(&mut self.unread)
     }
 
     /// The deadline of a connection has passed: it is closed whatever is unread.
-    pub fn expired(&mut self, key: Key) {
+    pub fn expired(&mut self, key: SlotKey) {
         self.connections.remove(key);
     }
 
@@ -102,7 +102,7 @@
         first.is_some()
     }
 
-    fn remove(&mut self, key: Key, timers: &mut TimerQueue) {
+    fn remove(&mut self, key: SlotKey, timers: &mut TimerQueue) {
         if let Some(connection) = self.connections.remove(key) {
             timers.clear(connection.deadline);
         }
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -26,7 +26,7 @@
 
 impl JsonRpc {
     /// Tells a client what is wrong with what it said.
-    pub(super) fn wrong(&mut self, key: Key, (id, (code, name), why): Wrong, cx: &mut Cx) {
+    pub(super) fn wrong(&mut self, key: SlotKey, (id, (code, name), why): Wrong, cx: &mut Cx) {
         if cx.now - self.told.1 >= 1000.0 {
             if self.told.0 > LOG_MOST {
                 cx.log.push(format!("bad message: {} more", self.told.0 - LOG_MOST));
@@ -44,7 +44,7 @@
         put(&mut client.link, &format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{error}}}"#));
     }
 
-    pub(super) fn message(&mut self, key: Key, message: Vec<u8>, sent: f64, cx: &mut Cx) {
+    pub(super) fn message(&mut self, key: SlotKey, message: Vec<u8>, sent: f64, cx: &mut Cx) {
         let asked = self.read(key, message, sent);
         let Some(client) = self.clients.get_mut(key) else { return };
         let on_new_connection = !client.asked;
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn read(&self, key: Key, message: Vec<u8>, sent: f64) -> Result<Asked, Wrong> {
+    pub(super) fn read(&self, key: SlotKey, message: Vec<u8>, sent: f64) -> Result<Asked, Wrong> {
         let value = json::read(message).map_err(|_| (None, PARSE, "not JSON"))?;
         let number = value.get("id").and_then(|id| id.as_u64()).filter(|id| *id > 0);
         let wrong = |what, why| Err((number, what, why));
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -8,8 +8,8 @@
 use crate::node::dispatcher::{Answer, Ask, Asker, Front, Heard, Payload};
 use crate::node::front::withdraw;
 use crate::node::json::{self, *};
-use crate::node::reactor::{heaviest, Link, Owner, ReadEnd};
-use crate::node::slab::{Key, Slots};
+use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::slab::{Slab, SlotKey};
 use crate::node::table_group;
 use crate::node::timer_queue::{TimerEvent, TimerHandle};
 use crate::{ClassId, Settings};
@@ -43,7 +43,7 @@
 const LOG_MOST: u32 = 20; // lines on bad messages a second; the rest are counted
 
 struct Client {
-    link: Link,
+    link: BufferedSocket,
     open: HashSet<u64>,
     /// The client has closed its side: nobody waits any more.
     ended: bool,
@@ -83,7 +83,7 @@
 
 /// The clients of the platform's front.
 pub struct JsonRpc {
-    clients: Slots<Client>,
+    clients: Slab<Client>,
     classes: HashMap<String, ClassId>,
     /// By class, whether it keeps the order of a key.
     ordered: Vec<bool>,
@@ -94,7 +94,7 @@
     total_most: usize,
     message_most: usize,
     /// Clients that have said more than one turn takes.
-    again: Vec<Key>,
+    again: Vec<SlotKey>,
     /// Lines on bad messages in this second, and the second.
     told: (u32, f64),
 }
@@ -109,7 +109,7 @@
         let budgets = settings.classes.iter().map(|c| FAR * c.deadline.as_millis()).collect();
         let message_most = (total_most / MESSAGE_PART).clamp(MESSAGE_LEAST, MESSAGE_MOST);
         JsonRpc {
-            clients: Slots::default(),
+            clients: Slab::default(),
             classes,
             ordered,
             key_pacing: KeyPacing::default(),
@@ -135,7 +135,7 @@
     /// A client has connected. `sent` is when what it has said already was sent at the latest.
     pub fn accept(&mut self, stream: TcpStream, sent: f64, cx: &mut Cx) {
         let client = Client {
-            link: Link::new(stream),
+            link: BufferedSocket::new(stream),
             open: HashSet::new(),
             ended: false,
             asked: false,
@@ -145,7 +145,7 @@
         };
         let key = self.clients.insert(client);
         let Some(client) = self.clients.get_mut(key) else { return };
-        match client.link.watch(cx.registry, Owner::JsonRpc(key)) {
+        match client.link.watch(cx.registry, SocketOwner::JsonRpc(key)) {
             Ok(()) => {
                 client.due = Some(cx.timers.set(cx.now + FIRST_MS, TimerEvent::Client(key)));
                 self.ready(key, false, sent, cx);
@@ -177,14 +177,14 @@
     }
 
     /// Clients that are to have another turn, after all others have had theirs.
-    pub fn take_again(&mut self) -> Vec<Key> {
+    pub fn take_again(&mut self) -> Vec<SlotKey> {
         std::mem::take(&mut self.again)
     }
 
     /// A socket has something to say. `sent` is when what it says was sent at the latest. One client says so much at
     /// a time: one that floods is not to keep the others waiting. `read_closed`: it has closed its side, which counts at
     /// once, however much of what it sent before is still to be read.
-    pub fn ready(&mut self, key: Key, read_closed: bool, sent: f64, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, read_closed: bool, sent: f64, cx: &mut Cx) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.link.flush().is_err() {
             return self.close(key, cx);
@@ -246,7 +246,7 @@
     }
 
     /// Writes what waits; lets a client go that has closed, or that takes nothing of what it is owed.
-    fn settle(&mut self, key: Key, cx: &mut Cx) {
+    fn settle(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.link.flush().is_err() || client.link.waiting() > OUT_MOST.min(self.total_most / 2) {
             self.close(key, cx);
@@ -256,7 +256,7 @@
     }
 
     /// A deadline of a client: it has never asked, stands in the middle of a message, or has had its last word.
-    pub fn due(&mut self, key: Key, cx: &mut Cx) {
+    pub fn due(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.due = None;
         match client.part {
@@ -267,23 +267,23 @@
     }
 
     /// Says why a client is let go, and lets it go.
-    fn turn_away(&mut self, key: Key, what: (i32, &'static str), why: &'static str, cx: &mut Cx) {
+    fn turn_away(&mut self, key: SlotKey, what: (i32, &'static str), why: &'static str, cx: &mut Cx) {
         self.wrong(key, (None, what, why), cx);
         self.leave(key, cx);
     }
 
     /// Withdraws what a client has open, and lets it read what is written before its connection is closed.
-    fn leave(&mut self, key: Key, cx: &mut Cx) {
+    fn leave(&mut self, key: SlotKey, cx: &mut Cx) {
         if let Some(client) = self.remove(key, cx) {
             cx.closing.add(client.link, cx.now, cx.registry, cx.timers);
         }
     }
 
-    fn close(&mut self, key: Key, cx: &mut Cx) {
+    fn close(&mut self, key: SlotKey, cx: &mut Cx) {
         drop(self.remove(key, cx));
     }
 
-    fn remove(&mut self, key: Key, cx: &mut Cx) -> Option<Client> {
+    fn remove(&mut self, key: SlotKey, cx: &mut Cx) -> Option<Client> {
         self.gone(key, cx);
         let mut client = self.clients.remove(key)?;
         client.due.take().into_iter().for_each(|due| cx.timers.clear(due));
@@ -291,7 +291,7 @@
     }
 
     /// Nobody waits any more for what is open on a connection.
-    fn gone(&mut self, key: Key, cx: &mut Cx) {
+    fn gone(&mut self, key: SlotKey, cx: &mut Cx) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let mut open: Vec<u64> = std::mem::take(&mut client.open).into_iter().collect();
         open.sort_unstable();
@@ -349,7 +349,7 @@
     }
 }
 
-fn put(link: &mut Link, text: &str) {
+fn put(link: &mut BufferedSocket, text: &str) {
     link.put(format!("Content-Length: {}\r\n\r\n", text.len()).as_bytes());
     link.put(text.as_bytes());
 }
--- a/src/node/front/mysql/login.rs
+++ b/src/node/front/mysql/login.rs
@@ -4,7 +4,7 @@
 
 impl MysqlFront {
     /// Takes a packet; `false` if the session is to end.
-    pub(super) fn packet(&mut self, key: Key, number: u8, body: &[u8], cx: &mut Cx) -> bool {
+    pub(super) fn packet(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> bool {
         match self.sessions.get(key).map(|session| session.phase) {
             Some(Phase::Greeted) => self.login(key, number, body),
             Some(Phase::Switched) => self.check(key, number, body),
@@ -13,7 +13,7 @@
         }
     }
 
-    pub(super) fn login(&mut self, key: Key, number: u8, body: &[u8]) -> bool {
+    pub(super) fn login(&mut self, key: SlotKey, number: u8, body: &[u8]) -> bool {
         let Some(session) = self.sessions.get_mut(key) else { return false };
         let Ok(response) = ParseBuf(body).parse::<HandshakeResponse>(()) else {
             session.wrong(number, MALFORMED);
@@ -39,7 +39,7 @@
         self.check(key, number, &scramble)
     }
 
-    pub(super) fn check(&mut self, key: Key, number: u8, scramble: &[u8]) -> bool {
+    pub(super) fn check(&mut self, key: SlotKey, number: u8, scramble: &[u8]) -> bool {
         let Some(session) = self.sessions.get_mut(key) else { return false };
         let account = self.settings.accounts.iter().find(|account| account.user.as_bytes() == session.user);
         let good = account.filter(|account| {
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -11,8 +11,8 @@
 use crate::node::dispatcher::{Answer, Ask, Asker, Bound, Front, Heard, Payload};
 use crate::node::front::withdraw;
 use crate::node::mysql_packets::{self, error, PACKET_MOST};
-use crate::node::reactor::{heaviest, Link, Owner, ReadEnd};
-use crate::node::slab::{Key, Slots};
+use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::slab::{Slab, SlotKey};
 use crate::node::table_group;
 use crate::node::timer_queue::TimerEvent;
 use crate::Repeat;
@@ -87,7 +87,7 @@
 }
 
 struct Session {
-    link: Link,
+    link: BufferedSocket,
     phase: Phase,
     nonce: [u8; 20],
     user: Vec<u8>,
@@ -121,7 +121,7 @@
     settings: MysqlSettings,
     /// Whether a class may be repeated, its time, and whether it keeps the order of a key.
     classes: Vec<(Repeat, f64, bool)>,
-    sessions: Slots<Session>,
+    sessions: Slab<Session>,
     connections: u32,
     total_most: usize,
 }
@@ -130,7 +130,7 @@
     /// A front without clients. What waits and is kept in all sessions is bounded by `total_most` bytes.
     pub fn new(settings: MysqlSettings, module: &Settings, total_most: usize) -> MysqlFront {
         let classes = module.classes.iter().map(|c| (c.repeat, c.deadline.as_millis(), c.in_order)).collect();
-        MysqlFront { settings, classes, sessions: Slots::default(), connections: 0, total_most }
+        MysqlFront { settings, classes, sessions: Slab::default(), connections: 0, total_most }
     }
 
     /// Connected clients.
@@ -147,7 +147,7 @@
     pub fn accept(&mut self, stream: TcpStream, cx: &mut Cx) {
         self.connections = self.connections.wrapping_add(1);
         let nonce = nonce();
-        let mut link = Link::new(stream);
+        let mut link = BufferedSocket::new(stream);
         let (first, rest) = nonce.split_at(8);
         let first: [u8; 8] = first.try_into().unwrap_or_default();
         let greeting = HandshakePacket::new(
@@ -177,7 +177,7 @@
             requests: 0,
         });
         let Some(session) = self.sessions.get_mut(key) else { return };
-        if session.link.watch(cx.registry, Owner::Mysql(key)).is_err() {
+        if session.link.watch(cx.registry, SocketOwner::Mysql(key)).is_err() {
             self.sessions.remove(key);
             return;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Lets a client go that has not logged in.
-    pub fn login_over(&mut self, key: Key, cx: &mut Cx) {
+    pub fn login_over(&mut self, key: SlotKey, cx: &mut Cx) {
         if self.sessions.get(key).is_some_and(|s| matches!(s.phase, Phase::Greeted | Phase::Switched)) {
             self.close(key, cx);
         }
@@ -194,7 +194,7 @@
 
     /// A socket has something to say, or a command may be taken again. A client that has closed its side is gone, however
     /// much it has sent before.
-    pub fn ready(&mut self, key: Key, read_closed: bool, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, read_closed: bool, cx: &mut Cx) {
         if read_closed {
             return self.close(key, cx);
         }
@@ -240,17 +240,17 @@
     }
 
     /// Lets a client go, which may first read what is written.
-    fn part(&mut self, key: Key, cx: &mut Cx) {
+    fn part(&mut self, key: SlotKey, cx: &mut Cx) {
         if let Some(session) = self.remove(key, cx) {
             cx.closing.add(session.link, cx.now, cx.registry, cx.timers);
         }
     }
 
-    fn close(&mut self, key: Key, cx: &mut Cx) {
+    fn close(&mut self, key: SlotKey, cx: &mut Cx) {
         drop(self.remove(key, cx));
     }
 
-    fn remove(&mut self, key: Key, cx: &mut Cx) -> Option<Session> {
+    fn remove(&mut self, key: SlotKey, cx: &mut Cx) -> Option<Session> {
         let session = self.sessions.remove(key)?;
         if matches!(session.phase, Phase::Busy(_)) {
             withdraw(Asker { front: Front::Mysql, conn: key, id: session.requests }, cx.heard);
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl MysqlFront {
-    pub(super) fn command(&mut self, key: Key, number: u8, body: &[u8], cx: &mut Cx) -> bool {
+    pub(super) fn command(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> bool {
         let Some(session) = self.sessions.get_mut(key) else { return false };
         let Some((command, rest)) = body.split_first() else {
             session.wrong(number, MALFORMED);
@@ -41,7 +41,7 @@
         true
     }
 
-    pub(super) fn query(&mut self, key: Key, number: u8, text: &[u8], cx: &mut Cx) {
+    pub(super) fn query(&mut self, key: SlotKey, number: u8, text: &[u8], cx: &mut Cx) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let words = statement::words(text);
         if words.first().is_some_and(|w| w == "USE") {
@@ -55,7 +55,7 @@
         self.ask(key, number, text.to_vec(), &words, None, cx);
     }
 
-    pub(super) fn execute(&mut self, key: Key, number: u8, rest: &[u8], cx: &mut Cx) {
+    pub(super) fn execute(&mut self, key: SlotKey, number: u8, rest: &[u8], cx: &mut Cx) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let Some((handle, after)) = rest.split_first_chunk::<4>() else {
             return session.wrong(number, MALFORMED);
@@ -78,7 +78,7 @@
     /// Hands a request to the core, under the class that the operator's rules give it.
     pub(super) fn ask(
         &mut self,
-        key: Key,
+        key: SlotKey,
         number: u8,
         text: Vec<u8>,
         words: &[String],
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -39,7 +39,7 @@
 use json::OwnedValue;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Waker};
-use reactor::Owner;
+use reactor::SocketOwner;
 use shutdown::{GracefulShutdown, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind};
@@ -107,7 +107,7 @@
 
     /// Watches a stream whose first byte asks for a graceful shutdown.
     pub fn watch_signal(&mut self, stream: &mut impl mio::event::Source) -> io::Result<()> {
-        self.poll.registry().register(stream, Owner::Fixed(SIGNAL).token(), Interest::READABLE)
+        self.poll.registry().register(stream, SocketOwner::Fixed(SIGNAL).token(), Interest::READABLE)
     }
 
     /// Ends a wait for sockets from another thread, so that a configuration read there is taken in at once.
@@ -115,7 +115,7 @@
         if let Some(waker) = &self.waker {
             return Ok(waker.clone());
         }
-        let waker = Arc::new(Waker::new(self.poll.registry(), Owner::Fixed(RELOAD).token())?);
+        let waker = Arc::new(Waker::new(self.poll.registry(), SocketOwner::Fixed(RELOAD).token())?);
         self.waker = Some(waker.clone());
         Ok(waker)
     }
@@ -249,11 +249,11 @@
         }
     }
 
-    fn control_ready(&mut self, owner: Owner, now: f64) {
+    fn control_ready(&mut self, owner: SocketOwner, now: f64) {
         let view = self.view();
         let Node { poll, timers, log, control, control_listeners, closing, .. } = self;
         let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut Vec::new(), log };
-        if let Owner::Control(key) = owner {
+        if let SocketOwner::Control(key) = owner {
             return control.ready(key, &view, &mut cx);
         }
         let listener = control_listeners.iter().find(|(kind, _)| control_token(*kind) == owner.token());
@@ -299,7 +299,7 @@
         Front::JsonRpc => LISTENER,
         Front::Mysql => MYSQL_LISTENER,
     };
-    Owner::Fixed(number).token()
+    SocketOwner::Fixed(number).token()
 }
 
 fn control_token(kind: Kind) -> mio::Token {
@@ -307,7 +307,7 @@
         Kind::Http => HTTP_LISTENER,
         Kind::Agent => AGENT_LISTENER,
     };
-    Owner::Fixed(number).token()
+    SocketOwner::Fixed(number).token()
 }
 
 fn millis(ms: f64) -> Duration {
--- a/src/node/reactor.rs
+++ b/src/node/reactor.rs
@@ -1,6 +1,6 @@
 //! Sockets under mio's poll: links with bounded buffers, and the tokens that name their owners.
 
-use super::slab::Key;
+use super::slab::SlotKey;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::io::{self, ErrorKind, Read, Write};
@@ -8,54 +8,54 @@
 
 /// Who owns a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owner {
+pub enum SocketOwner {
     /// A listener or the signal pipe, by its number.
     Fixed(u32),
     /// A client of the platform's front.
-    JsonRpc(Key),
+    JsonRpc(SlotKey),
     /// A client of the MySQL front.
-    Mysql(Key),
+    Mysql(SlotKey),
     /// A connection to a warehouse.
-    Warehouse(Key),
+    Warehouse(SlotKey),
     /// A connection to a box that speaks MySQL.
-    MysqlBox(Key),
+    MysqlBox(SlotKey),
     /// The connection to the bulletin, by its generation.
     Bulletin(u32),
     /// A balancer's check or an xDS client.
-    Control(Key),
+    Control(SlotKey),
     /// A client's connection that is being closed.
-    Closing(Key),
+    Closing(SlotKey),
 }
 
-impl Owner {
+impl SocketOwner {
     /// The token that names this owner: eight bits of kind, 24 of generation, 32 of slot.
     pub fn token(self) -> Token {
         let (kind, generation, slot) = match self {
-            Owner::Fixed(n) => (0, 0, n),
-            Owner::JsonRpc(key) => (1, key.generation, key.slot),
-            Owner::Mysql(key) => (2, key.generation, key.slot),
-            Owner::Warehouse(key) => (3, key.generation, key.slot),
-            Owner::MysqlBox(key) => (4, key.generation, key.slot),
-            Owner::Bulletin(n) => (5, 0, n),
-            Owner::Control(key) => (6, key.generation, key.slot),
-            Owner::Closing(key) => (7, key.generation, key.slot),
+            SocketOwner::Fixed(n) => (0, 0, n),
+            SocketOwner::JsonRpc(key) => (1, key.generation, key.slot),
+            SocketOwner::Mysql(key) => (2, key.generation, key.slot),
+            SocketOwner::Warehouse(key) => (3, key.generation, key.slot),
+            SocketOwner::MysqlBox(key) => (4, key.generation, key.slot),
+            SocketOwner::Bulletin(n) => (5, 0, n),
+            SocketOwner::Control(key) => (6, key.generation, key.slot),
+            SocketOwner::Closing(key) => (7, key.generation, key.slot),
         };
         Token((kind << 56) | ((generation as usize & 0x00ff_ffff) << 32) | slot as usize)
     }
 
     /// The owner that a token names.
-    pub fn of(token: Token) -> Option<Owner> {
+    pub fn of(token: Token) -> Option<SocketOwner> {
         let (slot, generation) = (token.0 as u32, (token.0 >> 32) as u32 & 0x00ff_ffff);
-        let key = Key { slot, generation };
+        let key = SlotKey { slot, generation };
         Some(match token.0 >> 56 {
-            0 => Owner::Fixed(slot),
-            1 => Owner::JsonRpc(key),
-            2 => Owner::Mysql(key),
-            3 => Owner::Warehouse(key),
-            4 => Owner::MysqlBox(key),
-            5 => Owner::Bulletin(slot),
-            6 => Owner::Control(key),
-            7 => Owner::Closing(key),
+            0 => SocketOwner::Fixed(slot),
+            1 => SocketOwner::JsonRpc(key),
+            2 => SocketOwner::Mysql(key),
+            3 => SocketOwner::Warehouse(key),
+            4 => SocketOwner::MysqlBox(key),
+            5 => SocketOwner::Bulletin(slot),
+            6 => SocketOwner::Control(key),
+            7 => SocketOwner::Closing(key),
             _ => return None,
         })
     }
@@ -63,7 +63,7 @@
 
 /// A connection with its buffers. What is read is bounded by the reader, what is written by whoever writes.
 #[derive(Debug)]
-pub struct Link {
+pub struct BufferedSocket {
     stream: TcpStream,
     /// What has come and is not yet used.
     pub input: Vec<u8>,
@@ -73,7 +73,7 @@
 }
 
 /// Sums up what waits on many links, and names the one on which the most does.
-pub fn heaviest(links: impl Iterator<Item = (usize, Key)>) -> (usize, Option<Key>) {
+pub fn heaviest(links: impl Iterator<Item = (usize, SlotKey)>) -> (usize, Option<SlotKey>) {
     let (mut total, mut most) = (0, (0, None));
     for (waiting, key) in links {
         total += waiting;
@@ -93,16 +93,16 @@
     Closed,
 }
 
-impl Link {
+impl BufferedSocket {
     /// A link on a connected stream.
-    pub fn new(stream: TcpStream) -> Link {
+    pub fn new(stream: TcpStream) -> BufferedSocket {
         // Small messages must not wait for an acknowledgement; where it can't be set they only come later.
         let _ = stream.set_nodelay(true);
-        Link { stream, input: Vec::new(), output: Vec::new(), written: 0, more: false }
+        BufferedSocket { stream, input: Vec::new(), output: Vec::new(), written: 0, more: false }
     }
-    /// Begins to connect; [`Link::connected`] tells how that goes.
-    pub fn dial(address: SocketAddr) -> io::Result<Link> {
-        TcpStream::connect(address).map(|stream| Link {
+    /// Begins to connect; [`BufferedSocket::connected`] tells how that goes.
+    pub fn dial(address: SocketAddr) -> io::Result<BufferedSocket> {
+        TcpStream::connect(address).map(|stream| BufferedSocket {
             stream,
             input: Vec::new(),
             output: Vec::new(),
@@ -111,11 +111,11 @@
         })
     }
     /// Has the poll watch it for its owner.
-    pub fn watch(&mut self, registry: &Registry, owner: Owner) -> io::Result<()> {
+    pub fn watch(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
         registry.register(&mut self.stream, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
     /// Has the poll watch it for another owner from now on.
-    pub fn rewatch(&mut self, registry: &Registry, owner: Owner) -> io::Result<()> {
+    pub fn rewatch(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
         registry.reregister(&mut self.stream, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
     /// Whether a dialled link is up: `None` while it is not known.
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -49,7 +49,7 @@
         let mut waker = None;
         let admission = match &config.fleet {
             Some(fleet) => {
-                let wakes = Arc::new(Waker::new(poll.registry(), Owner::Fixed(RELOAD).token())?);
+                let wakes = Arc::new(Waker::new(poll.registry(), SocketOwner::Fixed(RELOAD).token())?);
                 waker = Some(wakes.clone());
                 // Where the loop can't be woken, it looks by itself when the next question is due.
                 let wake = move || drop(wakes.wake());
--- a/src/node/timer_queue.rs
+++ b/src/node/timer_queue.rs
@@ -1,6 +1,6 @@
 //! The one ordered structure that all deadlines hang in.
 
-use super::slab::Key;
+use super::slab::SlotKey;
 use crate::{Attempt, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -11,23 +11,23 @@
     /// A timer of the decision module.
     Module(TimerId),
     /// The client of a request has stopped waiting.
-    RequestOver(Key),
+    RequestOver(SlotKey),
     /// An attempt has had its time.
-    AttemptOver(Key, Attempt),
+    AttemptOver(SlotKey, Attempt),
     /// A backend connection: is it up, does it still answer, is it idle?
-    Backend(Key),
+    Backend(SlotKey),
     /// A connection to a box of the MySQL kind: likewise.
-    MysqlBox(Key),
+    MysqlBox(SlotKey),
     /// The bulletin: connect, or see whether it has fallen silent.
     Bulletin,
     /// A client connection of the platform's front that has not asked, stands in mid-message, or is let go.
-    Client(Key),
+    Client(SlotKey),
     /// A client connection that is being closed.
-    ClosingConnection(Key),
+    ClosingConnection(SlotKey),
     /// A client connection of the MySQL front that has not logged in.
-    MysqlLogin(Key),
+    MysqlLogin(SlotKey),
     /// A connection of a balancer's check or of an xDS client.
-    Control(Key),
+    Control(SlotKey),
     /// Time to see whether proxies are to be told anything.
     Xds,
     /// The right to admit is to be renewed.
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -7,8 +7,8 @@
 use beamgap::node::discovery::Listing;
 use beamgap::node::dispatcher::{AttemptRef, Front, Heard, Payload, Start};
 use beamgap::node::front::closing::ClosingConnections;
-use beamgap::node::reactor::Owner;
-use beamgap::node::slab::Key;
+use beamgap::node::reactor::SocketOwner;
+use beamgap::node::slab::SlotKey;
 use beamgap::node::timer_queue::TimerQueue;
 use beamgap::{Attempt, ClassId, EngineEntry, EngineId, EngineState, ListKind, Outcome};
 use std::io::Read;
@@ -57,7 +57,7 @@
 
 fn start(number: u32) -> Start {
     Start {
-        attempt: AttemptRef { request: Key { slot: number, generation: 0 }, attempt: Attempt(0) },
+        attempt: AttemptRef { request: SlotKey { slot: number, generation: 0 }, attempt: Attempt(0) },
         front: Front::JsonRpc,
         name: Arc::from(format!("r{number}")),
         class: ClassId(0),
@@ -133,8 +133,8 @@
     let mut got = [0; 5];
     while !next.iter_mut().any(|(stream, _): &mut (std::net::TcpStream, _)| stream.read(&mut got).is_ok()) {
         poll.poll(&mut events, Some(std::time::Duration::from_millis(5))).unwrap();
-        for owner in events.iter().filter_map(|event| Owner::of(event.token())) {
-            let Owner::Warehouse(key) = owner else { panic!("{owner:?}") };
+        for owner in events.iter().filter_map(|event| SocketOwner::of(event.token())) {
+            let SocketOwner::Warehouse(key) = owner else { panic!("{owner:?}") };
             pool.ready(key, &mut cx);
         }
         next = next.or_else(|| listener.accept().ok());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -332,8 +332,8 @@
         dials.push(came);
         poll.poll(&mut events, Some(std::time::Duration::ZERO)).unwrap();
         for event in &events {
-            if let Some(beamgap::node::reactor::Owner::Bulletin(generation)) =
-                beamgap::node::reactor::Owner::of(event.token())
+            if let Some(beamgap::node::reactor::SocketOwner::Bulletin(generation)) =
+                beamgap::node::reactor::SocketOwner::of(event.token())
             {
                 all.iter_mut().for_each(|(bulletin, ..)| drop(bulletin.ready(now, generation)));
             }
