--- a/src/node/backend/engine_registry.rs
+++ b/src/node/backend/engine_registry.rs
@@ -1,6 +1,6 @@
 //! Which engines there are and where, with the connections to each: shared by all backends.
 
-use crate::node::discovery::Listing;
+use crate::node::discovery::ListedEngine;
 use crate::node::slab::SlotKey;
 use crate::{EngineId, EngineState, ListKind};
 use std::collections::{BTreeMap, HashSet};
@@ -23,11 +23,11 @@
 
 /// The engines by id. An address may pass from one id to another; nothing is keyed by it.
 #[derive(Debug, Default)]
-pub struct Roster(BTreeMap<EngineId, Engine>);
+pub struct EngineRegistry(BTreeMap<EngineId, Engine>);
 
-impl Roster {
+impl EngineRegistry {
     /// Takes news in; gives the connections that lead to nobody any more.
-    pub fn apply(&mut self, kind: ListKind, listings: &[Listing]) -> Vec<SlotKey> {
+    pub fn apply(&mut self, kind: ListKind, listings: &[ListedEngine]) -> Vec<SlotKey> {
         if kind != ListKind::Changes {
             let named: HashSet<&EngineId> = listings.iter().map(|l| &l.member.engine).collect();
             let gone = self.0.iter_mut().filter(|(id, _)| !named.contains(id));
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -5,9 +5,9 @@
 mod dial;
 mod wire;
 
-use super::engine_registry::Roster;
+use super::engine_registry::EngineRegistry;
 use super::Cx;
-use crate::node::discovery::Listing;
+use crate::node::discovery::ListedEngine;
 use crate::node::dispatcher::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
 use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
@@ -121,7 +121,7 @@
     links_most: usize,
     links_vain: bool,
     tags: u64,
-    roster: Roster,
+    roster: EngineRegistry,
     conns: Slab<Conn>,
     placed: HashMap<AttemptRef, (SlotKey, Arc<str>)>,
 }
@@ -145,14 +145,14 @@
             links_most: LINKS_MOST,
             links_vain: false,
             tags: 0,
-            roster: Roster::default(),
+            roster: EngineRegistry::default(),
             conns: Slab::default(),
             placed: HashMap::new(),
         }
     }
 
     /// News of the list. What waits behind a dial to a warehouse that takes no new work is taken back.
-    pub fn members(&mut self, kind: ListKind, listings: &[Listing], cx: &mut Cx) {
+    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], cx: &mut Cx) {
         for key in self.roster.apply(kind, listings) {
             self.lose(key, Outcome::Reset, cx);
         }
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -1,13 +1,13 @@
 //! Boxes that speak MySQL: logging in, preparing a statement on whichever box runs its next execution, and what
 //! each end proves. A connection carries one attempt at a time.
 
-use super::engine_registry::Roster;
+use super::engine_registry::EngineRegistry;
 use super::Cx;
 mod connection;
 mod wire;
 
 use crate::node::config::MysqlSettings;
-use crate::node::discovery::Listing;
+use crate::node::discovery::ListedEngine;
 use crate::node::dispatcher::{Answer, AttemptRef, Bound, Ended, Heard, Payload, Start};
 use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
 use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
@@ -96,7 +96,7 @@
     idle_ms: f64,
     sockets: usize,
     answers_most: usize,
-    roster: Roster,
+    roster: EngineRegistry,
     conns: Slab<Conn>,
     placed: HashMap<AttemptRef, SlotKey>,
 }
@@ -123,14 +123,14 @@
             idle_ms: idle_ms * IDLE_PART,
             sockets,
             answers_most,
-            roster: Roster::default(),
+            roster: EngineRegistry::default(),
             conns: Slab::default(),
             placed: HashMap::new(),
         }
     }
 
     /// News of the list. What a box that takes no new work has not been sent yet is taken back.
-    pub fn members(&mut self, kind: ListKind, listings: &[Listing], cx: &mut Cx) {
+    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], cx: &mut Cx) {
         for key in self.roster.apply(kind, listings) {
             self.lose(key, Outcome::Reset, cx);
         }
--- a/src/node/config/initial_list.rs
+++ b/src/node/config/initial_list.rs
@@ -1,13 +1,13 @@
 //! The bulletin's events of the start, in JSON.
 
-use crate::node::discovery::{Listing, News};
+use crate::node::discovery::{ListEvent, ListedEngine};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use crate::node::section::{address, wrong, ReadResult};
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
 use std::sync::Arc;
 
 /// Reads `known`: the bulletin's events so far, in JSON.
-pub(super) fn read_known(known: &OwnedValue) -> ReadResult<Vec<News>> {
+pub(super) fn read_known(known: &OwnedValue) -> ReadResult<Vec<ListEvent>> {
     let Some(items) = known.get("items").and_then(|items| items.as_array()) else {
         return wrong("known.items", "is not a list");
     };
@@ -31,12 +31,12 @@
             (true, false) => ListKind::Full,
             (false, _) => ListKind::Changes,
         };
-        news.push(News { number, kind, listings });
+        news.push(ListEvent { number, kind, listings });
     }
     Ok(news)
 }
 
-fn read_target(target: &OwnedValue, path: &str) -> ReadResult<Listing> {
+fn read_target(target: &OwnedValue, path: &str) -> ReadResult<ListedEngine> {
     let at = |key: &str| format!("{path}.{key}");
     let text = |key: &str| match target.get(key).and_then(|v| v.as_str()) {
         Some(text) => Ok(text),
@@ -49,7 +49,7 @@
         "terminated" => EngineState::Removed,
         other => return wrong(&at("state"), format!("is '{other}'")),
     };
-    Ok(Listing {
+    Ok(ListedEngine {
         address: address(text("endpoint")?, &at("endpoint"))?,
         member: EngineEntry {
             engine: EngineId(Arc::from(text("uid")?)),
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -8,7 +8,7 @@
 mod schema;
 mod xds;
 
-use super::discovery::News;
+use super::discovery::ListEvent;
 use super::json::{self, OwnedValue, ValueAsObject, ValueAsScalar, ValueObjectAccess};
 use super::operator;
 use super::section::{address, text_of, wrong, ReadResult};
@@ -63,7 +63,7 @@
     /// Where the bulletin is, if there is one.
     pub bulletin: Option<SocketAddr>,
     /// The news of the start.
-    pub known: Vec<News>,
+    pub known: Vec<ListEvent>,
     /// The number of the last event that the news of the start covers.
     pub last: u64,
     /// The settings of the decision module.
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -23,7 +23,7 @@
 
 /// A warehouse as listed, with its address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct ListedEngine {
     /// What the decision module is told.
     pub member: EngineEntry,
     /// Where it listens.
@@ -32,13 +32,13 @@
 
 /// One event of the bulletin.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListEvent {
     /// Its number.
     pub number: u64,
     /// How its list is to be read.
     pub kind: ListKind,
     /// The entries.
-    pub listings: Vec<Listing>,
+    pub listings: Vec<ListedEngine>,
 }
 
 /// A frame that can't be read: the connection is of no more use.
@@ -50,7 +50,7 @@
     bytes: &[u8],
     zones: &[String],
     kinds: &[String],
-) -> Result<Option<(usize, Option<News>)>, BadFrame> {
+) -> Result<Option<(usize, Option<ListEvent>)>, BadFrame> {
     let Some(length) = bytes.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) else {
         return Ok(None);
     };
@@ -71,14 +71,14 @@
     }
     let listings =
         records.chunks_exact(RECORD).map(|r| record(r, zones, kinds)).collect::<Result<Vec<_>, _>>()?;
-    Ok(Some((4 + length, Some(News { number, kind, listings }))))
+    Ok(Some((4 + length, Some(ListEvent { number, kind, listings }))))
 }
 
 fn unsigned(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-fn record(r: &[u8], zones: &[String], kinds: &[String]) -> Result<Listing, BadFrame> {
+fn record(r: &[u8], zones: &[String], kinds: &[String]) -> Result<ListedEngine, BadFrame> {
     let name = |list: &[String], place: u8| list.get(usize::from(place)).cloned().unwrap_or_default();
     let state = match r[10] {
         0 => EngineState::Serving,
@@ -88,7 +88,7 @@
     };
     let started = unsigned(&r[19..27]);
     let address = Ipv4Addr::from(unsigned(&r[4..8]) as u32);
-    Ok(Listing {
+    Ok(ListedEngine {
         address: SocketAddr::from((address, unsigned(&r[8..10]) as u16)),
         member: EngineEntry {
             engine: EngineId(Arc::from(format!("s-{:08x}", unsigned(&r[..4])))),
@@ -104,7 +104,7 @@
 
 /// The connection to the bulletin.
 #[derive(Debug)]
-pub struct Bulletin {
+pub struct DiscoveryClient {
     address: SocketAddr,
     zones: Vec<String>,
     kinds: Vec<String>,
@@ -119,7 +119,7 @@
     random: u64,
 }
 
-impl Bulletin {
+impl DiscoveryClient {
     /// A bulletin not yet connected to; `last` is the number of the last event had, `seed` feeds the pauses' draws.
     pub fn new(
         address: SocketAddr,
@@ -127,10 +127,22 @@
         kinds: Vec<String>,
         last: u64,
         seed: u64,
-    ) -> Bulletin {
+    ) -> DiscoveryClient {
         let (link, greeted, generation, heard, next_look) = (None, false, 0, 0.0, None);
         let (failed, random) = (0, seed);
-        Bulletin { address, zones, kinds, last, link, greeted, generation, heard, next_look, failed, random }
+        DiscoveryClient {
+            address,
+            zones,
+            kinds,
+            last,
+            link,
+            greeted,
+            generation,
+            heard,
+            next_look,
+            failed,
+            random,
+        }
     }
 
     /// Connects where there is no connection, drops one that has fallen silent, and comes back.
@@ -172,9 +184,9 @@
         &mut self,
         now: f64,
         address: SocketAddr,
-        known: Vec<News>,
+        known: Vec<ListEvent>,
         timers: &mut TimerQueue,
-    ) -> Vec<News> {
+    ) -> Vec<ListEvent> {
         if address != self.address {
             (self.address, self.link, self.failed) = (address, None, 0);
             let spread = MOVED_MS * self.lot();
@@ -184,14 +196,14 @@
     }
 
     /// Lets an event through once: what comes twice or out of date is told by its number.
-    fn take(&mut self, news: News) -> Option<News> {
+    fn take(&mut self, news: ListEvent) -> Option<ListEvent> {
         let new = news.number > self.last;
         self.last = self.last.max(news.number);
         Some(news).filter(|_| new)
     }
 
     /// The socket has something to say: gives the events that came.
-    pub fn ready(&mut self, now: f64, generation: u32) -> Vec<News> {
+    pub fn ready(&mut self, now: f64, generation: u32) -> Vec<ListEvent> {
         let mut news = Vec::new();
         if generation == self.generation && self.link.is_some() && self.step(now, &mut news).is_none() {
             self.link = None; // The next look connects again.
@@ -200,7 +212,7 @@
     }
 
     /// `None` when the connection is of no more use.
-    fn step(&mut self, now: f64, news: &mut Vec<News>) -> Option<()> {
+    fn step(&mut self, now: f64, news: &mut Vec<ListEvent>) -> Option<()> {
         let link = self.link.as_mut()?;
         if !self.greeted {
             match link.connected() {
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -142,12 +142,12 @@
         }
     }
 
-    pub(super) fn news(&mut self, news: Vec<News>, heard: &mut Vec<Heard>) {
+    pub(super) fn news(&mut self, news: Vec<ListEvent>, heard: &mut Vec<Heard>) {
         let now = self.clock.now();
         if !news.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
         }
-        for News { number, kind, listings } in news {
+        for ListEvent { number, kind, listings } in news {
             let Node { poll, timers, log, mysql, warehouses, closing, .. } = self;
             let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard, log };
             warehouses.members(kind, &listings, &mut cx);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -31,7 +31,7 @@
 use config::{Config, ConfigError};
 use control::xds::Feed;
 use control::{Control, Kind, View};
-use discovery::{Bulletin, News};
+use discovery::{DiscoveryClient, ListEvent};
 use dispatcher::{AttemptRef, Exchange, Front, Heard, Order};
 use front::closing::ClosingConnections;
 use front::jsonrpc::JsonRpc;
@@ -72,7 +72,7 @@
     /// Client connections that are being closed, of both fronts.
     closing: ClosingConnections,
     warehouses: Warehouses,
-    bulletin: Option<Bulletin>,
+    bulletin: Option<DiscoveryClient>,
     control: Control,
     control_listeners: Vec<(Kind, TcpListener)>,
     /// The service for proxies, which has a thread of its own; none if it is off.
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -43,8 +43,9 @@
         let zones = config.zones.clone();
         let mut exchange = Exchange::new(config.settings, config.seed, config.open_most, out_most)
             .map_err(io::Error::other)?;
-        let bulletin =
-            config.bulletin.map(|address| Bulletin::new(address, config.zones, kinds, config.last, lots));
+        let bulletin = config
+            .bulletin
+            .map(|address| DiscoveryClient::new(address, config.zones, kinds, config.last, lots));
         let xds = config.xds.map(Feed::start).transpose()?;
         let mut waker = None;
         let admission = match &config.fleet {
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -4,7 +4,7 @@
 use beamgap::node::backend::mysql::MysqlBoxes;
 use beamgap::node::backend::Cx;
 use beamgap::node::config::MysqlSettings;
-use beamgap::node::discovery::Listing;
+use beamgap::node::discovery::ListedEngine;
 use beamgap::node::dispatcher::{AttemptRef, Front, Heard, Payload, Start};
 use beamgap::node::front::closing::ClosingConnections;
 use beamgap::node::reactor::SocketOwner;
@@ -22,7 +22,7 @@
 }
 
 impl Pool {
-    fn members(&mut self, listing: Listing, cx: &mut Cx) {
+    fn members(&mut self, listing: ListedEngine, cx: &mut Cx) {
         match self {
             Pool::Lines(pool) => pool.members(ListKind::Changes, &[listing], cx),
             Pool::Mysql(pool) => pool.members(ListKind::Changes, &[listing], cx),
@@ -50,9 +50,9 @@
     [Pool::Lines(lines), Pool::Mysql(Box::new(MysqlBoxes::new(mysql, 250.0, 15_000.0, 100, 1 << 20)))]
 }
 
-fn listing(address: SocketAddr, state: EngineState) -> Listing {
+fn listing(address: SocketAddr, state: EngineState) -> ListedEngine {
     let engine = EngineId(Arc::from("s-00000001"));
-    Listing { address, member: EngineEntry { engine, state, ..EngineEntry::default() } }
+    ListedEngine { address, member: EngineEntry { engine, state, ..EngineEntry::default() } }
 }
 
 fn start(number: u32) -> Start {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 #[path = "common/stage.rs"]
 mod stage;
 
-use beamgap::node::discovery::Bulletin;
+use beamgap::node::discovery::DiscoveryClient;
 use beamgap::node::timer_queue::TimerQueue;
 use beamgap::*;
 use common::{engine, list, member, ms, request, settings, Bench};
@@ -309,9 +309,13 @@
     let address = listener.local_addr().unwrap();
     let mut poll = mio::Poll::new().unwrap();
     let mut events = mio::Events::with_capacity(1024);
-    let mut all: Vec<(Bulletin, TimerQueue, bool)> = (0..FRONTS)
+    let mut all: Vec<(DiscoveryClient, TimerQueue, bool)> = (0..FRONTS)
         .map(|me| {
-            (Bulletin::new(address, Vec::new(), Vec::new(), 1, u64::from(me)), TimerQueue::default(), false)
+            (
+                DiscoveryClient::new(address, Vec::new(), Vec::new(), 1, u64::from(me)),
+                TimerQueue::default(),
+                false,
+            )
         })
         .collect();
     let mut dials: Vec<usize> = Vec::new();
