--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl Warehouses {
+impl LineProtocolBackend {
     /// A socket has something to say.
-    pub fn ready(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         if !conn.up {
             match conn.link.connected() {
@@ -12,34 +12,34 @@
                 Some(Err(e)) => {
                     // It was up if it was reset: that proves no failure to connect.
                     conn.up = e.kind() == ErrorKind::ConnectionReset;
-                    return self.lose(key, Outcome::ConnectFailed, cx);
+                    return self.lose(key, Outcome::ConnectFailed, context);
                 }
                 Some(Ok(())) => {
-                    trace!(target: ACCOUNT, "up: engine={} ms={:.1}", conn.engine.0, cx.now - conn.since);
-                    (conn.up, conn.heard) = (true, cx.now);
-                    conn.look_at(cx.now + LOOK_MS, key, cx.timers);
+                    trace!(target: ACCOUNT, "up: engine={} ms={:.1}", conn.engine.0, context.now - conn.since);
+                    (conn.up, conn.heard) = (true, context.now);
+                    conn.look_at(context.now + LOOK_MS, key, context.timers);
                 }
             }
         }
-        if self.read(key, cx).is_err() {
-            self.learn_keeps(key, cx);
+        if self.read(key, context).is_err() {
+            self.learn_keeps(key, context);
             if let Some(conn) = self.conns.get(key).filter(|conn| conn.load() > 0) {
-                cx.log.push(format!("lost: engine={} attempts={}", conn.engine.0, conn.load()));
+                context.log.push(format!("lost: engine={} attempts={}", conn.engine.0, conn.load()));
             }
-            return self.lose(key, Outcome::Reset, cx);
+            return self.lose(key, Outcome::Reset, context);
         }
-        self.flush(key, cx);
+        self.flush(key, context);
     }
 
-    pub(super) fn read(&mut self, key: SlotKey, cx: &mut Cx) -> Result<(), Lost> {
+    pub(super) fn read(&mut self, key: SlotKey, context: &mut BackendContext) -> Result<(), Lost> {
         loop {
             let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
             let before = conn.link.input.len();
             let end = conn.link.read(BODY_MOST + 2 * LINE_MOST);
             if conn.link.input.len() > before {
-                (conn.heard, conn.used, conn.quiet, conn.asked) = (cx.now, cx.now, 0.0, None);
+                (conn.heard, conn.used, conn.quiet, conn.asked) = (context.now, context.now, 0.0, None);
                 let engine = self.roster.get_mut(&conn.engine);
-                engine.into_iter().for_each(|engine| engine.heard = cx.now);
+                engine.into_iter().for_each(|engine| engine.heard = context.now);
             }
             let input = std::mem::take(&mut conn.link.input);
             let mut used = 0;
@@ -49,7 +49,7 @@
                     Ok(None) => break,
                     Ok(Some((bytes, line))) => {
                         used += bytes;
-                        result = self.line(key, line, cx);
+                        result = self.line(key, line, context);
                     }
                     Err(lost) => result = Err(lost),
                 }
@@ -66,14 +66,19 @@
         }
     }
 
-    pub(super) fn line(&mut self, key: SlotKey, line: Line<'_>, cx: &mut Cx) -> Result<(), Lost> {
+    pub(super) fn line(
+        &mut self,
+        key: SlotKey,
+        line: Line<'_>,
+        context: &mut BackendContext,
+    ) -> Result<(), Lost> {
         let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
         if matches!(line.word, "green" | "red") {
             // Either tells that the connection works; how the engine is, the list and the answers tell.
             // Answers come in any order, but a cancel written before `there` has been read before its answer.
             if let Some(place) = conn.called_off.iter().position(|(tag, ..)| tag == line.id) {
                 let read = conn.called_off.drain(..=place).map(|(_, at, _)| at);
-                cx.heard.extend(read.map(|at| Heard::Ended(Ended::confirmed(at))));
+                context.heard.extend(read.map(|at| Heard::Ended(Ended::confirmed(at))));
             }
             return Ok(());
         }
@@ -82,7 +87,7 @@
         let at = attempt.at;
         let outcome = match line.word {
             "update" => {
-                line.note().into_iter().for_each(|note| cx.heard.push(Heard::Noted(at, note)));
+                line.note().into_iter().for_each(|note| context.heard.push(Heard::Noted(at, note)));
                 return Ok(());
             }
             "served" if attempt.pages.is_empty() => {
@@ -135,26 +140,31 @@
             }
             _ => (None, line.report()),
         };
-        cx.heard.push(Heard::Ended(Ended { answer, cost: attempt.cost, report, ..Ended::bare(at, outcome) }));
+        context.heard.push(Heard::Ended(Ended {
+            answer,
+            cost: attempt.cost,
+            report,
+            ..Ended::bare(at, outcome)
+        }));
         Ok(())
     }
 
     /// Writes what the socket takes. The next `want` goes out only when all before it is written, so that a
     /// drain still finds it unsent.
-    pub(super) fn flush(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub(super) fn flush(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.conns.get_mut(key).filter(|conn| conn.up) else { return };
         loop {
             if conn.link.flush().is_err() {
-                return self.lose(key, Outcome::Reset, cx);
+                return self.lose(key, Outcome::Reset, context);
             }
             if conn.link.waiting() > 0 {
                 return;
             }
             let Some(want) = conn.wants.pop_front() else { return };
             if conn.open.is_empty() {
-                conn.heard = cx.now; // Silence counts from the first thing asked.
+                conn.heard = context.now; // Silence counts from the first thing asked.
             }
-            (conn.quiet, conn.used) = (cx.now - conn.used, cx.now);
+            (conn.quiet, conn.used) = (context.now - conn.used, context.now);
             conn.link.put(&want.bytes);
             conn.writing = Some(want.at);
             let attempt = Attempt { at: want.at, pages: Vec::new(), cost: None, report: None };
--- a/src/node/backend/line_protocol/connection_limit.rs
+++ b/src/node/backend/line_protocol/connection_limit.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Warehouses {
+impl LineProtocolBackend {
     /// The most connections that one engine has, and whether more were wanted than may be since this was last asked.
     pub fn links_used(&mut self) -> (usize, bool) {
         (self.roster.links_most(), std::mem::take(&mut self.links_vain))
@@ -10,7 +10,7 @@
 
     /// From now on an engine has so many connections at most; those beyond that are idle are closed, and others as they
     /// fall idle.
-    pub fn keep_links(&mut self, most: Option<usize>, cx: &mut Cx) {
+    pub fn keep_links(&mut self, most: Option<usize>, context: &mut BackendContext) {
         self.links_most = most.map_or(LINKS_MOST, |most| most.min(LINKS_MOST));
         if most.is_none() || self.roster.links_most() <= self.links_most {
             return;
@@ -18,7 +18,7 @@
         for key in self.conns.keys() {
             let Some(conn) = self.conns.get(key).filter(|conn| conn.load() == 0) else { continue };
             if self.roster.links(&conn.engine).len() > self.links_most {
-                self.lose(key, Outcome::Reset, cx);
+                self.lose(key, Outcome::Reset, context);
             }
         }
     }
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -6,7 +6,7 @@
 mod wire;
 
 use super::engine_registry::EngineRegistry;
-use super::Cx;
+use super::BackendContext;
 use crate::node::discovery::ListedEngine;
 use crate::node::dispatcher::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
 use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
@@ -111,7 +111,7 @@
 
 /// The pool of warehouse connections.
 #[derive(Debug)]
-pub struct Warehouses {
+pub struct LineProtocolBackend {
     classes: Vec<(String, bool)>,
     dial_ms: f64,
     idle_ms: f64,
@@ -126,7 +126,7 @@
     placed: HashMap<AttemptRef, (SlotKey, Arc<str>)>,
 }
 
-impl Warehouses {
+impl LineProtocolBackend {
     /// A pool with no warehouses yet. Classes by name, and whether they must not run twice; `sockets` is how many
     /// descriptors it may take.
     pub fn new(
@@ -135,8 +135,8 @@
         idle_ms: f64,
         streams: usize,
         sockets: usize,
-    ) -> Warehouses {
-        Warehouses {
+    ) -> LineProtocolBackend {
+        LineProtocolBackend {
             classes,
             dial_ms,
             idle_ms: idle_ms * IDLE_PART,
@@ -152,16 +152,16 @@
     }
 
     /// News of the list. What waits behind a dial to a warehouse that takes no new work is taken back.
-    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], cx: &mut Cx) {
+    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
         for key in self.roster.apply(kind, listings) {
-            self.lose(key, Outcome::Reset, cx);
+            self.lose(key, Outcome::Reset, context);
         }
         for key in self.conns.keys() {
             let Some(conn) = self.conns.get(key) else { continue };
             if self.roster.serving(&conn.engine).is_none() {
-                self.take_back(key, cx);
+                self.take_back(key, context);
                 if self.conns.get(key).is_some_and(|conn| conn.open.is_empty()) {
-                    self.lose(key, Outcome::Reset, cx);
+                    self.lose(key, Outcome::Reset, context);
                 }
             }
         }
@@ -173,21 +173,21 @@
     }
 
     /// Ends what waits unwritten on a connection: turned away unseen.
-    fn take_back(&mut self, key: SlotKey, cx: &mut Cx) {
+    fn take_back(&mut self, key: SlotKey, context: &mut BackendContext) {
         let wants = self.conns.get_mut(key).map(|conn| std::mem::take(&mut conn.wants));
         for want in wants.into_iter().flatten() {
             self.placed.remove(&want.at);
-            cx.heard.push(Heard::Ended(Ended::bare(want.at, Outcome::Overloaded)));
+            context.heard.push(Heard::Ended(Ended::bare(want.at, Outcome::Overloaded)));
         }
     }
 
     /// Begins an attempt.
-    pub fn start(&mut self, start: Start, cx: &mut Cx) {
+    pub fn start(&mut self, start: Start, context: &mut BackendContext) {
         let at = start.attempt;
         let once = self.classes.get(start.class.0).is_some_and(|(_, once)| *once);
         let outcome = match self.roster.serving(&start.engine) {
-            Some(_) => match self.choose(&start.engine, &start.name, once, cx) {
-                Some(key) => return self.queue(key, start, once, cx),
+            Some(_) => match self.choose(&start.engine, &start.name, once, context) {
+                Some(key) => return self.queue(key, start, once, context),
                 // It says nothing of the engine where the fleet's budget leaves no room.
                 None if self.links_short(&start.engine) => Outcome::Overloaded,
                 None => Outcome::ConnectFailed,
@@ -195,10 +195,10 @@
             // The list changed between the decision and now.
             None => Outcome::Overloaded,
         };
-        cx.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+        context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
     }
 
-    fn queue(&mut self, key: SlotKey, start: Start, once: bool, cx: &mut Cx) {
+    fn queue(&mut self, key: SlotKey, start: Start, once: bool, context: &mut BackendContext) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         let class = self.classes.get(start.class.0).map_or("", |(name, _)| name);
         let mut head = format!("want {} profile={class},max={}", start.name, start.max_ms.floor().max(1.0));
@@ -210,18 +210,18 @@
         let bytes = [head.as_bytes(), statement, b"\r\n"].concat();
         self.placed.insert(start.attempt, (key, start.name.clone()));
         conn.wants.push_back(Want { at: start.attempt, name: start.name, bytes, once, moves: 0 });
-        self.flush(key, cx);
+        self.flush(key, context);
     }
 
     /// Gives an attempt up: takes it back if no byte of it is written, else calls it off. If something waits for its
     /// end (a further attempt, or the next of its key), it ends when the engine confirms that it has read so: what
     /// waits goes by another connection, and may be there before the cancel is.
-    pub fn give_up(&mut self, at: AttemptRef, again: bool, cx: &mut Cx) {
-        let called_off = self.call_off(at, again, cx);
+    pub fn give_up(&mut self, at: AttemptRef, again: bool, context: &mut BackendContext) {
+        let called_off = self.call_off(at, again, context);
         match called_off {
-            CalledOff::Told(key) => self.flush(key, cx),
+            CalledOff::Told(key) => self.flush(key, context),
             // It has not come whole, and on a connection that takes nothing nobody reads that it is over.
-            CalledOff::Stuck(key) => self.lose(key, Outcome::Reset, cx),
+            CalledOff::Stuck(key) => self.lose(key, Outcome::Reset, context),
             CalledOff::TakenBack | CalledOff::Gone => {}
         }
         let outcome = match called_off {
@@ -230,11 +230,11 @@
             CalledOff::Stuck(_) | CalledOff::Gone => Outcome::Cancelled,
         };
         if again {
-            cx.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+            context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
         }
     }
 
-    fn call_off(&mut self, at: AttemptRef, again: bool, cx: &mut Cx) -> CalledOff {
+    fn call_off(&mut self, at: AttemptRef, again: bool, context: &mut BackendContext) -> CalledOff {
         let Some((key, name)) = self.placed.remove(&at) else { return CalledOff::Gone };
         let Some(conn) = self.conns.get_mut(key) else { return CalledOff::Gone };
         if let Some(place) = conn.wants.iter().position(|want| want.at == at) {
@@ -253,49 +253,49 @@
             self.tags += 1;
             let tag = format!("g{}", self.tags);
             conn.link.put(format!("there {tag}\r\n").as_bytes());
-            conn.called_off.push_back((tag, at, cx.now));
-            conn.look_at(cx.now + CONFIRM_MS, key, cx.timers);
+            conn.called_off.push_back((tag, at, context.now));
+            conn.look_at(context.now + CONFIRM_MS, key, context.timers);
         }
         CalledOff::Told(key)
     }
 
     /// Takes an attempt back if no byte of it is written.
-    pub fn withdraw(&mut self, at: AttemptRef, cx: &mut Cx) {
+    pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
         let Some((key, _)) = self.placed.get(&at) else { return };
         let Some(conn) = self.conns.get_mut(*key) else { return };
         let Some(place) = conn.wants.iter().position(|want| want.at == at) else { return };
         conn.wants.remove(place);
         self.placed.remove(&at);
-        cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
+        context.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
     }
 
     /// Tells a new priority.
-    pub fn hurry(&mut self, at: AttemptRef, priority: u8, cx: &mut Cx) {
+    pub fn hurry(&mut self, at: AttemptRef, priority: u8, context: &mut BackendContext) {
         let Some((key, name)) = self.placed.get(&at).cloned() else { return };
         let Some(conn) = self.conns.get_mut(key) else { return };
         if conn.open.get(&name).is_some_and(|attempt| attempt.pages.is_empty()) {
             conn.link.put(format!("hurry {name} {}\r\n", priority.min(3)).as_bytes());
-            self.flush(key, cx);
+            self.flush(key, context);
         }
     }
 
     /// Closes a warehouse's idle connections.
-    pub fn close_idle(&mut self, id: &EngineId, cx: &mut Cx) {
+    pub fn close_idle(&mut self, id: &EngineId, context: &mut BackendContext) {
         for key in self.roster.links(id).to_vec() {
             if self.conns.get(key).is_some_and(|conn| conn.load() == 0) {
-                self.lose(key, Outcome::Reset, cx);
+                self.lose(key, Outcome::Reset, context);
             }
         }
     }
 
     /// Drops a connection. What was sent on it ends as `outcome` says. What was not never ran: it goes on by another
     /// connection, since one that breaks says nothing of the warehouse, or ends so if there was none in time.
-    fn lose(&mut self, key: SlotKey, outcome: Outcome, cx: &mut Cx) {
+    fn lose(&mut self, key: SlotKey, outcome: Outcome, context: &mut BackendContext) {
         let Some(conn) = self.conns.remove(key) else { return };
-        let (id, up, ms) = (&conn.engine.0, conn.up, cx.now - conn.since);
+        let (id, up, ms) = (&conn.engine.0, conn.up, context.now - conn.since);
         trace!(target: ACCOUNT, "close: engine={id} up={up} ms={ms:.1} load={}", conn.load());
         self.roster.unlink(&conn.engine, key);
-        conn.next_look.into_iter().for_each(|look| cx.timers.clear(look));
+        conn.next_look.into_iter().for_each(|look| context.timers.clear(look));
         let called_off = conn.called_off.into_iter().map(|(_, at, _)| (at, Outcome::Cancelled));
         let mut ends: Vec<_> = conn.open.into_values().map(|a| (a.at, outcome)).chain(called_off).collect();
         for mut want in conn.wants {
@@ -307,49 +307,55 @@
                 true if conn.late => self.in_use(&conn.engine, &want, conn.since - LIFE_MS),
                 _ => None,
             };
-            let choose =
-                |pool: &mut Warehouses, cx: &mut Cx| pool.choose(&conn.engine, &want.name, want.once, cx);
-            let to = if serves && to.is_none() { choose(self, cx) } else { to };
+            let choose = |pool: &mut LineProtocolBackend, context: &mut BackendContext| {
+                pool.choose(&conn.engine, &want.name, want.once, context)
+            };
+            let to = if serves && to.is_none() { choose(self, context) } else { to };
             match to {
-                Some(key) => self.hand_over(want, key, cx),
+                Some(key) => self.hand_over(want, key, context),
                 None => ends.push((want.at, Outcome::ConnectFailed)),
             }
         }
         for (at, outcome) in ends {
             self.placed.remove(&at);
-            cx.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+            context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
         }
     }
 
     /// Looks after a connection: is it up in time, does it still answer, has it long been idle?
-    pub fn look(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         if !conn.up {
-            return self.look_at_dial(key, cx);
+            return self.look_at_dial(key, context);
         }
-        while let Some((_, at, _)) = conn.called_off.pop_front_if(|(.., since)| cx.now - *since >= CONFIRM_MS)
+        while let Some((_, at, _)) =
+            conn.called_off.pop_front_if(|(.., since)| context.now - *since >= CONFIRM_MS)
         {
-            cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::Cancelled)));
+            context.heard.push(Heard::Ended(Ended::bare(at, Outcome::Cancelled)));
         }
-        let idle = cx.now - conn.heard;
+        let idle = context.now - conn.heard;
         if !conn.link.input.is_empty() && idle >= STALL_MS {
-            cx.log.push(format!("lost: engine={} attempts={} in mid-answer", conn.engine.0, conn.load()));
-            return self.lose(key, Outcome::Reset, cx);
+            context.log.push(format!(
+                "lost: engine={} attempts={} in mid-answer",
+                conn.engine.0,
+                conn.load()
+            ));
+            return self.lose(key, Outcome::Reset, context);
         }
         if conn.load() == 0 {
             if idle >= self.idle_ms {
-                return self.lose(key, Outcome::Reset, cx);
+                return self.lose(key, Outcome::Reset, context);
             }
-        } else if conn.asked.is_some_and(|at| cx.now - at >= DEAD_MS) {
-            cx.log.push(format!("silent: engine={} attempts={}", conn.engine.0, conn.load()));
-            return self.lose(key, Outcome::Reset, cx);
+        } else if conn.asked.is_some_and(|at| context.now - at >= DEAD_MS) {
+            context.log.push(format!("silent: engine={} attempts={}", conn.engine.0, conn.load()));
+            return self.lose(key, Outcome::Reset, context);
         } else if idle >= QUIET_MS && conn.asked.is_none() {
-            conn.asked = Some(cx.now);
+            conn.asked = Some(context.now);
             conn.link.put(format!("there k{}\r\n", key.slot).as_bytes());
-            self.flush(key, cx);
+            self.flush(key, context);
         }
         if let Some(conn) = self.conns.get_mut(key) {
-            conn.look_at(cx.now + LOOK_MS, key, cx.timers);
+            conn.look_at(context.now + LOOK_MS, key, context.timers);
         }
     }
 }
--- a/src/node/backend/mod.rs
+++ b/src/node/backend/mod.rs
@@ -10,7 +10,7 @@
 use mio::Registry;
 
 /// What a backend or a front works with while it handles one thing.
-pub struct Cx<'a> {
+pub struct BackendContext<'a> {
     /// Now, in Unix milliseconds.
     pub now: f64,
     /// Where sockets are registered.
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -2,7 +2,7 @@
 //! each end proves. A connection carries one attempt at a time.
 
 use super::engine_registry::EngineRegistry;
-use super::Cx;
+use super::BackendContext;
 mod connection;
 mod wire;
 
@@ -90,7 +90,7 @@
 }
 
 /// The pool of connections to boxes.
-pub struct MysqlBoxes {
+pub struct MysqlBackend {
     settings: MysqlSettings,
     dial_ms: f64,
     idle_ms: f64,
@@ -107,7 +107,7 @@
     Lose,
 }
 
-impl MysqlBoxes {
+impl MysqlBackend {
     /// A pool with no boxes yet. `sockets` is how many descriptors it may take, `answers_most` how many bytes the
     /// answers that are coming in may take together.
     pub fn new(
@@ -116,8 +116,8 @@
         idle_ms: f64,
         sockets: usize,
         answers_most: usize,
-    ) -> MysqlBoxes {
-        MysqlBoxes {
+    ) -> MysqlBackend {
+        MysqlBackend {
             settings,
             dial_ms,
             idle_ms: idle_ms * IDLE_PART,
@@ -130,9 +130,9 @@
     }
 
     /// News of the list. What a box that takes no new work has not been sent yet is taken back.
-    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], cx: &mut Cx) {
+    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
         for key in self.roster.apply(kind, listings) {
-            self.lose(key, Outcome::Reset, cx);
+            self.lose(key, Outcome::Reset, context);
         }
         for key in self.conns.keys() {
             let Some(conn) = self.conns.get_mut(key) else { continue };
@@ -142,30 +142,30 @@
             if !conn.job.as_ref().is_some_and(|job| job.sent) {
                 if let Some(job) = conn.job.take() {
                     self.placed.remove(&job.at);
-                    cx.heard.push(Heard::Ended(Ended::bare(job.at, Outcome::Overloaded)));
+                    context.heard.push(Heard::Ended(Ended::bare(job.at, Outcome::Overloaded)));
                 }
-                self.lose(key, Outcome::Reset, cx);
+                self.lose(key, Outcome::Reset, context);
             }
         }
     }
 
     /// Begins an attempt.
-    pub fn start(&mut self, start: Start, cx: &mut Cx) {
+    pub fn start(&mut self, start: Start, context: &mut BackendContext) {
         let at = start.attempt;
         let job = Job { at, payload: start.payload, sent: false, renewed: false };
         let outcome = if self.roster.serving(&start.engine).is_none() {
             Outcome::Overloaded // The list changed between the decision and now.
         } else if let Some(key) = self.idle(&start.engine, &job) {
-            return self.take(key, job, cx);
+            return self.take(key, job, context);
         } else if self.roster.links(&start.engine).len() >= self.settings.box_connections {
             Outcome::Overloaded
         } else {
-            match self.dial(&start.engine, cx) {
-                Some(key) => return self.take(key, job, cx),
+            match self.dial(&start.engine, context) {
+                Some(key) => return self.take(key, job, context),
                 None => Outcome::ConnectFailed,
             }
         };
-        cx.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+        context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
     }
 
     /// An idle connection, best one on which the statement is prepared already.
@@ -178,32 +178,32 @@
         self.roster.links(engine).iter().filter(idle).max_by_key(known).copied()
     }
 
-    fn take(&mut self, key: SlotKey, job: Job, cx: &mut Cx) {
+    fn take(&mut self, key: SlotKey, job: Job, context: &mut BackendContext) {
         self.placed.insert(job.at, key);
         let Some(conn) = self.conns.get_mut(key) else { return };
         conn.job = Some(job);
         if matches!(conn.phase, Phase::Idle) {
-            conn.advance(cx.now);
-            self.flush(key, cx);
+            conn.advance(context.now);
+            self.flush(key, context);
         }
     }
 
-    fn dial(&mut self, id: &EngineId, cx: &mut Cx) -> Option<SlotKey> {
+    fn dial(&mut self, id: &EngineId, context: &mut BackendContext) -> Option<SlotKey> {
         if self.conns.len() >= self.sockets {
             let idle = self.conns.iter().find(|(_, conn)| matches!(conn.phase, Phase::Idle));
             let idle = idle.map(|(key, _)| key)?;
-            self.lose(idle, Outcome::Reset, cx);
+            self.lose(idle, Outcome::Reset, context);
         }
         let engine = self.roster.get_mut(id)?;
         let link = BufferedSocket::dial(engine.address)
-            .map_err(|e| cx.log.push(format!("dial: engine={} error={e}", id.0)))
+            .map_err(|e| context.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
         let key = self.conns.insert(Conn {
             engine: id.clone(),
             link,
             phase: Phase::Dialling,
-            since: cx.now,
-            used: cx.now,
+            since: context.now,
+            used: context.now,
             number: 0,
             nonce: Vec::new(),
             schema: None,
@@ -214,11 +214,11 @@
             answer: Vec::new(),
         });
         engine.links.push(key);
-        if self.conns.get_mut(key)?.link.watch(cx.registry, SocketOwner::MysqlBox(key)).is_err() {
-            self.lose(key, Outcome::ConnectFailed, cx);
+        if self.conns.get_mut(key)?.link.watch(context.registry, SocketOwner::MysqlBox(key)).is_err() {
+            self.lose(key, Outcome::ConnectFailed, context);
             return None;
         }
-        cx.timers.set(cx.now + self.dial_ms, TimerEvent::MysqlBox(key));
+        context.timers.set(context.now + self.dial_ms, TimerEvent::MysqlBox(key));
         Some(key)
     }
 
@@ -229,9 +229,9 @@
 
     /// Gives an attempt up: takes it back if it is not sent, else has the box kill it. The connection goes with it,
     /// so that a late answer finds nobody.
-    pub fn give_up(&mut self, at: AttemptRef, again: bool, cx: &mut Cx) {
+    pub fn give_up(&mut self, at: AttemptRef, again: bool, context: &mut BackendContext) {
         if again {
-            cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::Cancelled)));
+            context.heard.push(Heard::Ended(Ended::bare(at, Outcome::Cancelled)));
         }
         let Some(key) = self.placed.remove(&at) else { return };
         let Some(conn) = self.conns.get_mut(key) else { return };
@@ -239,62 +239,62 @@
         if !sent {
             // A login under way may serve the next; anything else stands between two commands.
             if !matches!(conn.phase, Phase::Dialling | Phase::Greeting | Phase::Login) {
-                self.lose(key, Outcome::Cancelled, cx);
+                self.lose(key, Outcome::Cancelled, context);
             }
             return;
         }
         let (engine, number) = (conn.engine.clone(), conn.number);
-        self.lose(key, Outcome::Cancelled, cx);
+        self.lose(key, Outcome::Cancelled, context);
         let idle = self.roster.links(&engine).iter().copied();
         let mut idle = idle.filter(|k| self.conns.get(*k).is_some_and(|c| matches!(c.phase, Phase::Idle)));
-        let Some(by) = idle.next().or_else(|| self.dial(&engine, cx)) else {
-            cx.log.push(format!("kill: engine={} connection={number} not sent", engine.0));
+        let Some(by) = idle.next().or_else(|| self.dial(&engine, context)) else {
+            context.log.push(format!("kill: engine={} connection={number} not sent", engine.0));
             return;
         };
         if let Some(conn) = self.conns.get_mut(by) {
             conn.kill = Some(number);
             if matches!(conn.phase, Phase::Idle) {
-                conn.advance(cx.now);
-                self.flush(by, cx);
+                conn.advance(context.now);
+                self.flush(by, context);
             }
         }
     }
 
     /// Takes an attempt back if it is not sent.
-    pub fn withdraw(&mut self, at: AttemptRef, cx: &mut Cx) {
+    pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
         let Some(key) = self.placed.get(&at) else { return };
         if self.conns.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
-            self.give_up(at, false, cx);
-            cx.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
+            self.give_up(at, false, context);
+            context.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
         }
     }
 
     /// Closes a box's idle connections.
-    pub fn close_idle(&mut self, id: &EngineId, cx: &mut Cx) {
+    pub fn close_idle(&mut self, id: &EngineId, context: &mut BackendContext) {
         for key in self.roster.links(id).to_vec() {
             if self.conns.get(key).is_some_and(|conn| matches!(conn.phase, Phase::Idle)) {
-                self.lose(key, Outcome::Reset, cx);
+                self.lose(key, Outcome::Reset, context);
             }
         }
     }
 
-    fn flush(&mut self, key: SlotKey, cx: &mut Cx) {
+    fn flush(&mut self, key: SlotKey, context: &mut BackendContext) {
         let broken = self.conns.get_mut(key).is_some_and(|conn| conn.link.flush().is_err());
         if broken {
-            self.lose(key, Outcome::Reset, cx);
+            self.lose(key, Outcome::Reset, context);
         }
     }
 
     /// A socket has something to say.
-    pub fn ready(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         if matches!(conn.phase, Phase::Dialling) {
             match conn.link.connected() {
                 None => return,
-                Some(Err(_)) => return self.lose(key, Outcome::ConnectFailed, cx),
+                Some(Err(_)) => return self.lose(key, Outcome::ConnectFailed, context),
                 Some(Ok(())) => {
                     conn.phase = Phase::Greeting;
-                    cx.timers.set(conn.since + LOGIN_MS, TimerEvent::MysqlBox(key));
+                    context.timers.set(conn.since + LOGIN_MS, TimerEvent::MysqlBox(key));
                 }
             }
         }
@@ -306,7 +306,7 @@
             let mut lost = false;
             while let Ok(Some((number, body))) = mysql_packets::packet(&input[used..]) {
                 used += 4 + body.len();
-                if matches!(self.packet(key, number, body, cx), Next::Lose) {
+                if matches!(self.packet(key, number, body, context), Next::Lose) {
                     lost = true;
                     break;
                 }
@@ -317,24 +317,30 @@
             conn.link.used(used);
             let more = conn.link.has_more();
             if lost || !matches!(end, Ok(ReadEnd::Open)) {
-                return self.lose(key, Outcome::Reset, cx);
+                return self.lose(key, Outcome::Reset, context);
             }
             if !more {
-                return self.flush(key, cx);
+                return self.flush(key, context);
             }
         }
     }
 
     /// Ends the attempt on a connection, which is free again.
-    fn end(&mut self, key: SlotKey, outcome: Outcome, answer: Option<Answer>, cx: &mut Cx) -> Next {
+    fn end(
+        &mut self,
+        key: SlotKey,
+        outcome: Outcome,
+        answer: Option<Answer>,
+        context: &mut BackendContext,
+    ) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         conn.answer = Vec::new();
         if let Some(job) = conn.job.take() {
             self.placed.remove(&job.at);
             let ended = Ended { answer, ..Ended::bare(job.at, outcome) };
-            cx.heard.push(Heard::Ended(ended));
+            context.heard.push(Heard::Ended(ended));
         }
-        conn.advance(cx.now);
+        conn.advance(context.now);
         let serving = self.roster.serving(&conn.engine).is_some();
         if serving || conn.kill.is_some() {
             Next::Go
@@ -344,30 +350,32 @@
     }
 
     /// Drops a connection. An attempt that was sent on it ends as `outcome` says; one that was not never ran.
-    fn lose(&mut self, key: SlotKey, outcome: Outcome, cx: &mut Cx) {
+    fn lose(&mut self, key: SlotKey, outcome: Outcome, context: &mut BackendContext) {
         let Some(conn) = self.conns.remove(key) else { return };
         self.roster.unlink(&conn.engine, key);
         if let Some(number) = conn.kill {
-            cx.log.push(format!("kill: engine={} connection={number} not sent", conn.engine.0));
+            context.log.push(format!("kill: engine={} connection={number} not sent", conn.engine.0));
         }
         if let Some(job) = conn.job {
             self.placed.remove(&job.at);
             let outcome = if job.sent { outcome } else { Outcome::ConnectFailed };
-            cx.heard.push(Heard::Ended(Ended::bare(job.at, outcome)));
+            context.heard.push(Heard::Ended(Ended::bare(job.at, outcome)));
         }
     }
 
     /// Looks after a connection: did it come up in time, has it long been idle?
-    pub fn look(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.conns.get(key) else { return };
-        let age = cx.now - conn.since;
+        let age = context.now - conn.since;
         match conn.phase {
-            Phase::Dialling if age >= self.dial_ms => self.lose(key, Outcome::ConnectFailed, cx),
-            Phase::Greeting | Phase::Login if age >= LOGIN_MS => self.lose(key, Outcome::ConnectFailed, cx),
+            Phase::Dialling if age >= self.dial_ms => self.lose(key, Outcome::ConnectFailed, context),
+            Phase::Greeting | Phase::Login if age >= LOGIN_MS => {
+                self.lose(key, Outcome::ConnectFailed, context)
+            }
             Phase::Dialling | Phase::Greeting | Phase::Login => {}
-            Phase::Idle if cx.now - conn.used >= self.idle_ms => self.lose(key, Outcome::Reset, cx),
+            Phase::Idle if context.now - conn.used >= self.idle_ms => self.lose(key, Outcome::Reset, context),
             _ => {
-                cx.timers.set(cx.now + LOOK_MS, TimerEvent::MysqlBox(key));
+                context.timers.set(context.now + LOOK_MS, TimerEvent::MysqlBox(key));
             }
         }
     }
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -2,21 +2,27 @@
 
 use super::*;
 
-impl MysqlBoxes {
-    pub(super) fn packet(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> Next {
+impl MysqlBackend {
+    pub(super) fn packet(
+        &mut self,
+        key: SlotKey,
+        number: u8,
+        body: &[u8],
+        context: &mut BackendContext,
+    ) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         match &mut conn.phase {
             Phase::Dialling | Phase::Idle => Next::Lose, // Nothing was asked.
-            Phase::Greeting => self.greeting(key, number, body, cx),
-            Phase::Login => self.login(key, number, body, cx),
+            Phase::Greeting => self.greeting(key, number, body, context),
+            Phase::Login => self.login(key, number, body, context),
             Phase::Schema if body.first() == Some(&0) => {
                 conn.schema = conn.job.as_ref().and_then(|job| job.payload.schema.clone());
-                conn.advance(cx.now);
+                conn.advance(context.now);
                 Next::Go
             }
-            Phase::Schema => self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), cx),
+            Phase::Schema => self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), context),
             Phase::Preparing(state) => match state {
-                None if body.first() == Some(&0xff) => self.error(key, body, cx),
+                None if body.first() == Some(&0xff) => self.error(key, body, context),
                 None => {
                     let (Some(id), Some(counts)) = (body.get(1..5), body.get(5..9)) else {
                         return Next::Lose;
@@ -26,12 +32,12 @@
                     let lines = |n: u64| n + u64::from(n > 0); // An end-of-file packet closes each list.
                     *state = Some((id, lines(count(&counts[..2])) + lines(count(&counts[2..]))));
                     conn.keep_prepared();
-                    conn.advance_prepared(cx.now);
+                    conn.advance_prepared(context.now);
                     Next::Go
                 }
                 Some((_, left)) => {
                     *left = left.saturating_sub(1);
-                    conn.advance_prepared(cx.now);
+                    conn.advance_prepared(context.now);
                     Next::Go
                 }
             },
@@ -43,38 +49,44 @@
                     Step::More if size <= RESULT_MOST => {
                         let all: usize = self.conns.iter().map(|(_, conn)| conn.answer.len()).sum();
                         if all > self.answers_most {
-                            cx.log.push(format!("result: dropped, answers={all}"));
+                            context.log.push(format!("result: dropped, answers={all}"));
                             return Next::Lose;
                         }
                         Next::Go
                     }
                     Step::More => {
-                        cx.log.push(format!("result: dropped, bytes={size}"));
+                        context.log.push(format!("result: dropped, bytes={size}"));
                         let text = "the result is larger than beamgap keeps; it has run";
                         let body = mysql_packets::error(1105, "HY000", text);
                         // The rest of the result is still to come: the connection goes.
-                        self.end(key, Outcome::NotSent, Some(Answer::Error(body)), cx);
+                        self.end(key, Outcome::NotSent, Some(Answer::Error(body)), context);
                         Next::Lose
                     }
                     Step::Done => {
                         let answer = std::mem::take(&mut conn.answer);
-                        self.end(key, Outcome::Served, Some(Answer::Served(answer)), cx)
+                        self.end(key, Outcome::Served, Some(Answer::Served(answer)), context)
                     }
-                    Step::Error => self.error(key, body, cx),
+                    Step::Error => self.error(key, body, context),
                     Step::Broken => Next::Lose,
                 }
             }
             Phase::Killing => {
                 conn.kill = None;
-                conn.advance(cx.now);
+                conn.advance(context.now);
                 Next::Go
             }
         }
     }
 
-    pub(super) fn greeting(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> Next {
+    pub(super) fn greeting(
+        &mut self,
+        key: SlotKey,
+        number: u8,
+        body: &[u8],
+        context: &mut BackendContext,
+    ) -> Next {
         if body.first() == Some(&0xff) {
-            return self.error(key, body, cx);
+            return self.error(key, body, context);
         }
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         let Ok(greeting) = ParseBuf(body).parse::<HandshakePacket>(()) else { return Next::Lose };
@@ -104,13 +116,19 @@
         Next::Go
     }
 
-    pub(super) fn login(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> Next {
+    pub(super) fn login(
+        &mut self,
+        key: SlotKey,
+        number: u8,
+        body: &[u8],
+        context: &mut BackendContext,
+    ) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         match body {
             [0, ..] => {
-                cx.timers.set(cx.now + LOOK_MS, TimerEvent::MysqlBox(key));
+                context.timers.set(context.now + LOOK_MS, TimerEvent::MysqlBox(key));
                 conn.phase = Phase::Idle;
-                conn.advance(cx.now);
+                conn.advance(context.now);
                 Next::Go
             }
             [1, 3] => Next::Go, // The box knows the password already; its OK follows.
@@ -124,9 +142,9 @@
                 conn.link.put(&out);
                 Next::Go
             }
-            [0xff, ..] => self.error(key, body, cx),
+            [0xff, ..] => self.error(key, body, context),
             _ => {
-                cx.log.push(format!(
+                context.log.push(format!(
                     "login: engine={} wants a way to log in that is not spoken",
                     conn.engine.0
                 ));
@@ -136,14 +154,14 @@
     }
 
     /// An error of the box: what it proves, and whether it is the client's to know.
-    pub(super) fn error(&mut self, key: SlotKey, body: &[u8], cx: &mut Cx) -> Next {
+    pub(super) fn error(&mut self, key: SlotKey, body: &[u8], context: &mut BackendContext) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         let code = mysql_packets::error_code(body).unwrap_or(0);
         let logged_in = !matches!(conn.phase, Phase::Greeting | Phase::Login);
         if !logged_in {
-            cx.log.push(format!("login: engine={} error={code}", conn.engine.0));
+            context.log.push(format!("login: engine={} error={code}", conn.engine.0));
             let outcome = if NO_PLACE.contains(&code) { Outcome::Overloaded } else { Outcome::ConnectFailed };
-            self.end(key, outcome, None, cx);
+            self.end(key, outcome, None, context);
             return Next::Lose;
         }
         let running = matches!(conn.phase, Phase::Running(_));
@@ -154,18 +172,18 @@
                 conn.prepared.remove(&text);
                 conn.order.retain(|t| *t != text);
                 conn.answer.clear();
-                conn.advance(cx.now);
+                conn.advance(context.now);
                 return Next::Go;
             }
         }
         if NO_PLACE.contains(&code) {
-            self.end(key, Outcome::Overloaded, None, cx);
+            self.end(key, Outcome::Overloaded, None, context);
         } else if BOX_TROUBLE.contains(&code) {
             // What was only prepared has not run, whatever the trouble.
-            self.end(key, if running { Outcome::Error } else { Outcome::Overloaded }, None, cx);
+            self.end(key, if running { Outcome::Error } else { Outcome::Overloaded }, None, context);
         } else {
             // The statement's own error; the box is well, and running it elsewhere would say the same.
-            return self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), cx);
+            return self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), context);
         }
         Next::Lose
     }
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod xds;
 
-use super::backend::Cx;
+use super::backend::BackendContext;
 use super::reactor::{BufferedSocket, ReadEnd, SocketOwner};
 use super::slab::{Slab, SlotKey};
 use super::timer_queue::TimerEvent;
@@ -148,36 +148,40 @@
     }
 
     /// Somebody has connected.
-    pub fn accept(&mut self, stream: TcpStream, kind: Kind, view: &View, cx: &mut Cx) {
+    pub fn accept(&mut self, stream: TcpStream, kind: Kind, view: &View, context: &mut BackendContext) {
         if self.conns.len() >= CONNS_MOST {
             return; // Dropped: those that ask are few, and the descriptors are for clients and engines.
         }
-        let key =
-            self.conns.insert(Conn { link: BufferedSocket::new(stream), kind, heard: cx.now, last: false });
+        let key = self.conns.insert(Conn {
+            link: BufferedSocket::new(stream),
+            kind,
+            heard: context.now,
+            last: false,
+        });
         let Some(conn) = self.conns.get_mut(key) else { return };
-        if conn.link.watch(cx.registry, SocketOwner::Control(key)).is_err() {
+        if conn.link.watch(context.registry, SocketOwner::Control(key)).is_err() {
             self.conns.remove(key);
             return;
         }
-        cx.timers.set(cx.now + IDLE_MS, TimerEvent::Control(key));
+        context.timers.set(context.now + IDLE_MS, TimerEvent::Control(key));
         if kind == Kind::Agent {
             conn.link.put(view.agent_line().as_bytes());
             conn.last = true;
         }
-        self.ready(key, view, cx);
+        self.ready(key, view, context);
     }
 
     /// A socket has something to say.
-    pub fn ready(&mut self, key: SlotKey, view: &View, cx: &mut Cx) {
-        if self.step(key, view, cx).is_none() {
+    pub fn ready(&mut self, key: SlotKey, view: &View, context: &mut BackendContext) {
+        if self.step(key, view, context).is_none() {
             self.conns.remove(key);
         }
     }
 
     /// `None` when the connection is done with.
-    fn step(&mut self, key: SlotKey, view: &View, cx: &mut Cx) -> Option<()> {
+    fn step(&mut self, key: SlotKey, view: &View, context: &mut BackendContext) -> Option<()> {
         let conn = self.conns.get_mut(key)?;
-        conn.heard = cx.now;
+        conn.heard = context.now;
         conn.link.flush().ok()?;
         let end = conn.link.read(HEAD_MOST + BODY_MOST).ok()?;
         while !conn.last && conn.kind == Kind::Http {
@@ -218,12 +222,12 @@
     }
 
     /// Lets those go that have been silent for long.
-    pub fn look(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.conns.get(key) else { return };
-        if cx.now - conn.heard >= IDLE_MS {
+        if context.now - conn.heard >= IDLE_MS {
             self.conns.remove(key);
         } else {
-            cx.timers.set(conn.heard + IDLE_MS, TimerEvent::Control(key));
+            context.timers.set(conn.heard + IDLE_MS, TimerEvent::Control(key));
         }
     }
 }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -54,23 +54,26 @@
             return self.control_ready(owner, now);
         }
         let Node { poll, timers, log, jsonrpc, mysql, warehouses, bulletin, closing, .. } = self;
-        let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
+        let mut context =
+            BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
         match owner {
             SocketOwner::Fixed(SIGNAL) => self.begin_shutdown(),
             SocketOwner::Fixed(RELOAD) => {} // Only ends the wait.
             SocketOwner::Fixed(LISTENER) => self.accept(Front::JsonRpc, now, sent, &mut heard),
             SocketOwner::Fixed(_) => self.accept(Front::Mysql, now, sent, &mut heard),
-            SocketOwner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent, &mut cx),
+            SocketOwner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent, &mut context),
             SocketOwner::Closing(key) => closing.ready(key, timers),
-            SocketOwner::Warehouse(key) => warehouses.ready(key, &mut cx),
+            SocketOwner::Warehouse(key) => warehouses.ready(key, &mut context),
             SocketOwner::Bulletin(generation) => {
                 let news = bulletin.as_mut().map(|b| b.ready(now, generation)).unwrap_or_default();
                 self.news(news, &mut heard);
             }
             SocketOwner::Mysql(key) => {
-                mysql.iter_mut().for_each(|(front, _)| front.ready(key, read_closed, &mut cx));
+                mysql.iter_mut().for_each(|(front, _)| front.ready(key, read_closed, &mut context));
+            }
+            SocketOwner::MysqlBox(key) => {
+                mysql.iter_mut().for_each(|(_, boxes)| boxes.ready(key, &mut context))
             }
-            SocketOwner::MysqlBox(key) => mysql.iter_mut().for_each(|(_, boxes)| boxes.ready(key, &mut cx)),
             SocketOwner::Control(_) => {} // Handled above.
         }
         self.settle(heard);
@@ -80,28 +83,30 @@
         let mut heard = Vec::new();
         let Node { poll, timers, log, jsonrpc, mysql, warehouses, bulletin, exchange, control, .. } = self;
         let (registry, closing) = (poll.registry(), &mut self.closing);
-        let mut cx = Cx { now, registry, timers, closing, heard: &mut heard, log };
+        let mut context = BackendContext { now, registry, timers, closing, heard: &mut heard, log };
         match wake {
             TimerEvent::Module(timer) => exchange.timer(now, timer, timers),
             TimerEvent::RequestOver(key) => exchange.request_over(now, key, timers),
             TimerEvent::AttemptOver(request, attempt) => {
                 exchange.attempt_over(now, AttemptRef { request, attempt }, timers);
             }
-            TimerEvent::Backend(key) => warehouses.look(key, &mut cx),
+            TimerEvent::Backend(key) => warehouses.look(key, &mut context),
             TimerEvent::Bulletin => bulletin.iter_mut().for_each(|b| b.look(now, registry, timers)),
             TimerEvent::AcceptAgain => {
                 self.accept_paused = false;
                 self.accept(Front::JsonRpc, now, now - ACCEPT_PAUSE_MS, &mut heard);
                 self.accept(Front::Mysql, now, now, &mut heard);
             }
-            TimerEvent::Client(key) => jsonrpc.due(key, &mut cx),
+            TimerEvent::Client(key) => jsonrpc.due(key, &mut context),
             TimerEvent::ClosingConnection(key) => closing.expired(key),
             TimerEvent::Shutdown => self.advance_shutdown(now, &mut heard),
-            TimerEvent::MysqlBox(key) => mysql.iter_mut().for_each(|(_, boxes)| boxes.look(key, &mut cx)),
+            TimerEvent::MysqlBox(key) => {
+                mysql.iter_mut().for_each(|(_, boxes)| boxes.look(key, &mut context))
+            }
             TimerEvent::MysqlLogin(key) => {
-                mysql.iter_mut().for_each(|(front, _)| front.login_over(key, &mut cx));
+                mysql.iter_mut().for_each(|(front, _)| front.login_over(key, &mut context));
             }
-            TimerEvent::Control(key) => control.look(key, &mut cx),
+            TimerEvent::Control(key) => control.look(key, &mut context),
             // Health and warmth change without any socket saying so; `feed` looks at them after each turn.
             TimerEvent::Xds => {
                 timers.set(now + control::xds::FEED_MS, TimerEvent::Xds);
@@ -117,18 +122,18 @@
             let Node { poll, timers, log, jsonrpc, mysql, listeners, shutdown, closing, .. } = self;
             let Some((_, listener)) = listeners.iter().find(|(of, _)| *of == front) else { return };
             let clients = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
-            let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard, log };
+            let mut context = BackendContext { now, registry: poll.registry(), timers, closing, heard, log };
             // Guards against clients that ask once and stay, or never ask: they make room for those that come.
             let full = clients >= self.client_sockets
-                && !cx.closing.evict(cx.timers)
-                && !jsonrpc.make_room(sent, &mut cx);
+                && !context.closing.evict(context.timers)
+                && !jsonrpc.make_room(sent, &mut context);
             let accepted = if full { Err(ErrorKind::QuotaExceeded.into()) } else { listener.accept() };
             match accepted {
                 Ok((stream, _)) => {
                     shutdown.iter_mut().for_each(|shutdown| shutdown.accepted(now));
                     match (front, mysql) {
-                        (Front::Mysql, Some((mysql, _))) => mysql.accept(stream, &mut cx),
-                        _ => jsonrpc.accept(stream, sent, &mut cx),
+                        (Front::Mysql, Some((mysql, _))) => mysql.accept(stream, &mut context),
+                        _ => jsonrpc.accept(stream, sent, &mut context),
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -149,9 +154,9 @@
         }
         for ListEvent { number, kind, listings } in news {
             let Node { poll, timers, log, mysql, warehouses, closing, .. } = self;
-            let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard, log };
-            warehouses.members(kind, &listings, &mut cx);
-            mysql.iter_mut().for_each(|(_, boxes)| boxes.members(kind, &listings, &mut cx));
+            let mut context = BackendContext { now, registry: poll.registry(), timers, closing, heard, log };
+            warehouses.members(kind, &listings, &mut context);
+            mysql.iter_mut().for_each(|(_, boxes)| boxes.members(kind, &listings, &mut context));
             for listing in &listings {
                 let m = &listing.member;
                 let (engine, address, state) = (&m.engine.0, listing.address, state_in_log(m.state));
@@ -181,33 +186,34 @@
                 return;
             }
             let Node { poll, timers, log, jsonrpc, mysql, warehouses, closing, .. } = self;
-            let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
+            let mut context =
+                BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
             for order in orders {
                 match (order, mysql.as_mut()) {
                     (Order::Answer(asker, answer), Some((front, _))) if asker.front == Front::Mysql => {
-                        front.answer(asker, answer, &mut cx);
+                        front.answer(asker, answer, &mut context);
                     }
-                    (Order::Answer(asker, answer), _) => jsonrpc.answer(asker, &answer, &mut cx),
+                    (Order::Answer(asker, answer), _) => jsonrpc.answer(asker, &answer, &mut context),
                     (Order::Start(start), Some((_, boxes))) if start.front == Front::Mysql => {
-                        boxes.start(start, &mut cx);
+                        boxes.start(start, &mut context);
                     }
-                    (Order::Start(start), _) => warehouses.start(start, &mut cx),
+                    (Order::Start(start), _) => warehouses.start(start, &mut context),
                     // A pool passes over attempts and engines that are not its own.
                     (Order::GiveUp(attempt, again), boxes) => {
                         let boxes = boxes.filter(|(_, boxes)| boxes.carries(attempt));
                         match boxes {
-                            Some((_, boxes)) => boxes.give_up(attempt, again, &mut cx),
-                            None => warehouses.give_up(attempt, again, &mut cx),
+                            Some((_, boxes)) => boxes.give_up(attempt, again, &mut context),
+                            None => warehouses.give_up(attempt, again, &mut context),
                         }
                     }
                     (Order::Withdraw(attempt), boxes) => {
-                        warehouses.withdraw(attempt, &mut cx);
-                        boxes.into_iter().for_each(|(_, boxes)| boxes.withdraw(attempt, &mut cx));
+                        warehouses.withdraw(attempt, &mut context);
+                        boxes.into_iter().for_each(|(_, boxes)| boxes.withdraw(attempt, &mut context));
                     }
-                    (Order::Hurry(attempt, priority), _) => warehouses.hurry(attempt, priority, &mut cx),
+                    (Order::Hurry(attempt, priority), _) => warehouses.hurry(attempt, priority, &mut context),
                     (Order::CloseIdle(engine), boxes) => {
-                        warehouses.close_idle(&engine, &mut cx);
-                        boxes.into_iter().for_each(|(_, boxes)| boxes.close_idle(&engine, &mut cx));
+                        warehouses.close_idle(&engine, &mut context);
+                        boxes.into_iter().for_each(|(_, boxes)| boxes.close_idle(&engine, &mut context));
                     }
                 }
             }
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -26,16 +26,21 @@
 
 impl JsonRpc {
     /// Tells a client what is wrong with what it said.
-    pub(super) fn wrong(&mut self, key: SlotKey, (id, (code, name), why): Wrong, cx: &mut Cx) {
-        if cx.now - self.told.1 >= 1000.0 {
+    pub(super) fn wrong(
+        &mut self,
+        key: SlotKey,
+        (id, (code, name), why): Wrong,
+        context: &mut BackendContext,
+    ) {
+        if context.now - self.told.1 >= 1000.0 {
             if self.told.0 > LOG_MOST {
-                cx.log.push(format!("bad message: {} more", self.told.0 - LOG_MOST));
+                context.log.push(format!("bad message: {} more", self.told.0 - LOG_MOST));
             }
-            self.told = (0, cx.now);
+            self.told = (0, context.now);
         }
         self.told.0 += 1;
         if self.told.0 <= LOG_MOST {
-            cx.log.push(format!("bad message: code={code} {why}"));
+            context.log.push(format!("bad message: code={code} {why}"));
         }
         let Some(client) = self.clients.get_mut(key) else { return };
         let id = id.map_or("null".to_owned(), |id| id.to_string());
@@ -44,7 +49,13 @@
         put(&mut client.link, &format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{error}}}"#));
     }
 
-    pub(super) fn message(&mut self, key: SlotKey, message: Vec<u8>, sent: f64, cx: &mut Cx) {
+    pub(super) fn message(
+        &mut self,
+        key: SlotKey,
+        message: Vec<u8>,
+        sent: f64,
+        context: &mut BackendContext,
+    ) {
         let asked = self.read(key, message, sent);
         let Some(client) = self.clients.get_mut(key) else { return };
         let on_new_connection = !client.asked;
@@ -56,7 +67,7 @@
             }
             Ok(Asked::Cancel(id)) => {
                 if client.open.remove(&id) {
-                    withdraw(Asker { front: Front::JsonRpc, conn: key, id }, cx.heard);
+                    withdraw(Asker { front: Front::JsonRpc, conn: key, id }, context.heard);
                 }
             }
             // Nobody waits for it: its client has closed its side.
@@ -67,14 +78,14 @@
                     let pacing = &mut self.key_pacing;
                     ask.waited_at_client = pacing.longest_wait(sent, order, ask.budget, on_new_connection);
                 }
-                cx.heard.push(Heard::Asked(*ask));
+                context.heard.push(Heard::Asked(*ask));
             }
             Ok(Asked::Twice(id)) => {
                 // Any answer under this number could be taken for that of the other request.
-                self.wrong(key, (Some(id), INVALID, "id is in use"), cx);
-                self.leave(key, cx);
+                self.wrong(key, (Some(id), INVALID, "id is in use"), context);
+                self.leave(key, context);
             }
-            Err(wrong) => self.wrong(key, wrong, cx),
+            Err(wrong) => self.wrong(key, wrong, context),
         }
     }
 
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -4,7 +4,7 @@
 pub mod key_pacing;
 mod message;
 
-use crate::node::backend::Cx;
+use crate::node::backend::BackendContext;
 use crate::node::dispatcher::{Answer, Ask, Asker, Front, Heard, Payload};
 use crate::node::front::withdraw;
 use crate::node::json::{self, *};
@@ -133,42 +133,43 @@
     }
 
     /// A client has connected. `sent` is when what it has said already was sent at the latest.
-    pub fn accept(&mut self, stream: TcpStream, sent: f64, cx: &mut Cx) {
+    pub fn accept(&mut self, stream: TcpStream, sent: f64, context: &mut BackendContext) {
         let client = Client {
             link: BufferedSocket::new(stream),
             open: HashSet::new(),
             ended: false,
             asked: false,
-            since: cx.now,
+            since: context.now,
             part: None,
             due: None,
         };
         let key = self.clients.insert(client);
         let Some(client) = self.clients.get_mut(key) else { return };
-        match client.link.watch(cx.registry, SocketOwner::JsonRpc(key)) {
+        match client.link.watch(context.registry, SocketOwner::JsonRpc(key)) {
             Ok(()) => {
-                client.due = Some(cx.timers.set(cx.now + FIRST_MS, TimerEvent::Client(key)));
-                self.ready(key, false, sent, cx);
+                client.due = Some(context.timers.set(context.now + FIRST_MS, TimerEvent::Client(key)));
+                self.ready(key, false, sent, context);
             }
             Err(e) => {
-                cx.log.push(format!("accept: error={e}"));
+                context.log.push(format!("accept: error={e}"));
                 self.clients.remove(key);
             }
         }
     }
 
     /// Lets the client go of whom the least is to be had: never asked, idle. False if all are needed.
-    pub fn make_room(&mut self, sent: f64, cx: &mut Cx) -> bool {
+    pub fn make_room(&mut self, sent: f64, context: &mut BackendContext) -> bool {
         loop {
-            let spare = self.clients.iter().filter_map(|(key, c)| Some((c.use_left(cx.now)?, c.since, key)));
+            let spare =
+                self.clients.iter().filter_map(|(key, c)| Some((c.use_left(context.now)?, c.since, key)));
             let least = spare.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
             let Some((use_left, _, key)) = least else { return false };
             // What it has said since the poll may call for an answer.
-            self.ready(key, false, sent, cx);
+            self.ready(key, false, sent, context);
             match self.clients.get(key) {
                 None => return true,
-                Some(client) if client.use_left(cx.now) == Some(use_left) => {
-                    self.close(key, cx);
+                Some(client) if client.use_left(context.now) == Some(use_left) => {
+                    self.close(key, context);
                     return true;
                 }
                 Some(_) => {}
@@ -184,19 +185,19 @@
     /// A socket has something to say. `sent` is when what it says was sent at the latest. One client says so much at
     /// a time: one that floods is not to keep the others waiting. `read_closed`: it has closed its side, which counts at
     /// once, however much of what it sent before is still to be read.
-    pub fn ready(&mut self, key: SlotKey, read_closed: bool, sent: f64, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, read_closed: bool, sent: f64, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.link.flush().is_err() {
-            return self.close(key, cx);
+            return self.close(key, context);
         }
         if read_closed {
             client.ended = true;
-            self.gone(key, cx);
+            self.gone(key, context);
         }
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.link.waiting() > OUT_HIGH {
             if client.ended {
-                self.leave(key, cx);
+                self.leave(key, context);
             }
             return; // Read on when it has taken its answers; the poll tells of that.
         }
@@ -211,7 +212,7 @@
                     let message = input[used + body.start..used + body.end].to_vec();
                     used += bytes;
                     messages += 1;
-                    self.message(key, message, sent, cx);
+                    self.message(key, message, sent, context);
                 }
                 other => break other,
             }
@@ -220,88 +221,95 @@
         client.link.input = input;
         client.link.used(used);
         match (end, framing) {
-            (Err(_), _) => return self.close(key, cx),
+            (Err(_), _) => return self.close(key, context),
             (_, Framed::Lost) => {
-                return self.turn_away(key, PARSE, "the length can't be read, or is too much", cx)
+                return self.turn_away(key, PARSE, "the length can't be read, or is too much", context)
             }
-            _ if client.ended => self.settle(key, cx),
+            _ if client.ended => self.settle(key, context),
             (_, Framed::Whole(..)) => self.again.push(key),
             (Ok(end), Framed::Part) => {
                 let half = !client.link.input.is_empty();
-                client.part = client.part.filter(|_| half && used == 0).or(half.then_some(cx.now));
+                client.part = client.part.filter(|_| half && used == 0).or(half.then_some(context.now));
                 if let Some(since) = client.part {
                     let first = if client.asked { f64::INFINITY } else { client.since + FIRST_MS };
-                    client.due.take().into_iter().for_each(|due| cx.timers.clear(due));
-                    client.due = Some(cx.timers.set(first.min(since + WHOLE_MS), TimerEvent::Client(key)));
+                    client.due.take().into_iter().for_each(|due| context.timers.clear(due));
+                    client.due =
+                        Some(context.timers.set(first.min(since + WHOLE_MS), TimerEvent::Client(key)));
                 }
                 if end == ReadEnd::Open && client.link.has_more() {
                     self.again.push(key);
                 }
-                self.settle(key, cx);
+                self.settle(key, context);
             }
         }
         if self.clients.get(key).is_some_and(|client| client.weight() > CLIENT_LIGHT) {
-            self.bound_total(cx);
+            self.bound_total(context);
         }
     }
 
     /// Writes what waits; lets a client go that has closed, or that takes nothing of what it is owed.
-    fn settle(&mut self, key: SlotKey, cx: &mut Cx) {
+    fn settle(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.link.flush().is_err() || client.link.waiting() > OUT_MOST.min(self.total_most / 2) {
-            self.close(key, cx);
+            self.close(key, context);
         } else if client.ended {
-            self.leave(key, cx);
+            self.leave(key, context);
         }
     }
 
     /// A deadline of a client: it has never asked, stands in the middle of a message, or has had its last word.
-    pub fn due(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub fn due(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.due = None;
         match client.part {
-            Some(_) => self.turn_away(key, INVALID, "the message did not come whole in time", cx),
-            None if !client.asked => self.leave(key, cx),
+            Some(_) => self.turn_away(key, INVALID, "the message did not come whole in time", context),
+            None if !client.asked => self.leave(key, context),
             None => {}
         }
     }
 
     /// Says why a client is let go, and lets it go.
-    fn turn_away(&mut self, key: SlotKey, what: (i32, &'static str), why: &'static str, cx: &mut Cx) {
-        self.wrong(key, (None, what, why), cx);
-        self.leave(key, cx);
+    fn turn_away(
+        &mut self,
+        key: SlotKey,
+        what: (i32, &'static str),
+        why: &'static str,
+        context: &mut BackendContext,
+    ) {
+        self.wrong(key, (None, what, why), context);
+        self.leave(key, context);
     }
 
     /// Withdraws what a client has open, and lets it read what is written before its connection is closed.
-    fn leave(&mut self, key: SlotKey, cx: &mut Cx) {
-        if let Some(client) = self.remove(key, cx) {
-            cx.closing.add(client.link, cx.now, cx.registry, cx.timers);
+    fn leave(&mut self, key: SlotKey, context: &mut BackendContext) {
+        if let Some(client) = self.remove(key, context) {
+            context.closing.add(client.link, context.now, context.registry, context.timers);
         }
     }
 
-    fn close(&mut self, key: SlotKey, cx: &mut Cx) {
-        drop(self.remove(key, cx));
+    fn close(&mut self, key: SlotKey, context: &mut BackendContext) {
+        drop(self.remove(key, context));
     }
 
-    fn remove(&mut self, key: SlotKey, cx: &mut Cx) -> Option<Client> {
-        self.gone(key, cx);
+    fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Client> {
+        self.gone(key, context);
         let mut client = self.clients.remove(key)?;
-        client.due.take().into_iter().for_each(|due| cx.timers.clear(due));
+        client.due.take().into_iter().for_each(|due| context.timers.clear(due));
         Some(client)
     }
 
     /// Nobody waits any more for what is open on a connection.
-    fn gone(&mut self, key: SlotKey, cx: &mut Cx) {
+    fn gone(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let mut open: Vec<u64> = std::mem::take(&mut client.open).into_iter().collect();
         open.sort_unstable();
         for id in open {
-            withdraw(Asker { front: Front::JsonRpc, conn: key, id }, cx.heard);
+            withdraw(Asker { front: Front::JsonRpc, conn: key, id }, context.heard);
         }
     }
 
     /// Writes an answer, if its client still waits for it.
-    pub fn answer(&mut self, asker: Asker, answer: &Answer, cx: &mut Cx) {
+    pub fn answer(&mut self, asker: Asker, answer: &Answer, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(asker.conn) else { return };
         if !client.open.remove(&asker.id) {
             return;
@@ -324,26 +332,26 @@
             Answer::Failed | Answer::Error(_) => error(FAILED, "failed, it may have run"),
         };
         put(&mut client.link, &text);
-        client.since = cx.now;
-        self.settle(asker.conn, cx);
-        self.bound_total(cx);
+        client.since = context.now;
+        self.settle(asker.conn, context);
+        self.bound_total(context);
     }
 
     /// Guards the memory limit against many clients that take nothing or never end a message: the heaviest goes.
-    fn bound_total(&mut self, cx: &mut Cx) {
+    fn bound_total(&mut self, context: &mut BackendContext) {
         let (total, most) = heaviest(self.clients.iter().map(|(key, c)| (c.weight(), key)));
         if let Some(key) = most.filter(|_| total > self.total_most) {
-            cx.log.push(format!("slow client: closed, bytes={total}"));
-            self.close(key, cx);
+            context.log.push(format!("slow client: closed, bytes={total}"));
+            self.close(key, context);
         }
     }
 
     /// Closes the connections on which nothing is open or half said; used in a graceful shutdown.
-    pub fn close_quiet(&mut self, cx: &mut Cx) {
+    pub fn close_quiet(&mut self, context: &mut BackendContext) {
         for key in self.clients.keys() {
-            self.ready(key, false, cx.now, cx); // What came since the poll is not to be lost by a close over it.
+            self.ready(key, false, context.now, context); // What came since the poll is not to be lost by a close over it.
             if self.clients.get(key).is_some_and(Client::is_quiet) {
-                self.leave(key, cx);
+                self.leave(key, context);
             }
         }
     }
--- a/src/node/front/mysql/login.rs
+++ b/src/node/front/mysql/login.rs
@@ -4,11 +4,17 @@
 
 impl MysqlFront {
     /// Takes a packet; `false` if the session is to end.
-    pub(super) fn packet(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> bool {
+    pub(super) fn packet(
+        &mut self,
+        key: SlotKey,
+        number: u8,
+        body: &[u8],
+        context: &mut BackendContext,
+    ) -> bool {
         match self.sessions.get(key).map(|session| session.phase) {
             Some(Phase::Greeted) => self.login(key, number, body),
             Some(Phase::Switched) => self.check(key, number, body),
-            Some(_) => self.command(key, number, body, cx),
+            Some(_) => self.command(key, number, body, context),
             None => false,
         }
     }
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -6,7 +6,7 @@
 mod run;
 mod session;
 pub mod statement;
-use crate::node::backend::Cx;
+use crate::node::backend::BackendContext;
 use crate::node::config::{MysqlSettings, OrderBy};
 use crate::node::dispatcher::{Answer, Ask, Asker, Bound, Front, Heard, Payload};
 use crate::node::front::withdraw;
@@ -144,7 +144,7 @@
     }
 
     /// A client has connected: greets it.
-    pub fn accept(&mut self, stream: TcpStream, cx: &mut Cx) {
+    pub fn accept(&mut self, stream: TcpStream, context: &mut BackendContext) {
         self.connections = self.connections.wrapping_add(1);
         let nonce = nonce();
         let mut link = BufferedSocket::new(stream);
@@ -177,31 +177,31 @@
             requests: 0,
         });
         let Some(session) = self.sessions.get_mut(key) else { return };
-        if session.link.watch(cx.registry, SocketOwner::Mysql(key)).is_err() {
+        if session.link.watch(context.registry, SocketOwner::Mysql(key)).is_err() {
             self.sessions.remove(key);
             return;
         }
-        cx.timers.set(cx.now + LOGIN_MS, TimerEvent::MysqlLogin(key));
-        self.ready(key, false, cx);
+        context.timers.set(context.now + LOGIN_MS, TimerEvent::MysqlLogin(key));
+        self.ready(key, false, context);
     }
 
     /// Lets a client go that has not logged in.
-    pub fn login_over(&mut self, key: SlotKey, cx: &mut Cx) {
+    pub fn login_over(&mut self, key: SlotKey, context: &mut BackendContext) {
         if self.sessions.get(key).is_some_and(|s| matches!(s.phase, Phase::Greeted | Phase::Switched)) {
-            self.close(key, cx);
+            self.close(key, context);
         }
     }
 
     /// A socket has something to say, or a command may be taken again. A client that has closed its side is gone, however
     /// much it has sent before.
-    pub fn ready(&mut self, key: SlotKey, read_closed: bool, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, read_closed: bool, context: &mut BackendContext) {
         if read_closed {
-            return self.close(key, cx);
+            return self.close(key, context);
         }
         loop {
             let Some(session) = self.sessions.get_mut(key) else { return };
             if session.link.flush().is_err() {
-                return self.close(key, cx);
+                return self.close(key, context);
             }
             let end = session.link.read(PACKET_MOST + 8);
             let mut more = session.link.has_more();
@@ -215,51 +215,51 @@
                     Ok(Some((number, body))) => {
                         let body = body.to_vec();
                         session.link.used(4 + body.len());
-                        if !self.packet(key, number, &body, cx) {
-                            return self.part(key, cx);
+                        if !self.packet(key, number, &body, context) {
+                            return self.part(key, context);
                         }
                     }
                     Err(too_long) => {
                         session.wrong(too_long.0, TOO_LONG);
-                        return self.part(key, cx);
+                        return self.part(key, context);
                     }
                 }
             }
             let Some(session) = self.sessions.get_mut(key) else { return };
             let broken = session.link.flush().is_err();
             if broken || !matches!(end, Ok(ReadEnd::Open)) {
-                return self.close(key, cx);
+                return self.close(key, context);
             }
             if !more {
                 break;
             }
         }
         if self.sessions.get(key).is_some_and(|session| session.weight() > SESSION_LIGHT) {
-            self.bound_total(cx);
+            self.bound_total(context);
         }
     }
 
     /// Lets a client go, which may first read what is written.
-    fn part(&mut self, key: SlotKey, cx: &mut Cx) {
-        if let Some(session) = self.remove(key, cx) {
-            cx.closing.add(session.link, cx.now, cx.registry, cx.timers);
+    fn part(&mut self, key: SlotKey, context: &mut BackendContext) {
+        if let Some(session) = self.remove(key, context) {
+            context.closing.add(session.link, context.now, context.registry, context.timers);
         }
     }
 
-    fn close(&mut self, key: SlotKey, cx: &mut Cx) {
-        drop(self.remove(key, cx));
+    fn close(&mut self, key: SlotKey, context: &mut BackendContext) {
+        drop(self.remove(key, context));
     }
 
-    fn remove(&mut self, key: SlotKey, cx: &mut Cx) -> Option<Session> {
+    fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Session> {
         let session = self.sessions.remove(key)?;
         if matches!(session.phase, Phase::Busy(_)) {
-            withdraw(Asker { front: Front::Mysql, conn: key, id: session.requests }, cx.heard);
+            withdraw(Asker { front: Front::Mysql, conn: key, id: session.requests }, context.heard);
         }
         Some(session)
     }
 
     /// Writes an answer, if its client still waits for it, and takes the next command.
-    pub fn answer(&mut self, asker: Asker, answer: Answer, cx: &mut Cx) {
+    pub fn answer(&mut self, asker: Asker, answer: Answer, context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(asker.conn).filter(|s| s.requests == asker.id) else {
             return;
         };
@@ -279,26 +279,26 @@
             Answer::TimedOut => session.wrong(number, TIMED_OUT),
             Answer::Failed => session.wrong(number, FAILED),
         }
-        self.ready(asker.conn, false, cx);
+        self.ready(asker.conn, false, context);
     }
 
     /// Guards the memory limit against many sessions that take nothing or keep much: the heaviest goes.
-    fn bound_total(&mut self, cx: &mut Cx) {
+    fn bound_total(&mut self, context: &mut BackendContext) {
         let (total, most) = heaviest(self.sessions.iter().map(|(key, s)| (s.weight(), key)));
         if let Some(key) = most.filter(|_| total > self.total_most) {
-            cx.log.push(format!("slow client: closed, bytes={total}"));
-            self.close(key, cx);
+            context.log.push(format!("slow client: closed, bytes={total}"));
+            self.close(key, context);
         }
     }
 
     /// Closes the sessions in which nothing is open or half said; used in a graceful shutdown.
-    pub fn close_quiet(&mut self, cx: &mut Cx) {
+    pub fn close_quiet(&mut self, context: &mut BackendContext) {
         for key in self.sessions.keys() {
-            self.ready(key, false, cx); // What came since the poll is not to be lost by a close over it.
+            self.ready(key, false, context); // What came since the poll is not to be lost by a close over it.
             let is_busy = |s: &Session| matches!(s.phase, Phase::Busy(_));
             let is_quiet = |s: &Session| !is_busy(s) && s.link.waiting() == 0 && s.link.input.is_empty();
             if self.sessions.get(key).is_some_and(is_quiet) {
-                self.part(key, cx);
+                self.part(key, context);
             }
         }
     }
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -3,7 +3,13 @@
 use super::*;
 
 impl MysqlFront {
-    pub(super) fn command(&mut self, key: SlotKey, number: u8, body: &[u8], cx: &mut Cx) -> bool {
+    pub(super) fn command(
+        &mut self,
+        key: SlotKey,
+        number: u8,
+        body: &[u8],
+        context: &mut BackendContext,
+    ) -> bool {
         let Some(session) = self.sessions.get_mut(key) else { return false };
         let Some((command, rest)) = body.split_first() else {
             session.wrong(number, MALFORMED);
@@ -19,9 +25,9 @@
                 session.schema = None;
                 session.reply(number, &mysql_packets::ok());
             }
-            QUERY => self.query(key, number, rest, cx),
+            QUERY => self.query(key, number, rest, context),
             STMT_PREPARE => session.prepare(number, rest),
-            STMT_EXECUTE => self.execute(key, number, rest, cx),
+            STMT_EXECUTE => self.execute(key, number, rest, context),
             STMT_SEND_LONG_DATA => session.long_data(rest), // Gets no answer.
             STMT_CLOSE => {
                 handle.and_then(|handle| session.statements.remove(&handle)); // Gets no answer.
@@ -41,7 +47,7 @@
         true
     }
 
-    pub(super) fn query(&mut self, key: SlotKey, number: u8, text: &[u8], cx: &mut Cx) {
+    pub(super) fn query(&mut self, key: SlotKey, number: u8, text: &[u8], context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let words = statement::words(text);
         if words.first().is_some_and(|w| w == "USE") {
@@ -52,10 +58,10 @@
         if let Err(bound) = statement::movable(&words) {
             return session.unsupported(number, bound.0);
         }
-        self.ask(key, number, text.to_vec(), &words, None, cx);
+        self.ask(key, number, text.to_vec(), &words, None, context);
     }
 
-    pub(super) fn execute(&mut self, key: SlotKey, number: u8, rest: &[u8], cx: &mut Cx) {
+    pub(super) fn execute(&mut self, key: SlotKey, number: u8, rest: &[u8], context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let Some((handle, after)) = rest.split_first_chunk::<4>() else {
             return session.wrong(number, MALFORMED);
@@ -67,7 +73,7 @@
             Ok(bound) => {
                 let text = statement.text.clone();
                 let words = statement::words(&text);
-                self.ask(key, number, text, &words, Some(bound), cx);
+                self.ask(key, number, text, &words, Some(bound), context);
             }
             Err(wrong) if wrong == UNSUPPORTED.0 => session.unsupported(number, "a cursor"),
             Err(wrong) if wrong == WRONG_ARGUMENTS.0 => session.wrong(number, WRONG_ARGUMENTS),
@@ -83,7 +89,7 @@
         text: Vec<u8>,
         words: &[String],
         bound: Option<Bound>,
-        cx: &mut Cx,
+        context: &mut BackendContext,
     ) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let verb = words.iter().find(|w| *w != "(").map_or("", String::as_str);
@@ -100,11 +106,11 @@
         session.phase = Phase::Busy(number);
         let id = session.requests;
         let tables = table_group::table_group(&text).unwrap_or(0);
-        cx.heard.push(Heard::Asked(Ask {
+        context.heard.push(Heard::Asked(Ask {
             asker: Asker { front: Front::Mysql, conn: key, id },
             name: Arc::from(format!("m{}-{}-{id}", key.slot, key.generation)),
             class,
-            sent: cx.now,
+            sent: context.now,
             budget: rule.and_then(|rule| rule.budget_ms).unwrap_or(self.classes[class.0].1),
             waited_at_client: 0.0,
             tables,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -24,9 +24,9 @@
 pub mod timer_queue;
 use crate::fleet::admission::{AdmissionControl, AdmissionRequest};
 use crate::Repeat;
-use backend::line_protocol::Warehouses;
-use backend::mysql::MysqlBoxes;
-use backend::Cx;
+use backend::line_protocol::LineProtocolBackend;
+use backend::mysql::MysqlBackend;
+use backend::BackendContext;
 use clock::Clock;
 use config::{Config, ConfigError};
 use control::xds::Feed;
@@ -68,10 +68,10 @@
     timers: TimerQueue,
     exchange: Exchange,
     jsonrpc: JsonRpc,
-    mysql: Option<(MysqlFront, MysqlBoxes)>,
+    mysql: Option<(MysqlFront, MysqlBackend)>,
     /// Client connections that are being closed, of both fronts.
     closing: ClosingConnections,
-    warehouses: Warehouses,
+    warehouses: LineProtocolBackend,
     bulletin: Option<DiscoveryClient>,
     control: Control,
     control_listeners: Vec<(Kind, TcpListener)>,
@@ -191,7 +191,7 @@
         let Node { poll, timers, log, warehouses, closing, .. } = self;
         warehouses.keep_links(
             most,
-            &mut Cx { now, registry: poll.registry(), timers, closing, heard: &mut heard, log },
+            &mut BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log },
         );
         if !changed.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
@@ -252,15 +252,16 @@
     fn control_ready(&mut self, owner: SocketOwner, now: f64) {
         let view = self.view();
         let Node { poll, timers, log, control, control_listeners, closing, .. } = self;
-        let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard: &mut Vec::new(), log };
+        let mut context =
+            BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut Vec::new(), log };
         if let SocketOwner::Control(key) = owner {
-            return control.ready(key, &view, &mut cx);
+            return control.ready(key, &view, &mut context);
         }
         let listener = control_listeners.iter().find(|(kind, _)| control_token(*kind) == owner.token());
         let Some((kind, listener)) = listener else { return };
         // Any error ends this round: where descriptors are short, those who ask come back by themselves.
         while let Ok((stream, _)) = listener.accept() {
-            control.accept(stream, *kind, &view, &mut cx);
+            control.accept(stream, *kind, &view, &mut context);
         }
     }
 
@@ -271,11 +272,11 @@
         exchange.refuse_unfinishable(now, timers);
         let connections = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
         let step = shutdown.advance(now, exchange.open_requests(), connections);
-        let mut cx = Cx { now, registry: poll.registry(), timers, closing, heard, log };
+        let mut context = BackendContext { now, registry: poll.registry(), timers, closing, heard, log };
         if step.close_idle_clients {
             exchange.refuse_new();
-            jsonrpc.close_quiet(&mut cx);
-            mysql.iter_mut().for_each(|(front, _)| front.close_quiet(&mut cx));
+            jsonrpc.close_quiet(&mut context);
+            mysql.iter_mut().for_each(|(front, _)| front.close_quiet(&mut context));
         }
         if let Some(next) = step.next {
             timers.set(next, TimerEvent::Shutdown);
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -29,13 +29,13 @@
         let client_sockets = config.client_sockets();
         let backend_sockets = config.sockets.saturating_sub(client_sockets + 32).max(4);
         let warehouses =
-            Warehouses::new(names, config.dial_ms, config.idle_ms, config.streams, backend_sockets);
+            LineProtocolBackend::new(names, config.dial_ms, config.idle_ms, config.streams, backend_sockets);
         let kinds = config.settings.kinds.iter().map(|k| k.name.clone()).collect();
         let out_most = (config.memory_mb * 1048576.0 / 4.0) as usize;
         let jsonrpc = JsonRpc::new(&config.settings, out_most);
         let mysql = config.mysql.map(|mysql| {
             let boxes =
-                MysqlBoxes::new(mysql.clone(), config.dial_ms, config.idle_ms, backend_sockets, out_most);
+                MysqlBackend::new(mysql.clone(), config.dial_ms, config.idle_ms, backend_sockets, out_most);
             (MysqlFront::new(mysql, &config.settings, out_most), boxes)
         });
         // Where no seed is given, front ends still differ by their number.
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -1,8 +1,8 @@
 //! Backends by themselves: what has not been written when a box drains is taken back.
 
-use beamgap::node::backend::line_protocol::Warehouses;
-use beamgap::node::backend::mysql::MysqlBoxes;
-use beamgap::node::backend::Cx;
+use beamgap::node::backend::line_protocol::LineProtocolBackend;
+use beamgap::node::backend::mysql::MysqlBackend;
+use beamgap::node::backend::BackendContext;
 use beamgap::node::config::MysqlSettings;
 use beamgap::node::discovery::ListedEngine;
 use beamgap::node::dispatcher::{AttemptRef, Front, Heard, Payload, Start};
@@ -17,21 +17,21 @@
 use std::sync::Arc;
 
 enum Pool {
-    Lines(Warehouses),
-    Mysql(Box<MysqlBoxes>),
+    Lines(LineProtocolBackend),
+    Mysql(Box<MysqlBackend>),
 }
 
 impl Pool {
-    fn members(&mut self, listing: ListedEngine, cx: &mut Cx) {
+    fn members(&mut self, listing: ListedEngine, context: &mut BackendContext) {
         match self {
-            Pool::Lines(pool) => pool.members(ListKind::Changes, &[listing], cx),
-            Pool::Mysql(pool) => pool.members(ListKind::Changes, &[listing], cx),
+            Pool::Lines(pool) => pool.members(ListKind::Changes, &[listing], context),
+            Pool::Mysql(pool) => pool.members(ListKind::Changes, &[listing], context),
         }
     }
-    fn start(&mut self, start: Start, cx: &mut Cx) {
+    fn start(&mut self, start: Start, context: &mut BackendContext) {
         match self {
-            Pool::Lines(pool) => pool.start(start, cx),
-            Pool::Mysql(pool) => pool.start(start, cx),
+            Pool::Lines(pool) => pool.start(start, context),
+            Pool::Mysql(pool) => pool.start(start, context),
         }
     }
 }
@@ -46,8 +46,8 @@
         box_password: String::new(),
         box_connections: 4,
     };
-    let lines = Warehouses::new(vec![("load".to_owned(), true)], 250.0, 15_000.0, 100, 100);
-    [Pool::Lines(lines), Pool::Mysql(Box::new(MysqlBoxes::new(mysql, 250.0, 15_000.0, 100, 1 << 20)))]
+    let lines = LineProtocolBackend::new(vec![("load".to_owned(), true)], 250.0, 15_000.0, 100, 100);
+    [Pool::Lines(lines), Pool::Mysql(Box::new(MysqlBackend::new(mysql, 250.0, 15_000.0, 100, 1 << 20)))]
 }
 
 fn listing(address: SocketAddr, state: EngineState) -> ListedEngine {
@@ -86,7 +86,7 @@
         let poll = mio::Poll::new().unwrap();
         let (mut timers, mut heard, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
         let mut closing = ClosingConnections::default();
-        let mut cx = Cx {
+        let mut context = BackendContext {
             now: 0.0,
             registry: poll.registry(),
             timers: &mut timers,
@@ -94,12 +94,12 @@
             heard: &mut heard,
             log: &mut log,
         };
-        pool.members(listing(address, EngineState::Serving), &mut cx);
-        pool.start(start(1), &mut cx);
-        assert_eq!(outcomes(cx.heard), []);
-        pool.members(listing(address, EngineState::Draining), &mut cx);
-        pool.start(start(2), &mut cx);
-        assert_eq!(outcomes(cx.heard), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
+        pool.members(listing(address, EngineState::Serving), &mut context);
+        pool.start(start(1), &mut context);
+        assert_eq!(outcomes(context.heard), []);
+        pool.members(listing(address, EngineState::Draining), &mut context);
+        pool.start(start(2), &mut context);
+        assert_eq!(outcomes(context.heard), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
         let mut got = Vec::new();
         listener.accept().unwrap().0.read_to_end(&mut got).unwrap();
         assert_eq!(got, b"", "not a byte of it was written");
@@ -115,7 +115,7 @@
     let (mut timers, mut heard, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
     let registry = poll.registry().try_clone().unwrap();
     let mut closing = ClosingConnections::default();
-    let mut cx = Cx {
+    let mut context = BackendContext {
         now: 0.0,
         registry: &registry,
         timers: &mut timers,
@@ -123,8 +123,8 @@
         heard: &mut heard,
         log: &mut log,
     };
-    pool.members(listing(listener.local_addr().unwrap(), EngineState::Serving), &mut cx);
-    pool.start(start(1), &mut cx);
+    pool.members(listing(listener.local_addr().unwrap(), EngineState::Serving), &mut context);
+    pool.start(start(1), &mut context);
     drop(listener.accept().unwrap());
     let Pool::Lines(pool) = &mut pool else { unreachable!() };
     let mut events = mio::Events::with_capacity(8);
@@ -135,10 +135,10 @@
         poll.poll(&mut events, Some(std::time::Duration::from_millis(5))).unwrap();
         for owner in events.iter().filter_map(|event| SocketOwner::of(event.token())) {
             let SocketOwner::Warehouse(key) = owner else { panic!("{owner:?}") };
-            pool.ready(key, &mut cx);
+            pool.ready(key, &mut context);
         }
         next = next.or_else(|| listener.accept().ok());
         next.iter().for_each(|(stream, _)| stream.set_nonblocking(true).unwrap());
     }
-    assert_eq!((&got, outcomes(cx.heard)), (b"want ", vec![]));
+    assert_eq!((&got, outcomes(context.heard)), (b"want ", vec![]));
 }
