--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -78,7 +78,7 @@
             // Answers come in any order, but a cancel written before `there` has been read before its answer.
             if let Some(place) = conn.called_off.iter().position(|(tag, ..)| tag == line.id) {
                 let read = conn.called_off.drain(..=place).map(|(_, at, _)| at);
-                context.heard.extend(read.map(|at| Heard::Ended(Ended::confirmed(at))));
+                context.heard.extend(read.map(|at| DispatcherEvent::Ended(FinishedAttempt::confirmed(at))));
             }
             return Ok(());
         }
@@ -87,7 +87,7 @@
         let at = attempt.at;
         let outcome = match line.word {
             "update" => {
-                line.note().into_iter().for_each(|note| context.heard.push(Heard::Noted(at, note)));
+                line.note().into_iter().for_each(|note| context.heard.push(DispatcherEvent::Noted(at, note)));
                 return Ok(());
             }
             "served" if attempt.pages.is_empty() => {
@@ -134,17 +134,17 @@
                     conn.link.put(format!("shut {}\r\n", line.id).as_bytes());
                 }
                 (
-                    Some(Answer::Served(attempt.pages.into_iter().flatten().flatten().collect())),
+                    Some(FinalResponse::Served(attempt.pages.into_iter().flatten().flatten().collect())),
                     attempt.report,
                 )
             }
             _ => (None, line.report()),
         };
-        context.heard.push(Heard::Ended(Ended {
+        context.heard.push(DispatcherEvent::Ended(FinishedAttempt {
             answer,
             cost: attempt.cost,
             report,
-            ..Ended::bare(at, outcome)
+            ..FinishedAttempt::bare(at, outcome)
         }));
         Ok(())
     }
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -8,7 +8,9 @@
 use super::engine_registry::EngineRegistry;
 use super::BackendContext;
 use crate::node::discovery::ListedEngine;
-use crate::node::dispatcher::{Answer, AttemptRef, Ended, Heard, Start, ACCOUNT};
+use crate::node::dispatcher::{
+    AttemptRef, AttemptStart, DispatcherEvent, FinalResponse, FinishedAttempt, ACCOUNT,
+};
 use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
@@ -177,12 +179,12 @@
         let wants = self.conns.get_mut(key).map(|conn| std::mem::take(&mut conn.wants));
         for want in wants.into_iter().flatten() {
             self.placed.remove(&want.at);
-            context.heard.push(Heard::Ended(Ended::bare(want.at, Outcome::Overloaded)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(want.at, Outcome::Overloaded)));
         }
     }
 
     /// Begins an attempt.
-    pub fn start(&mut self, start: Start, context: &mut BackendContext) {
+    pub fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
         let at = start.attempt;
         let once = self.classes.get(start.class.0).is_some_and(|(_, once)| *once);
         let outcome = match self.roster.serving(&start.engine) {
@@ -195,10 +197,10 @@
             // The list changed between the decision and now.
             None => Outcome::Overloaded,
         };
-        context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
     }
 
-    fn queue(&mut self, key: SlotKey, start: Start, once: bool, context: &mut BackendContext) {
+    fn queue(&mut self, key: SlotKey, start: AttemptStart, once: bool, context: &mut BackendContext) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         let class = self.classes.get(start.class.0).map_or("", |(name, _)| name);
         let mut head = format!("want {} profile={class},max={}", start.name, start.max_ms.floor().max(1.0));
@@ -230,7 +232,7 @@
             CalledOff::Stuck(_) | CalledOff::Gone => Outcome::Cancelled,
         };
         if again {
-            context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
         }
     }
 
@@ -266,7 +268,7 @@
         let Some(place) = conn.wants.iter().position(|want| want.at == at) else { return };
         conn.wants.remove(place);
         self.placed.remove(&at);
-        context.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
+        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
     }
 
     /// Tells a new priority.
@@ -318,7 +320,7 @@
         }
         for (at, outcome) in ends {
             self.placed.remove(&at);
-            context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
         }
     }
 
@@ -331,7 +333,7 @@
         while let Some((_, at, _)) =
             conn.called_off.pop_front_if(|(.., since)| context.now - *since >= CONFIRM_MS)
         {
-            context.heard.push(Heard::Ended(Ended::bare(at, Outcome::Cancelled)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let idle = context.now - conn.heard;
         if !conn.link.input.is_empty() && idle >= STALL_MS {
--- a/src/node/backend/mod.rs
+++ b/src/node/backend/mod.rs
@@ -4,7 +4,7 @@
 pub mod line_protocol;
 pub mod mysql;
 
-use super::dispatcher::Heard;
+use super::dispatcher::DispatcherEvent;
 use super::front::closing::ClosingConnections;
 use super::timer_queue::TimerQueue;
 use mio::Registry;
@@ -20,7 +20,7 @@
     /// Client connections that are being closed.
     pub closing: &'a mut ClosingConnections,
     /// What the core is to hear.
-    pub heard: &'a mut Vec<Heard>,
+    pub heard: &'a mut Vec<DispatcherEvent>,
     /// Lines for the log.
     pub log: &'a mut Vec<String>,
 }
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -8,7 +8,9 @@
 
 use crate::node::config::MysqlSettings;
 use crate::node::discovery::ListedEngine;
-use crate::node::dispatcher::{Answer, AttemptRef, Bound, Ended, Heard, Payload, Start};
+use crate::node::dispatcher::{
+    AttemptRef, AttemptStart, Bound, DispatcherEvent, FinalResponse, FinishedAttempt, Payload,
+};
 use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
 use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
@@ -142,7 +144,9 @@
             if !conn.job.as_ref().is_some_and(|job| job.sent) {
                 if let Some(job) = conn.job.take() {
                     self.placed.remove(&job.at);
-                    context.heard.push(Heard::Ended(Ended::bare(job.at, Outcome::Overloaded)));
+                    context
+                        .heard
+                        .push(DispatcherEvent::Ended(FinishedAttempt::bare(job.at, Outcome::Overloaded)));
                 }
                 self.lose(key, Outcome::Reset, context);
             }
@@ -150,7 +154,7 @@
     }
 
     /// Begins an attempt.
-    pub fn start(&mut self, start: Start, context: &mut BackendContext) {
+    pub fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
         let at = start.attempt;
         let job = Job { at, payload: start.payload, sent: false, renewed: false };
         let outcome = if self.roster.serving(&start.engine).is_none() {
@@ -165,7 +169,7 @@
                 None => Outcome::ConnectFailed,
             }
         };
-        context.heard.push(Heard::Ended(Ended::bare(at, outcome)));
+        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
     }
 
     /// An idle connection, best one on which the statement is prepared already.
@@ -231,7 +235,7 @@
     /// so that a late answer finds nobody.
     pub fn give_up(&mut self, at: AttemptRef, again: bool, context: &mut BackendContext) {
         if again {
-            context.heard.push(Heard::Ended(Ended::bare(at, Outcome::Cancelled)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let Some(key) = self.placed.remove(&at) else { return };
         let Some(conn) = self.conns.get_mut(key) else { return };
@@ -265,7 +269,7 @@
         let Some(key) = self.placed.get(&at) else { return };
         if self.conns.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
             self.give_up(at, false, context);
-            context.heard.push(Heard::Ended(Ended::bare(at, Outcome::NotSent)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
         }
     }
 
@@ -330,15 +334,15 @@
         &mut self,
         key: SlotKey,
         outcome: Outcome,
-        answer: Option<Answer>,
+        answer: Option<FinalResponse>,
         context: &mut BackendContext,
     ) -> Next {
         let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
         conn.answer = Vec::new();
         if let Some(job) = conn.job.take() {
             self.placed.remove(&job.at);
-            let ended = Ended { answer, ..Ended::bare(job.at, outcome) };
-            context.heard.push(Heard::Ended(ended));
+            let ended = FinishedAttempt { answer, ..FinishedAttempt::bare(job.at, outcome) };
+            context.heard.push(DispatcherEvent::Ended(ended));
         }
         conn.advance(context.now);
         let serving = self.roster.serving(&conn.engine).is_some();
@@ -359,7 +363,7 @@
         if let Some(job) = conn.job {
             self.placed.remove(&job.at);
             let outcome = if job.sent { outcome } else { Outcome::ConnectFailed };
-            context.heard.push(Heard::Ended(Ended::bare(job.at, outcome)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(job.at, outcome)));
         }
     }
 
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -20,7 +20,9 @@
                 conn.advance(context.now);
                 Next::Go
             }
-            Phase::Schema => self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), context),
+            Phase::Schema => {
+                self.end(key, Outcome::NotSent, Some(FinalResponse::Error(body.to_vec())), context)
+            }
             Phase::Preparing(state) => match state {
                 None if body.first() == Some(&0xff) => self.error(key, body, context),
                 None => {
@@ -59,12 +61,12 @@
                         let text = "the result is larger than beamgap keeps; it has run";
                         let body = mysql_packets::error(1105, "HY000", text);
                         // The rest of the result is still to come: the connection goes.
-                        self.end(key, Outcome::NotSent, Some(Answer::Error(body)), context);
+                        self.end(key, Outcome::NotSent, Some(FinalResponse::Error(body)), context);
                         Next::Lose
                     }
                     Step::Done => {
                         let answer = std::mem::take(&mut conn.answer);
-                        self.end(key, Outcome::Served, Some(Answer::Served(answer)), context)
+                        self.end(key, Outcome::Served, Some(FinalResponse::Served(answer)), context)
                     }
                     Step::Error => self.error(key, body, context),
                     Step::Broken => Next::Lose,
@@ -183,7 +185,7 @@
             self.end(key, if running { Outcome::Error } else { Outcome::Overloaded }, None, context);
         } else {
             // The statement's own error; the box is well, and running it elsewhere would say the same.
-            return self.end(key, Outcome::NotSent, Some(Answer::Error(body.to_vec())), context);
+            return self.end(key, Outcome::NotSent, Some(FinalResponse::Error(body.to_vec())), context);
         }
         Next::Lose
     }
--- a/src/node/dispatcher/decisions.rs
+++ b/src/node/dispatcher/decisions.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Exchange {
+impl RequestDispatcher {
     /// Tells the decision module and does what it says; what its actions end at once is told it in turn.
     pub(super) fn tell(&mut self, now: f64, event: Event, timers: &mut TimerQueue) {
         let mut events = VecDeque::from([event]);
@@ -19,15 +19,15 @@
 
     /// What a request that is given up hears. Guards against a load that may have run being sent again by its client
     /// on our word.
-    pub(super) fn given_up(&self, key: SlotKey, backoff_ms: f64) -> Answer {
+    pub(super) fn given_up(&self, key: SlotKey, backoff_ms: f64) -> FinalResponse {
         let may_have_run = self.open.get(key).is_some_and(|open| {
             let unsafe_class = self.settings.classes[open.ask.class.0].repeat == Repeat::Unsafe;
             unsafe_class && (open.may_have_run || open.out.is_some())
         });
         if may_have_run {
-            Answer::Failed
+            FinalResponse::Failed
         } else {
-            Answer::Refused { backoff_ms }
+            FinalResponse::Refused { backoff_ms }
         }
     }
 
@@ -50,7 +50,7 @@
             Action::Fail { request } => {
                 let key = self.key(&request)?;
                 let late = self.open.get(key).is_some_and(|open| now >= open.deadline);
-                self.answer(key, if late { Answer::TimedOut } else { Answer::Failed });
+                self.answer(key, if late { FinalResponse::TimedOut } else { FinalResponse::Failed });
                 self.forget(key, timers);
                 None
             }
@@ -64,11 +64,12 @@
                 if is_out && (again || ordered) {
                     // It may be sent again, or the next of its key comes, or the fleet counts it, but not before this one
                     // is over for sure: its end comes from outside.
-                    self.orders.push(Order::GiveUp(attempt, true));
+                    self.orders.push(DispatcherCommand::GiveUp(attempt, true));
                     return None;
                 }
-                let closed = self.close_attempt(now, &Ended::bare(attempt, Outcome::Cancelled), timers)?;
-                self.orders.push(Order::GiveUp(attempt, false));
+                let closed =
+                    self.close_attempt(now, &FinishedAttempt::bare(attempt, Outcome::Cancelled), timers)?;
+                self.orders.push(DispatcherCommand::GiveUp(attempt, false));
                 self.forget(attempt.request, timers);
                 Some(closed)
             }
@@ -78,12 +79,12 @@
                 (open.memory_mb, open.priority) = (memory_mb, priority);
                 if let Some(out) = &open.out {
                     let attempt = AttemptRef { request: key, attempt: out.attempt };
-                    self.orders.push(Order::Hurry(attempt, priority));
+                    self.orders.push(DispatcherCommand::Hurry(attempt, priority));
                 }
                 None
             }
             Action::CloseIdle(engine) => {
-                self.orders.push(Order::CloseIdle(engine));
+                self.orders.push(DispatcherCommand::CloseIdle(engine));
                 None
             }
             Action::SetTimer { after, timer } => {
@@ -157,8 +158,8 @@
         trace!(target: ACCOUNT, "send: id={id} class={class} engine={to} attempt={no} work={work:.0}");
         open.sent += 1;
         let due = timers.set(now + max_ms, TimerEvent::AttemptOver(key, attempt));
-        open.out = Some(Out { attempt, engine: engine.clone(), since: now, due });
-        self.orders.push(Order::Start(Start {
+        open.out = Some(OutstandingAttempt { attempt, engine: engine.clone(), since: now, due });
+        self.orders.push(DispatcherCommand::Start(AttemptStart {
             attempt: AttemptRef { request: key, attempt },
             front: open.ask.asker.front,
             name: open.ask.name.clone(),
--- a/src/node/dispatcher/message.rs
+++ b/src/node/dispatcher/message.rs
@@ -13,7 +13,7 @@
 
 /// An attempt as a backend is handed it.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct AttemptStart {
     /// Which attempt.
     pub attempt: AttemptRef,
     /// Which front the request came by: the engines of its kind are to run it.
@@ -36,11 +36,11 @@
 
 /// What the core wants done.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum DispatcherCommand {
     /// Answer a client.
-    Answer(Asker, Answer),
+    Answer(ClientHandle, FinalResponse),
     /// Begin an attempt.
-    Start(Start),
+    Start(AttemptStart),
     /// Give an attempt up; if it is still owed an end, that is told when it is sure that the engine knows.
     GiveUp(AttemptRef, bool),
     /// Take an attempt back if it has not begun; one that has goes on.
@@ -53,13 +53,13 @@
 
 /// The end of an attempt, as a backend tells it.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct FinishedAttempt {
     /// Which attempt.
     pub attempt: AttemptRef,
     /// What the end proves.
     pub outcome: Outcome,
     /// The answer for the client, where the box gave one: a result, or its own error.
-    pub answer: Option<Answer>,
+    pub answer: Option<FinalResponse>,
     /// What it took, where told.
     pub cost: Option<TrueCost>,
     /// The engine's load, where told.
@@ -68,27 +68,27 @@
     pub confirmed: bool,
 }
 
-impl Ended {
+impl FinishedAttempt {
     /// An attempt that was called off, and its engine has read so.
-    pub fn confirmed(attempt: AttemptRef) -> Ended {
-        Ended { confirmed: true, ..Ended::bare(attempt, Outcome::Cancelled) }
+    pub fn confirmed(attempt: AttemptRef) -> FinishedAttempt {
+        FinishedAttempt { confirmed: true, ..FinishedAttempt::bare(attempt, Outcome::Cancelled) }
     }
 
     /// An end that tells nothing more than its outcome.
-    pub fn bare(attempt: AttemptRef, outcome: Outcome) -> Ended {
-        Ended { attempt, outcome, answer: None, cost: None, report: None, confirmed: false }
+    pub fn bare(attempt: AttemptRef, outcome: Outcome) -> FinishedAttempt {
+        FinishedAttempt { attempt, outcome, answer: None, cost: None, report: None, confirmed: false }
     }
 }
 
 /// What fronts, backends and the bulletin tell the core.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum DispatcherEvent {
     /// A request came whole.
-    Asked(Ask),
+    Asked(ClientRequest),
     /// A client gave its request up, or is gone.
-    Gone(Asker),
+    Gone(ClientHandle),
     /// An attempt ended.
-    Ended(Ended),
+    Ended(FinishedAttempt),
     /// News of a running attempt.
     Noted(AttemptRef, Progress),
     /// The list of engines, or changes to it.
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -39,22 +39,22 @@
 /// When a refused client is to come back, in milliseconds, where the decision module does not say.
 const BACKOFF: f64 = 1000.0;
 
-struct Out {
+struct OutstandingAttempt {
     attempt: Attempt,
     engine: EngineId,
     since: f64,
     due: TimerHandle,
 }
 
-struct Open {
-    asker: Option<Asker>,
-    ask: Ask,
+struct OpenRequest {
+    asker: Option<ClientHandle>,
+    ask: ClientRequest,
     deadline: f64,
     over: Option<TimerHandle>,
     attempts: u32,
     /// Of these, those that went out.
     sent: u32,
-    out: Option<Out>,
+    out: Option<OutstandingAttempt>,
     memory_mb: u64,
     priority: u8,
     may_have_run: bool,
@@ -63,7 +63,7 @@
     unsure: bool,
 }
 
-impl Open {
+impl OpenRequest {
     /// Whether it has had all the attempts that its policy allows.
     fn is_spent(&self) -> bool {
         let most = self.ask.admitted.as_ref().and_then(|a| a.limits.max_attempts);
@@ -72,15 +72,15 @@
 }
 
 /// The table of open requests round the decision module.
-pub struct Exchange {
+pub struct RequestDispatcher {
     gateway: Gateway,
     settings: Settings,
     open_most: usize,
     payload_most: usize,
     payload: usize,
-    open: Slab<Open>,
+    open: Slab<OpenRequest>,
     names: HashMap<RequestId, SlotKey>,
-    askers: HashMap<Asker, SlotKey>,
+    askers: HashMap<ClientHandle, SlotKey>,
     recent_names: RecentNames,
     /// What the fleet's stocks still count, and until when: it may run on at an engine.
     lingering: Vec<(f64, Rc<HeldUnits>)>,
@@ -90,20 +90,20 @@
     response_deadline: f64,
     /// Whether what comes from now on is refused, since a graceful shutdown closes its connections.
     refuses_new: bool,
-    orders: Vec<Order>,
+    orders: Vec<DispatcherCommand>,
     logs: Vec<String>,
 }
 
-impl Exchange {
+impl RequestDispatcher {
     /// A core with no requests. It holds at most so many open, and so many bytes of what they are to run.
     pub fn new(
         settings: Settings,
         seed: u64,
         open_most: usize,
         payload_most: usize,
-    ) -> Result<Exchange, SettingsError> {
+    ) -> Result<RequestDispatcher, SettingsError> {
         let gateway = Gateway::new(settings.clone(), seed)?;
-        Ok(Exchange {
+        Ok(RequestDispatcher {
             recent_names: RecentNames::new(&settings),
             gateway,
             settings,
@@ -139,8 +139,8 @@
     }
 
     /// Turns a request away before it is taken: nothing was run.
-    pub fn turn_away(&mut self, asker: Asker, backoff_ms: f64) {
-        self.orders.push(Order::Answer(asker, Answer::Refused { backoff_ms }));
+    pub fn turn_away(&mut self, asker: ClientHandle, backoff_ms: f64) {
+        self.orders.push(DispatcherCommand::Answer(asker, FinalResponse::Refused { backoff_ms }));
     }
 
     /// Requests that are owed an answer, or still have an attempt out.
@@ -154,7 +154,7 @@
     }
 
     /// What is to be done, in order.
-    pub fn take_orders(&mut self) -> Vec<Order> {
+    pub fn take_orders(&mut self) -> Vec<DispatcherCommand> {
         std::mem::take(&mut self.orders)
     }
 
@@ -164,10 +164,10 @@
     }
 
     /// Takes news in.
-    pub fn hear(&mut self, now: f64, heard: Heard, timers: &mut TimerQueue) {
+    pub fn hear(&mut self, now: f64, heard: DispatcherEvent, timers: &mut TimerQueue) {
         match heard {
-            Heard::Asked(ask) => self.asked(now, ask, timers),
-            Heard::Gone(asker) => {
+            DispatcherEvent::Asked(ask) => self.asked(now, ask, timers),
+            DispatcherEvent::Gone(asker) => {
                 let Some(key) = self.askers.remove(&asker) else { return };
                 let Some(open) = self.open.get_mut(key) else { return };
                 open.asker = None;
@@ -177,8 +177,8 @@
                 self.withdraw(key);
                 self.forget(key, timers);
             }
-            Heard::Ended(ended) => self.ended(now, ended, timers),
-            Heard::Noted(r, note) => {
+            DispatcherEvent::Ended(ended) => self.ended(now, ended, timers),
+            DispatcherEvent::Noted(r, note) => {
                 let Some(open) = self.open.get(r.request) else { return };
                 let Some(out) = open.out.as_ref().filter(|out| out.attempt == r.attempt) else { return };
                 let (request, engine) = (RequestId(open.ask.name.clone()), out.engine.clone());
@@ -188,7 +188,7 @@
                     timers,
                 );
             }
-            Heard::Members(kind, version, members) => {
+            DispatcherEvent::Members(kind, version, members) => {
                 if let Some(zones) = &mut self.zones {
                     for m in &members {
                         match m.state {
@@ -211,8 +211,8 @@
     pub fn attempt_over(&mut self, now: f64, r: AttemptRef, timers: &mut TimerQueue) {
         let out = self.open.get(r.request).and_then(|open| open.out.as_ref());
         if out.is_some_and(|out| out.attempt == r.attempt) {
-            self.orders.push(Order::GiveUp(r, false));
-            self.ended(now, Ended::bare(r, Outcome::TimedOut), timers);
+            self.orders.push(DispatcherCommand::GiveUp(r, false));
+            self.ended(now, FinishedAttempt::bare(r, Outcome::TimedOut), timers);
         }
     }
 
@@ -222,13 +222,13 @@
         let id = RequestId(open.ask.name.clone());
         // Before its time only a graceful shutdown cuts it off.
         let cut = now < open.deadline;
-        let answer = if cut { self.given_up(key, BACKOFF) } else { Answer::TimedOut };
+        let answer = if cut { self.given_up(key, BACKOFF) } else { FinalResponse::TimedOut };
         self.answer(key, answer);
         self.tell(now, Event::ClientGone(id), timers);
         self.forget(key, timers);
     }
 
-    fn asked(&mut self, now: f64, ask: Ask, timers: &mut TimerQueue) {
+    fn asked(&mut self, now: f64, ask: ClientRequest, timers: &mut TimerQueue) {
         let id = RequestId(ask.name.clone());
         let size = ask.payload.size();
         let full =
@@ -239,8 +239,9 @@
             // Nothing is run for this request; but under a name that came before something may have been.
             let backoff_ms = self.settings.retry_after.map_or(BACKOFF, from_micros);
             let once = self.settings.classes[ask.class.0].repeat == Repeat::Unsafe;
-            let answer = if once && came { Answer::Failed } else { Answer::Refused { backoff_ms } };
-            self.orders.push(Order::Answer(ask.asker, answer));
+            let answer =
+                if once && came { FinalResponse::Failed } else { FinalResponse::Refused { backoff_ms } };
+            self.orders.push(DispatcherCommand::Answer(ask.asker, answer));
             return;
         }
         self.payload += size;
@@ -257,7 +258,7 @@
             repeat: false,
         };
         let asker = ask.asker;
-        let key = self.open.insert(Open {
+        let key = self.open.insert(OpenRequest {
             asker: Some(asker),
             ask,
             deadline,
@@ -290,7 +291,7 @@
         self.tell(now, Event::RequestArrived(request), timers);
     }
 
-    fn ended(&mut self, now: f64, ended: Ended, timers: &mut TimerQueue) {
+    fn ended(&mut self, now: f64, ended: FinishedAttempt, timers: &mut TimerQueue) {
         let Some(mut closed) = self.close_attempt(now, &ended, timers) else { return };
         let (id, engine, outcome) = (&closed.request.0, &closed.engine.0, closed.outcome);
         let ms = closed.latency.as_millis();
@@ -309,7 +310,12 @@
     }
 
     /// Takes an attempt out of the table; `None` if it is not out any more (a late line tells nothing).
-    fn close_attempt(&mut self, now: f64, ended: &Ended, timers: &mut TimerQueue) -> Option<AttemptEnd> {
+    fn close_attempt(
+        &mut self,
+        now: f64,
+        ended: &FinishedAttempt,
+        timers: &mut TimerQueue,
+    ) -> Option<AttemptEnd> {
         let open = self.open.get_mut(ended.attempt.request)?;
         let out = open.out.take_if(|out| out.attempt == ended.attempt.attempt)?;
         timers.clear(out.due);
@@ -328,13 +334,13 @@
     }
 
     /// Gives a request its final answer, unless it had one or the client is gone.
-    fn answer(&mut self, key: SlotKey, answer: Answer) {
+    fn answer(&mut self, key: SlotKey, answer: FinalResponse) {
         let Some(asker) = self.open.get_mut(key).and_then(|open| open.asker.take()) else { return };
         self.askers.remove(&asker);
         if let Some(open) = self.open.get(key) {
             trace!(target: ACCOUNT, "answer: id={} {}", open.ask.name, answer.word());
         }
-        self.orders.push(Order::Answer(asker, answer));
+        self.orders.push(DispatcherCommand::Answer(asker, answer));
     }
 
     /// Drops a request that is answered and has nothing out.
--- a/src/node/dispatcher/request.rs
+++ b/src/node/dispatcher/request.rs
@@ -13,7 +13,7 @@
 
 /// Who asked: a request's place on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Asker {
+pub struct ClientHandle {
     /// By which front.
     pub front: Front,
     /// On which connection.
@@ -61,9 +61,9 @@
 
 /// A request as a front hands it over.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Whose answer it is.
-    pub asker: Asker,
+    pub asker: ClientHandle,
     /// Its name, new with every request.
     pub name: Arc<str>,
     /// Its class.
@@ -90,7 +90,7 @@
     pub admitted: Option<Admitted>,
 }
 
-impl Ask {
+impl ClientRequest {
     /// When its final answer is due: as the client's time is over by its budget, or sooner where a part of the budget
     /// may have passed before it was sent. `late_answer_grace` is how long after its time an answer still counts.
     pub fn due(&self, late_answer_grace: f64) -> f64 {
@@ -101,7 +101,7 @@
 
 /// The one final answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum FinalResponse {
     /// The result, whole and unchanged, in the form that backend and front share.
     Served(Vec<u8>),
     /// Not run; trying again is harmless after so many milliseconds.
@@ -117,15 +117,15 @@
     Error(Vec<u8>),
 }
 
-impl Answer {
+impl FinalResponse {
     /// Its kind in one word, for the log.
     pub(super) fn word(&self) -> &'static str {
         match self {
-            Answer::Served(_) => "served",
-            Answer::Refused { .. } => "refused",
-            Answer::Failed => "failed",
-            Answer::TimedOut => "late",
-            Answer::Error(_) => "error",
+            FinalResponse::Served(_) => "served",
+            FinalResponse::Refused { .. } => "refused",
+            FinalResponse::Failed => "failed",
+            FinalResponse::TimedOut => "late",
+            FinalResponse::Error(_) => "error",
         }
     }
 }
--- a/src/node/dispatcher/shutdown.rs
+++ b/src/node/dispatcher/shutdown.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 
-impl Exchange {
+impl RequestDispatcher {
     /// A request is over here. What it holds of the fleet's stocks counts on where it may still run somewhere.
-    pub(super) fn linger(&mut self, open: Open) {
+    pub(super) fn linger(&mut self, open: OpenRequest) {
         let Some(held) = open.ask.admitted.map(|admitted| admitted.held_units).filter(|_| open.unsure) else {
             return;
         };
@@ -43,7 +43,7 @@
     pub(super) fn withdraw(&mut self, key: SlotKey) {
         let Some(out) = self.open.get(key).and_then(|open| open.out.as_ref()) else { return };
         if !self.settings.cancel {
-            self.orders.push(Order::Withdraw(AttemptRef { request: key, attempt: out.attempt }));
+            self.orders.push(DispatcherCommand::Withdraw(AttemptRef { request: key, attempt: out.attempt }));
         }
     }
 
@@ -55,7 +55,7 @@
             };
             if self.is_unfinishable(now, open) {
                 let id = RequestId(open.ask.name.clone());
-                self.answer(key, Answer::Refused { backoff_ms: BACKOFF });
+                self.answer(key, FinalResponse::Refused { backoff_ms: BACKOFF });
                 self.tell(now, Event::ClientGone(id), timers);
                 self.forget(key, timers);
             }
@@ -63,7 +63,7 @@
     }
 
     /// Whether a request that begins now can't end before the response deadline, by its own estimate.
-    pub(super) fn is_unfinishable(&self, now: f64, open: &Open) -> bool {
+    pub(super) fn is_unfinishable(&self, now: f64, open: &OpenRequest) -> bool {
         let threads = self.settings.classes[open.ask.class.0].threads.max(0.1);
         now + open.ask.work_ms.unwrap_or(0.0) / threads > self.response_deadline
     }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -117,7 +117,7 @@
         self.settle(heard);
     }
 
-    pub(super) fn accept(&mut self, front: Front, now: f64, sent: f64, heard: &mut Vec<Heard>) {
+    pub(super) fn accept(&mut self, front: Front, now: f64, sent: f64, heard: &mut Vec<DispatcherEvent>) {
         while !self.accept_paused {
             let Node { poll, timers, log, jsonrpc, mysql, listeners, shutdown, closing, .. } = self;
             let Some((_, listener)) = listeners.iter().find(|(of, _)| *of == front) else { return };
@@ -147,7 +147,7 @@
         }
     }
 
-    pub(super) fn news(&mut self, news: Vec<ListEvent>, heard: &mut Vec<Heard>) {
+    pub(super) fn news(&mut self, news: Vec<ListEvent>, heard: &mut Vec<DispatcherEvent>) {
         let now = self.clock.now();
         if !news.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
@@ -167,12 +167,12 @@
                 Some(admission) => admission.engines_listed(kind != crate::ListKind::Changes, members),
                 None => members,
             };
-            heard.push(Heard::Members(kind, number, members));
+            heard.push(DispatcherEvent::Members(kind, number, members));
         }
     }
 
     /// Lets the core hear what came, and carries its orders out, until nothing is left.
-    pub(super) fn settle(&mut self, mut heard: Vec<Heard>) {
+    pub(super) fn settle(&mut self, mut heard: Vec<DispatcherEvent>) {
         loop {
             let now = self.clock.now();
             for heard in heard.drain(..) {
@@ -190,28 +190,34 @@
                 BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
             for order in orders {
                 match (order, mysql.as_mut()) {
-                    (Order::Answer(asker, answer), Some((front, _))) if asker.front == Front::Mysql => {
+                    (DispatcherCommand::Answer(asker, answer), Some((front, _)))
+                        if asker.front == Front::Mysql =>
+                    {
                         front.answer(asker, answer, &mut context);
                     }
-                    (Order::Answer(asker, answer), _) => jsonrpc.answer(asker, &answer, &mut context),
-                    (Order::Start(start), Some((_, boxes))) if start.front == Front::Mysql => {
+                    (DispatcherCommand::Answer(asker, answer), _) => {
+                        jsonrpc.answer(asker, &answer, &mut context)
+                    }
+                    (DispatcherCommand::Start(start), Some((_, boxes))) if start.front == Front::Mysql => {
                         boxes.start(start, &mut context);
                     }
-                    (Order::Start(start), _) => warehouses.start(start, &mut context),
+                    (DispatcherCommand::Start(start), _) => warehouses.start(start, &mut context),
                     // A pool passes over attempts and engines that are not its own.
-                    (Order::GiveUp(attempt, again), boxes) => {
+                    (DispatcherCommand::GiveUp(attempt, again), boxes) => {
                         let boxes = boxes.filter(|(_, boxes)| boxes.carries(attempt));
                         match boxes {
                             Some((_, boxes)) => boxes.give_up(attempt, again, &mut context),
                             None => warehouses.give_up(attempt, again, &mut context),
                         }
                     }
-                    (Order::Withdraw(attempt), boxes) => {
+                    (DispatcherCommand::Withdraw(attempt), boxes) => {
                         warehouses.withdraw(attempt, &mut context);
                         boxes.into_iter().for_each(|(_, boxes)| boxes.withdraw(attempt, &mut context));
                     }
-                    (Order::Hurry(attempt, priority), _) => warehouses.hurry(attempt, priority, &mut context),
-                    (Order::CloseIdle(engine), boxes) => {
+                    (DispatcherCommand::Hurry(attempt, priority), _) => {
+                        warehouses.hurry(attempt, priority, &mut context)
+                    }
+                    (DispatcherCommand::CloseIdle(engine), boxes) => {
                         warehouses.close_idle(&engine, &mut context);
                         boxes.into_iter().for_each(|(_, boxes)| boxes.close_idle(&engine, &mut context));
                     }
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -14,7 +14,7 @@
 pub(super) enum Asked {
     Alive(u64),
     Cancel(u64),
-    Run(u64, Box<Ask>),
+    Run(u64, Box<ClientRequest>),
     /// A request under the number of one that is open.
     Twice(u64),
     /// A notification that tells nothing: no answer is owed, not even an error.
@@ -67,7 +67,7 @@
             }
             Ok(Asked::Cancel(id)) => {
                 if client.open.remove(&id) {
-                    withdraw(Asker { front: Front::JsonRpc, conn: key, id }, context.heard);
+                    withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.heard);
                 }
             }
             // Nobody waits for it: its client has closed its side.
@@ -78,7 +78,7 @@
                     let pacing = &mut self.key_pacing;
                     ask.waited_at_client = pacing.longest_wait(sent, order, ask.budget, on_new_connection);
                 }
-                context.heard.push(Heard::Asked(*ask));
+                context.heard.push(DispatcherEvent::Asked(*ask));
             }
             Ok(Asked::Twice(id)) => {
                 // Any answer under this number could be taken for that of the other request.
@@ -162,8 +162,8 @@
         let Some(statement) = statement.filter(|s| !s.is_empty() && std::str::from_utf8(s).is_ok()) else {
             return wrong(PARAMS, "doc");
         };
-        let ask = Ask {
-            asker: Asker { front: Front::JsonRpc, conn: key, id },
+        let ask = ClientRequest {
+            asker: ClientHandle { front: Front::JsonRpc, conn: key, id },
             name: Arc::from(name),
             class: *class,
             sent,
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -5,7 +5,7 @@
 mod message;
 
 use crate::node::backend::BackendContext;
-use crate::node::dispatcher::{Answer, Ask, Asker, Front, Heard, Payload};
+use crate::node::dispatcher::{ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload};
 use crate::node::front::withdraw;
 use crate::node::json::{self, *};
 use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
@@ -304,12 +304,12 @@
         let mut open: Vec<u64> = std::mem::take(&mut client.open).into_iter().collect();
         open.sort_unstable();
         for id in open {
-            withdraw(Asker { front: Front::JsonRpc, conn: key, id }, context.heard);
+            withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.heard);
         }
     }
 
     /// Writes an answer, if its client still waits for it.
-    pub fn answer(&mut self, asker: Asker, answer: &Answer, context: &mut BackendContext) {
+    pub fn answer(&mut self, asker: ClientHandle, answer: &FinalResponse, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(asker.conn) else { return };
         if !client.open.remove(&asker.id) {
             return;
@@ -319,17 +319,17 @@
             format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{{"code":{code},"message":"{message}"}}}}"#)
         };
         let text = match answer {
-            Answer::Served(body) => {
+            FinalResponse::Served(body) => {
                 let doc = BASE64_STANDARD.encode(body);
                 format!(r#"{{"jsonrpc":"2.0","id":{id},"result":{{"doc":"{doc}"}}}}"#)
             }
-            Answer::Refused { backoff_ms } => {
+            FinalResponse::Refused { backoff_ms } => {
                 let back = backoff_ms.ceil().max(1.0);
                 let data = format!(r#""message":"refused, not run","data":{{"backoff":{back}}}"#);
                 format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{{"code":{REFUSED},{data}}}}}"#)
             }
-            Answer::TimedOut => error(TIMED_OUT, "no answer in time"),
-            Answer::Failed | Answer::Error(_) => error(FAILED, "failed, it may have run"),
+            FinalResponse::TimedOut => error(TIMED_OUT, "no answer in time"),
+            FinalResponse::Failed | FinalResponse::Error(_) => error(FAILED, "failed, it may have run"),
         };
         put(&mut client.link, &text);
         client.since = context.now;
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -8,7 +8,9 @@
 pub mod statement;
 use crate::node::backend::BackendContext;
 use crate::node::config::{MysqlSettings, OrderBy};
-use crate::node::dispatcher::{Answer, Ask, Asker, Bound, Front, Heard, Payload};
+use crate::node::dispatcher::{
+    Bound, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
+};
 use crate::node::front::withdraw;
 use crate::node::mysql_packets::{self, error, PACKET_MOST};
 use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
@@ -253,31 +255,31 @@
     fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Session> {
         let session = self.sessions.remove(key)?;
         if matches!(session.phase, Phase::Busy(_)) {
-            withdraw(Asker { front: Front::Mysql, conn: key, id: session.requests }, context.heard);
+            withdraw(ClientHandle { front: Front::Mysql, conn: key, id: session.requests }, context.heard);
         }
         Some(session)
     }
 
     /// Writes an answer, if its client still waits for it, and takes the next command.
-    pub fn answer(&mut self, asker: Asker, answer: Answer, context: &mut BackendContext) {
+    pub fn answer(&mut self, asker: ClientHandle, answer: FinalResponse, context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(asker.conn).filter(|s| s.requests == asker.id) else {
             return;
         };
         let Phase::Busy(number) = session.phase else { return };
         session.phase = Phase::Ready;
         match answer {
-            Answer::Served(mut body) => {
+            FinalResponse::Served(mut body) => {
                 mysql_packets::renumber(&mut body, number.wrapping_add(1));
                 session.link.put(&body);
             }
-            Answer::Error(body) => session.reply(number, &body),
-            Answer::Refused { backoff_ms } => {
+            FinalResponse::Error(body) => session.reply(number, &body),
+            FinalResponse::Refused { backoff_ms } => {
                 let back = backoff_ms.ceil().max(1.0);
                 let message = format!("refused, not run; come back in {back} ms");
                 session.wrong(number, (REFUSED.0, REFUSED.1, &message));
             }
-            Answer::TimedOut => session.wrong(number, TIMED_OUT),
-            Answer::Failed => session.wrong(number, FAILED),
+            FinalResponse::TimedOut => session.wrong(number, TIMED_OUT),
+            FinalResponse::Failed => session.wrong(number, FAILED),
         }
         self.ready(asker.conn, false, context);
     }
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -106,8 +106,8 @@
         session.phase = Phase::Busy(number);
         let id = session.requests;
         let tables = table_group::table_group(&text).unwrap_or(0);
-        context.heard.push(Heard::Asked(Ask {
-            asker: Asker { front: Front::Mysql, conn: key, id },
+        context.heard.push(DispatcherEvent::Asked(ClientRequest {
+            asker: ClientHandle { front: Front::Mysql, conn: key, id },
             name: Arc::from(format!("m{}-{}-{id}", key.slot, key.generation)),
             class,
             sent: context.now,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -32,7 +32,7 @@
 use control::xds::Feed;
 use control::{Control, Kind, View};
 use discovery::{DiscoveryClient, ListEvent};
-use dispatcher::{AttemptRef, Exchange, Front, Heard, Order};
+use dispatcher::{AttemptRef, DispatcherCommand, DispatcherEvent, Front, RequestDispatcher};
 use front::closing::ClosingConnections;
 use front::jsonrpc::JsonRpc;
 use front::mysql::MysqlFront;
@@ -66,7 +66,7 @@
     accept_paused: bool,
     client_sockets: usize,
     timers: TimerQueue,
-    exchange: Exchange,
+    exchange: RequestDispatcher,
     jsonrpc: JsonRpc,
     mysql: Option<(MysqlFront, MysqlBackend)>,
     /// Client connections that are being closed, of both fronts.
@@ -195,7 +195,7 @@
         );
         if !changed.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
-            heard.push(Heard::Members(crate::ListKind::Changes, 0, changed));
+            heard.push(DispatcherEvent::Members(crate::ListKind::Changes, 0, changed));
         }
         if !heard.is_empty() {
             self.settle(heard);
@@ -203,12 +203,12 @@
     }
 
     /// Admits a request under the active policy, or rejects it.
-    fn admit(&mut self, heard: Heard) -> Option<Heard> {
+    fn admit(&mut self, heard: DispatcherEvent) -> Option<DispatcherEvent> {
         let mut ask = match heard {
-            Heard::Asked(ask) => ask,
+            DispatcherEvent::Asked(ask) => ask,
             other => return Some(other),
         };
-        let Some(admission) = &mut self.admission else { return Some(Heard::Asked(ask)) };
+        let Some(admission) = &mut self.admission else { return Some(DispatcherEvent::Asked(ask)) };
         let request = AdmissionRequest {
             id: &ask.name,
             class: ask.class.0,
@@ -219,7 +219,7 @@
             Ok(admitted) => {
                 ask.budget = admitted.limits.deadline_ms.map_or(ask.budget, |most| ask.budget.min(most));
                 ask.admitted = Some(admitted);
-                Some(Heard::Asked(ask))
+                Some(DispatcherEvent::Asked(ask))
             }
             Err(reason) => {
                 self.exchange.turn_away(ask.asker, reason.retry_after_ms());
@@ -266,7 +266,7 @@
     }
 
     /// Takes a graceful shutdown further, as its state machine says.
-    fn advance_shutdown(&mut self, now: f64, heard: &mut Vec<Heard>) {
+    fn advance_shutdown(&mut self, now: f64, heard: &mut Vec<DispatcherEvent>) {
         let Node { poll, timers, log, jsonrpc, mysql, exchange, shutdown, closing, .. } = self;
         let Some(shutdown) = shutdown else { return };
         exchange.refuse_unfinishable(now, timers);
@@ -287,7 +287,7 @@
     }
 
     /// Takes the connections that the system has accepted already, which would be reset, and closes the listeners.
-    fn close_listeners(&mut self, now: f64, heard: &mut Vec<Heard>) {
+    fn close_listeners(&mut self, now: f64, heard: &mut Vec<DispatcherEvent>) {
         self.accept_paused = false;
         self.accept(Front::JsonRpc, now, now, heard);
         self.accept(Front::Mysql, now, now, heard);
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -41,7 +41,7 @@
         // Where no seed is given, front ends still differ by their number.
         let lots = config.seed ^ u64::from(config.settings.own_number).rotate_left(32);
         let zones = config.zones.clone();
-        let mut exchange = Exchange::new(config.settings, config.seed, config.open_most, out_most)
+        let mut exchange = RequestDispatcher::new(config.settings, config.seed, config.open_most, out_most)
             .map_err(io::Error::other)?;
         let bulletin = config
             .bulletin
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -5,7 +5,7 @@
 use beamgap::node::backend::BackendContext;
 use beamgap::node::config::MysqlSettings;
 use beamgap::node::discovery::ListedEngine;
-use beamgap::node::dispatcher::{AttemptRef, Front, Heard, Payload, Start};
+use beamgap::node::dispatcher::{AttemptRef, AttemptStart, DispatcherEvent, Front, Payload};
 use beamgap::node::front::closing::ClosingConnections;
 use beamgap::node::reactor::SocketOwner;
 use beamgap::node::slab::SlotKey;
@@ -28,7 +28,7 @@
             Pool::Mysql(pool) => pool.members(ListKind::Changes, &[listing], context),
         }
     }
-    fn start(&mut self, start: Start, context: &mut BackendContext) {
+    fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
         match self {
             Pool::Lines(pool) => pool.start(start, context),
             Pool::Mysql(pool) => pool.start(start, context),
@@ -55,8 +55,8 @@
     ListedEngine { address, member: EngineEntry { engine, state, ..EngineEntry::default() } }
 }
 
-fn start(number: u32) -> Start {
-    Start {
+fn start(number: u32) -> AttemptStart {
+    AttemptStart {
         attempt: AttemptRef { request: SlotKey { slot: number, generation: 0 }, attempt: Attempt(0) },
         front: Front::JsonRpc,
         name: Arc::from(format!("r{number}")),
@@ -69,9 +69,9 @@
     }
 }
 
-fn outcomes(heard: &mut Vec<Heard>) -> Vec<(u32, Outcome)> {
+fn outcomes(heard: &mut Vec<DispatcherEvent>) -> Vec<(u32, Outcome)> {
     let outcome = |heard| match heard {
-        Heard::Ended(ended) => Some((ended.attempt.request.slot, ended.outcome)),
+        DispatcherEvent::Ended(ended) => Some((ended.attempt.request.slot, ended.outcome)),
         _ => None,
     };
     heard.drain(..).filter_map(outcome).collect()
