--- a/examples/xds_deploy.rs
+++ b/examples/xds_deploy.rs
@@ -34,7 +34,7 @@
         let mut node = Node::new(config, Clock::system()).expect("the node starts");
         sender.send(node.xds_address().expect("xds is on")).expect("somebody waits");
         while !stop.load(Ordering::Relaxed) {
-            node.turn(Duration::from_millis(20)).expect("the loop goes on");
+            node.poll_once(Duration::from_millis(20)).expect("the loop goes on");
         }
     });
     (told.recv().expect("the node tells"), thread)
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -15,7 +15,7 @@
 impl Node {
     /// One turn: waits for sockets or a deadline, handles all that there is. Under a set clock it waits for sockets
     /// no longer than `most`, and for deadlines not at all.
-    pub fn turn(&mut self, most: Duration) -> io::Result<()> {
+    pub fn poll_once(&mut self, most: Duration) -> io::Result<()> {
         let from = self.clock.now();
         let again = self.jsonrpc.take_again();
         let unread = self.closing.take_unread();
--- a/src/run.rs
+++ b/src/run.rs
@@ -40,7 +40,7 @@
         if node.is_shut_down() {
             return Ok(());
         }
-        node.turn(TURN).map_err(|e| format!("poll: {e}"))?;
+        node.poll_once(TURN).map_err(|e| format!("poll: {e}"))?;
         reloads.try_iter().for_each(|read| node.reload(read));
     }
 }
--- a/tests/common/stage.rs
+++ b/tests/common/stage.rs
@@ -139,7 +139,7 @@
 
     /// Lets the node and the parties work off what there is.
     pub fn turn(&mut self) {
-        self.node.turn(Duration::from_millis(1)).unwrap();
+        self.node.poll_once(Duration::from_millis(1)).unwrap();
         self.houses.iter_mut().for_each(House::pull);
         self.list.pull();
         self.clients.values_mut().for_each(Peer::pull);
@@ -181,7 +181,7 @@
             ["raw", ..] => {
                 let bytes = text[4..].replace("\\r", "\r").into_bytes();
                 let node = &mut self.node;
-                return peer.push_while(&bytes, || node.turn(Duration::from_millis(1)).unwrap());
+                return peer.push_while(&bytes, || node.poll_once(Duration::from_millis(1)).unwrap());
             }
             // A class may have a key behind it: `delivery-load@k1`.
             ["ask", id, class, budget, statement] => {
@@ -230,7 +230,7 @@
 
     /// One turn of the node, in which nobody else does anything.
     pub fn one_turn(&mut self) {
-        self.node.turn(Duration::from_millis(20)).expect("the loop goes on");
+        self.node.poll_once(Duration::from_millis(20)).expect("the loop goes on");
     }
 
     /// All that engines were sent, by line, names in the place of request ids.
@@ -279,7 +279,7 @@
 
     /// Lets the node alone work: engines take no connection meanwhile.
     pub fn node_turns(&mut self, turns: usize) {
-        (0..turns).for_each(|_| self.node.turn(Duration::from_millis(1)).expect("the loop goes on"));
+        (0..turns).for_each(|_| self.node.poll_once(Duration::from_millis(1)).expect("the loop goes on"));
         self.houses.iter_mut().flat_map(|house| &mut house.conns).for_each(Peer::pull);
     }
 
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -236,7 +236,7 @@
             now + tick
         };
         for _ in 0..3 {
-            self.node.turn(Duration::ZERO).expect("the loop goes on");
+            self.node.poll_once(Duration::ZERO).expect("the loop goes on");
             for (h, house) in self.houses.iter_mut().enumerate() {
                 house.pull();
                 let engine = &mut self.engines[h];
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -46,7 +46,7 @@
             let mut node = Node::new(config, Clock::system()).expect("the node starts");
             sender.send(node.xds_address().unwrap()).unwrap();
             while !stopped.load(Ordering::Relaxed) {
-                node.turn(Duration::from_millis(20)).unwrap();
+                node.poll_once(Duration::from_millis(20)).unwrap();
             }
         });
         FrontEnd { xds: told.recv().unwrap(), stop, thread: Some(thread) }
