--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,97 +1,100 @@
-//! Events: the engine list, requests, and how attempts go and end.
+//! Events that the host program reports to a gateway: engine list updates, requests, and the
+//! progress and end of attempts.
 
 use crate::{Attempt, ClassId, EngineId, Micros, RequestId, TimerId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Whether an engine accepts new work, by the engine list.
+/// Whether an engine accepts new work, according to the engine list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EngineState {
-    /// Accepts work.
+    /// The engine accepts new work.
     #[default]
     Serving,
-    /// Finishes what it has and accepts nothing new.
+    /// The engine finishes the work that it has and accepts no new work.
     Draining,
-    /// No longer in the pool.
+    /// The engine is no longer part of the pool.
     Removed,
 }
 
-/// An engine as the engine list has it.
+/// An engine's entry in the engine list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineEntry {
-    /// Address of the engine.
+    /// Id of the engine: its address.
     pub engine: EngineId,
-    /// Zone that it runs in.
+    /// Zone that the engine runs in.
     pub zone: String,
-    /// Kind of machine that it runs on.
+    /// Name of the machine kind that the engine runs on, as in
+    /// [`KindSettings`](crate::KindSettings).
     pub kind: String,
-    /// Size against the other engines; no unit.
+    /// Size of the engine relative to other engines; it has no unit.
     pub size_hint: f64,
-    /// Cell that it belongs to.
+    /// Cell that the engine belongs to. A class can restrict repeats to the engines of one cell,
+    /// see [`RepeatGroup::Cell`](crate::RepeatGroup::Cell).
     pub cell: u64,
-    /// When it last started; `None` for long ago.
+    /// When the engine process last started; `None` if that was long ago.
     pub started: Option<Micros>,
-    /// Whether it accepts work.
+    /// Whether the engine accepts new work.
     pub state: EngineState,
 }
 
-/// What a list of engines holds.
+/// How an update of the engine list relates to the engines that are already known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list as it was before a restart of the gateway; it may be old.
+    /// The complete list as saved before the gateway restarted. It may be out of date.
     Cached,
-    /// The whole list; engines that are not in it are removed.
+    /// The complete current list. Engines that are missing from it are removed.
     Full,
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Changes,
 }
 
-/// A request that the gateway has taken.
+/// A client request as the gateway receives it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// How long the client still waits.
+    /// How long the client will wait for an answer, counted from the request's arrival.
     pub time_left: Micros,
-    /// The group of tables that it reads or loads.
+    /// Group of tables that the query reads or loads.
     pub table_group: u64,
-    /// Estimated work on one thread; `None` without an estimate.
+    /// Estimated work, as run time on a single thread; `None` without an estimate.
     pub work_hint: Option<Micros>,
     /// Estimated memory in megabytes; `None` without an estimate.
     pub memory_hint_mb: Option<f64>,
-    /// Ordering key: requests of an ordered class with one key run in the order of arrival.
+    /// Ordering key. Requests of an ordered class that share a key run in order of arrival.
     pub key: Option<Arc<str>>,
-    /// The tenant that it belongs to.
+    /// Name of the tenant that the request belongs to, if any.
     pub tenant: Option<Arc<str>>,
-    /// Whether the client says that it repeats an earlier request.
+    /// Whether the client marked the request as a repeat of an earlier one.
     pub repeat: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The engine served it.
+    /// The engine served the request.
     Served,
-    /// The engine answered with an error; it may have run.
+    /// The engine answered with an error; the query may have run.
     Error,
-    /// The engine rejected it unseen; it has not run.
+    /// The engine rejected the request before running it; the query has not run.
     Overloaded,
-    /// No answer in time; it may still run.
+    /// No answer arrived in time; the query may still be running.
     TimedOut,
-    /// No connection; it has not run.
+    /// No connection to the engine could be opened; the query has not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the query may have run and may still be running.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the query may have run and may still be running.
     Cancelled,
-    /// Not sent; it has not run.
+    /// The request was never sent to the engine; the query has not run.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt has certainly not run.
+    /// Returns whether the query has certainly not run.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -99,7 +102,7 @@
         )
     }
 
-    /// Whether the engine may still be at work on it.
+    /// Returns whether the query may still be running on the engine.
     pub fn may_still_run(self) -> bool {
         matches!(
             self,
@@ -108,122 +111,124 @@
     }
 }
 
-/// Load that an engine reports of itself; some time old and not exact.
+/// Load that an engine reports about itself. Reports are delayed and approximate; a field that the
+/// engine does not report is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries that it has, running or queued.
+    /// Number of queries on the engine, running or queued.
     pub in_flight: Option<f64>,
-    /// Queries queued for memory.
+    /// Number of queries queued for memory on the engine.
     pub queued: Option<f64>,
     /// Share of processor time in use, from 0 to 1.
     pub busy: Option<f64>,
-    /// Share of memory granted, from 0 to 1.
+    /// Share of the engine's memory that is granted to queries, from 0 to 1.
     pub memory_share: Option<f64>,
     /// Share of disk time in use, from 0 to 1.
     pub disk_share: Option<f64>,
-    /// Other figures by name.
+    /// Further reported figures, by name.
     pub other: BTreeMap<String, f64>,
 }
 
-/// What a served query took.
+/// Actual cost of a served query, as reported by the engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrueCost {
-    /// Work on one thread.
+    /// Work, as run time on a single thread.
     pub work: Micros,
-    /// Memory that it needed, in megabytes.
+    /// Memory that the query needed, in megabytes.
     pub memory_mb: f64,
 }
 
-/// Progress of an attempt in flight.
+/// Progress reported for an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// Share of the work done, from 0 to 1; rough.
+    /// Approximate share of the query's work that is done, from 0 to 1.
     ShareDone(f64),
-    /// It spills to disk for lack of so many megabytes.
+    /// The query spills to disk because it lacks this many megabytes of memory.
     Spilling(f64),
-    /// It is queued for memory at the engine.
+    /// The query is queued for memory on the engine.
     WaitsForMemory,
-    /// It waits for another query that holds its tables.
+    /// The query waits for another query that has its tables locked.
     WaitsForHolder,
 }
 
-/// The end of an attempt.
+/// The end of an attempt, with what was measured about the attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// Number of the attempt within its request.
     pub attempt: Attempt,
-    /// The engine that it was sent to.
+    /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time from its send to its end.
+    /// Time from the send of the attempt to its end.
     pub latency: Micros,
-    /// Whether the client has its answer, or is gone.
+    /// Whether the client has its answer or has disconnected, so that the request needs no further
+    /// attempt.
     pub request_answered: bool,
-    /// What it took, where the engine reports it.
+    /// Actual cost of the query, if the engine reported it.
     pub cost: Option<TrueCost>,
-    /// The engine's load, where it came with the end.
+    /// Load report that arrived together with the end of the attempt, if any.
     pub report: Option<LoadReport>,
 }
 
-/// An event that a gateway takes.
+/// An event that the host program reports to a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The engine list, or changes to it.
+    /// The engine list, or a change to it, has arrived.
     EngineList {
-        /// What the list holds.
+        /// Whether the entries are a complete list or only changes.
         kind: ListKind,
-        /// Its version; it only grows.
+        /// Version of the list. Versions never decrease.
         version: u64,
-        /// The engines.
+        /// The engines in this update.
         entries: Vec<EngineEntry>,
     },
-    /// The list could not be fetched, or the subscription broke.
+    /// The engine list could not be fetched, or the subscription to it failed.
     ListFailed,
-    /// A request has arrived.
+    /// A request has arrived from a client.
     RequestArrived(Request),
-    /// An answer has begun to stream to the client: the request is bound to this attempt.
+    /// An answer has begun to stream to the client, so no other attempt may serve the request.
     Streaming {
-        /// The request.
+        /// The request being answered.
         request: RequestId,
-        /// The attempt.
+        /// The attempt that provides the answer.
         attempt: Attempt,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// The client no longer waits for the request.
+    /// The client no longer waits for the request, for example because it disconnected.
     ClientGone(RequestId),
-    /// A timer has fired.
+    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
     Timer(TimerId),
-    /// A health check has ended.
+    /// A health check (probe) of an engine has ended.
     ProbeEnded {
-        /// The engine.
+        /// The engine that was probed.
         engine: EngineId,
-        /// How it ended; [`Outcome::Served`] if it passed.
+        /// Result of the probe; [`Outcome::Served`] if the engine passed.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the probe.
         latency: Micros,
-        /// The engine's load, where it came with the result.
+        /// Load report that arrived together with the probe result, if any.
         report: Option<LoadReport>,
     },
-    /// A message from another gateway.
+    /// A message from another gateway has arrived.
     Peer {
-        /// The number of that gateway.
+        /// Number of the sending gateway.
         from: u32,
-        /// Its message.
+        /// Content of the message.
         data: Vec<u8>,
     },
     /// An attempt in flight has reported progress.
     AttemptProgress {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: Attempt,
-        /// The engine.
+        /// The engine that the attempt was sent to.
         engine: EngineId,
-        /// What was reported.
+        /// The reported progress.
         progress: Progress,
     },
 }
--- a/crates/decisions/src/ids.rs
+++ b/crates/decisions/src/ids.rs
@@ -2,23 +2,24 @@
 
 use std::sync::Arc;
 
-/// Id of a request; never used twice. Its text has no meaning.
+/// Id of a request; ids are never reused. The text is opaque to this crate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
-/// Id of an engine: its address, the same at every gateway and after a restart of the engine.
+/// Id of an engine: its address. All gateways use the same id for an engine, and the id does not
+/// change when the engine restarts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub Arc<str>);
 
-/// Number of an attempt of one request, from 0 in the order of its
-/// [`Action::Forward`](crate::Action::Forward)s.
+/// Number of an attempt within its request, counted from 0 in the order of the request's
+/// [`Action::Forward`](crate::Action::Forward) actions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt(pub u32);
 
-/// Id of a timer; comes back as given.
+/// Id of a timer, chosen by the gateway. The host program returns it when the timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// Place of a class in [`Settings::classes`](crate::Settings::classes).
+/// Index of a class in [`Settings::classes`](crate::Settings::classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,21 +1,25 @@
-//! Decides, for a workload manager, when and where each query runs on a fleet of shared engines.
+//! Decides when and on which engine each query runs, for a front end that routes queries to a pool
+//! of shared engines.
 //!
-//! Short and long queries share cores, disks and memory of a few engines. A [`Gateway`] takes
-//! [`Event`]s (the list of engines, requests, the progress and the end of attempts, a timer) and
-//! answers each with [`Action`]s (send this request there, reject it, cancel that attempt).
+//! Short and long queries compete for the cores, disks and memory of a few engines. A [`Gateway`]
+//! handles [`Event`]s (the engine list, requests, the progress and end of attempts, timers) and
+//! answers each with [`Action`]s (forward a request to an engine, reject it, cancel an attempt).
 //!
-//! What it promises: it is deterministic and pure. It does no I/O, reads no clock and starts no
-//! thread; the same settings, seed and events give the same actions in the same order. What it
-//! sends respects the rules in [`Settings`]: repeats, order by key, the retry budget, slow start.
+//! Guarantees: the crate is deterministic and has no side effects. It does no I/O, reads no clock
+//! and starts no threads; the same settings, seed and events yield the same actions in the same
+//! order. Every request that it forwards respects the rules in [`Settings`]: repeats, ordering by
+//! key, the retry budget and slow start.
 //!
-//! What it does not do: it knows no wire, keeps no connection and sets no deadline by itself. The
-//! program around it carries out the actions, reports how attempts end, and answers a request whose
+//! Out of scope: network protocols, connections and deadline timers. The host program, which embeds
+//! this crate, carries out the actions, reports how attempts end, and answers a request whose
 //! deadline passes.
 //!
-//! Where to start: `Gateway::handle` in `decide/mod.rs` hands each event to the module that decides
-//! about it, and that module's page lists them all. `state` holds what is remembered and decides
-//! nothing. The mechanism is SAFELoad's, brought from one engine to a gateway before many;
-//! `docs/design.md` tells what was kept and what was added.
+//! Where to start: `Gateway::handle` in `decide/mod.rs` passes each event to the module responsible
+//! for it; the documentation of that file lists these modules. The modules under `state` store data
+//! and make no decisions. The method is SAFELoad's ("SAFELoad: Efficient Admission Control
+//! Framework for Identifying Memory-Overloading Queries in Cloud Data Warehouses"), extended from a
+//! single engine to gateways in front of many engines; `docs/design.md` describes what was adopted
+//! and what was added.
 //!
 //! ```
 //! use beamgap_decisions::*;
--- a/crates/decisions/src/log_event.rs
+++ b/crates/decisions/src/log_event.rs
@@ -3,16 +3,16 @@
 use crate::{EngineId, Micros};
 use std::fmt;
 
-/// Why an engine was ejected.
+/// Reason for which outlier ejection took an engine out of use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// It answered with errors what another engine served.
+    /// The engine answered requests with errors that another engine then served.
     AnswersWithErrors,
-    /// It takes no connections.
+    /// Connections to the engine cannot be opened.
     ConnectionsFail,
-    /// Its connections break.
+    /// Connections to the engine break before their requests are answered.
     ConnectionsBreak,
-    /// It is silent with work in flight.
+    /// The engine sends neither answers nor progress reports while attempts are in flight on it.
     SilentWithWork,
 }
 
@@ -27,16 +27,17 @@
     }
 }
 
-/// Something that operators should find in the log.
+/// An event that operators should find in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// Outlier ejection has put an engine out of use; one event a second at most.
+    /// Outlier ejection has taken an engine out of use. Each gateway logs such an event at most
+    /// once a second.
     EngineEjected {
-        /// The engine.
+        /// The ejected engine.
         engine: EngineId,
-        /// For how long.
+        /// How long the engine stays ejected.
         rest: Micros,
-        /// Why.
+        /// Why the engine was ejected.
         reason: EjectionReason,
     },
 }
--- a/crates/decisions/src/status.rs
+++ b/crates/decisions/src/status.rs
@@ -1,20 +1,22 @@
-//! What outsiders see of an engine.
+//! Status of an engine, for users of this crate.
 
 use crate::{EngineId, EngineState};
 
-/// How the module rates an engine.
+/// A gateway's current assessment of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineStatus {
-    /// The engine.
+    /// Id of the engine.
     pub engine: EngineId,
-    /// Its zone.
+    /// Zone that the engine runs in.
     pub zone: String,
-    /// Its state by the engine list.
+    /// State of the engine according to the engine list.
     pub state: EngineState,
-    /// Whether it gets new work: listed, serving and not ejected.
+    /// Whether the engine gets new work: it is listed as serving and is not ejected.
     pub in_use: bool,
-    /// Capacity against the others: cores, less while it warms up or is slow.
+    /// Capacity relative to other engines: the number of the engine's cores, reduced while the
+    /// engine warms up or answers slowly.
     pub weight: f64,
-    /// Share of its capacity that it surely has, from 0 to 1: below 1 while it warms up.
+    /// Share of its capacity that the engine has at least, from 0 to 1. The share is below 1 while
+    /// the engine warms up.
     pub warmth: f64,
 }
--- a/crates/decisions/src/time.rs
+++ b/crates/decisions/src/time.rs
@@ -1,24 +1,23 @@
-//! Time as the module sees it: microseconds from a start that means nothing.
+//! Points in time and durations in microseconds.
 
-/// A point in time or a length of time, in microseconds. Points count from a start that means
-/// nothing.
+/// A point in time or a duration, in microseconds. Points in time count from an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// A length in milliseconds.
+    /// Returns a duration of `ms` milliseconds; saturates instead of overflowing.
     pub const fn from_millis(ms: u64) -> Micros {
         Micros(ms.saturating_mul(1000))
     }
-    /// The length in milliseconds, with fractions.
+    /// Returns the duration in milliseconds, including fractions.
     pub fn as_millis(self) -> f64 {
         self.0 as f64 / 1000.0
     }
-    /// The later of two points plus a length, without overflow.
+    /// Adds a duration to this point in time or duration; saturates instead of overflowing.
     pub fn plus(self, more: Micros) -> Micros {
         Micros(self.0.saturating_add(more.0))
     }
-    /// The time since `earlier`, zero if that is not earlier.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this point in time.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
