--- a/crates/decisions/src/state/admission_state.rs
+++ b/crates/decisions/src/state/admission_state.rs
@@ -1,15 +1,16 @@
-//! What admission control under overload goes by.
+//! State of admission control under overload.
 
 use super::cost_histogram::CostHistogram;
 use super::decay::Tally;
 
-/// Signs of overload, and the share of the requested work that is admitted.
+/// Observed overload, and the share of the requested work that is admitted.
 pub struct AdmissionState {
-    /// Signs of overload that requests met, weighted by their work.
+    /// Decaying tally of requests and of those among them that met overload. Requests with more
+    /// work have more weight.
     pub overload: Tally,
-    /// Requested work by its cost.
+    /// Distribution of the requested work over its cost (work divided by priority weight).
     pub costs: CostHistogram,
-    /// Share of the requested work that is admitted, from 0 to 1, the cheapest first.
+    /// Share of the requested work that is admitted, from 0 to 1, the cheapest work first.
     pub admitted_share: f64,
 }
 
@@ -23,19 +24,21 @@
     }
 }
 
-/// How far answers of the whole fleet are stretched.
+/// Stretch of the answers of all engines. The stretch of an answer is its latency divided by the
+/// latency that the same query would have on an idle engine.
 #[derive(Default)]
 pub struct FleetStretch {
-    /// Mean over all answers.
+    /// Moving average of the stretch over all answers.
     pub mean: f64,
-    /// Answers so far.
+    /// Number of answers in the average so far.
     pub samples: f64,
-    /// The least stretch of a listed engine, near 1.
+    /// Lowest average stretch of any listed engine, limited to a range around 1.
     pub best: f64,
 }
 
 impl FleetStretch {
-    /// Takes in how far an answer was stretched.
+    /// Adds the stretch of an answer to the moving average. `step` is the weight of the answer; the
+    /// first answers get a higher weight, so that the average starts as a plain mean.
     pub fn learn(&mut self, stretch: f64, step: f64) {
         self.samples += 1.0;
         self.mean += step.max(1.0 / self.samples) * (stretch - self.mean);
--- a/crates/decisions/src/state/clock.rs
+++ b/crates/decisions/src/state/clock.rs
@@ -1,30 +1,32 @@
-//! The time of the event in hand, how long the gateway stood still, and pauses between retries.
+//! Event time, stalls of the gateway, and backoff between retries.
 
 use crate::Micros;
 
-/// A gap between two events after which the gateway counts as stalled; its timer fires ten times in
-/// it.
+/// Gap between two events above which the gateway counts as stalled. In normal operation the
+/// gateway's own timer fires ten times in this period.
 const STALL_THRESHOLD: Micros = Micros::from_millis(250);
 
-/// Time by the events that came.
+/// Clock that advances with the timestamps of events.
 #[derive(Default)]
 pub struct Clock {
-    /// Time of the event in hand.
+    /// Time of the event being handled.
     pub now: Micros,
-    /// Time of the first event.
+    /// Time of the first event; `None` before the first event.
     pub started_at: Option<Micros>,
-    /// When the last stall ended: what engines answered during it may still be unread.
+    /// When the last stall ended. At that time, answers that engines sent during the stall may
+    /// still be unread.
     pub last_stall: Micros,
-    /// The longest stall, shrinking as time passes without one.
+    /// Length of the longest recent stall, reduced at regular intervals to forget old stalls.
     pub longest_stall: Micros,
-    /// When all loads were last surveyed.
+    /// When the load of all engines was last recomputed.
     pub last_survey: Micros,
-    /// When the current window of the flagging quota ends.
+    /// When the quotas for flagging queries as memory-heavy are next refilled.
     pub window_end: Micros,
 }
 
 impl Clock {
-    /// Moves on to the time of an event and records a stall before it.
+    /// Advances the clock to the time of an event, and records a stall if the gap since the
+    /// previous event is too long.
     pub fn advance(&mut self, now: Micros) {
         let gap = self.started_at.map_or(Micros(0), |_| now.since(self.now));
         if gap > STALL_THRESHOLD {
@@ -34,25 +36,26 @@
         self.now = self.now.max(now);
     }
 
-    /// Starts the clock at the first event.
+    /// Starts the clock at the first event. `window` is the interval between refills of the quotas
+    /// for flagging queries as memory-heavy.
     pub fn start(&mut self, window: Micros) {
         self.started_at = Some(self.now);
         self.last_survey = self.now;
         self.window_end = self.now.plus(window);
     }
 
-    /// Lets the longest stall fade by an eighth.
+    /// Reduces the recorded longest stall by an eighth.
     pub fn shrink_longest_stall(&mut self) {
         self.longest_stall.0 -= self.longest_stall.0 / 8;
     }
 
-    /// Time since `earlier`.
+    /// Returns the time elapsed since `earlier`.
     pub fn since(&self, earlier: Micros) -> Micros {
         self.now.since(earlier)
     }
 }
 
-/// When to try again after failures: pauses that double, with jitter.
+/// Exponential backoff with jitter between retries after failures.
 #[derive(Default)]
 pub struct Backoff {
     retry_at: Option<Micros>,
@@ -60,15 +63,16 @@
 }
 
 impl Backoff {
-    /// Pauses for half to one and a half of a length that doubles from `first` to `longest`.
+    /// Schedules a retry after a failure. The delay doubles with each failure, from `first` up to
+    /// `longest`. Jitter derived from the random number `draw` multiplies the delay by 0.5 to 1.5.
     pub fn failed(&mut self, now: Micros, draw: u64, first: Micros, longest: Micros) {
-        let pause = longest.min(Micros(first.0 << self.failures.min(16)));
-        let jittered = Micros(pause.0 / 2 + draw % pause.0.max(1));
+        let delay = longest.min(Micros(first.0 << self.failures.min(16)));
+        let jittered = Micros(delay.0 / 2 + draw % delay.0.max(1));
         self.retry_at = Some(now.plus(jittered));
         self.failures += 1;
     }
 
-    /// Whether a pause has ended; true once for each.
+    /// Returns whether a scheduled retry is due. Returns true only once for each scheduled retry.
     pub fn take_due(&mut self, now: Micros) -> bool {
         self.retry_at.take_if(|at| *at <= now).is_some()
     }
--- a/crates/decisions/src/state/cost_histogram.rs
+++ b/crates/decisions/src/state/cost_histogram.rs
@@ -1,51 +1,53 @@
-//! Requested work by its cost.
+//! Histogram of requested work over its cost.
 
 use std::collections::BTreeMap;
 
-/// Work under which a step of the histogram is dropped, in milliseconds.
-const SMALLEST_WORK: f64 = 1e-3;
+/// Buckets whose decayed work falls below this many milliseconds are removed, which bounds the size
+/// of the histogram.
+const MIN_BUCKET_WORK_MS: f64 = 1e-3;
 
-/// Steps for each doubling of the cost.
-const STEPS_PER_DOUBLING: f64 = 3.0;
+/// Number of logarithmic buckets per doubling of the cost.
+const BUCKETS_PER_DOUBLING: f64 = 3.0;
 
-/// Decaying sums of requested work by its cost (work over priority weight), in logarithmic steps.
+/// Exponentially decaying sums of requested work, in milliseconds, in logarithmic buckets of its
+/// cost (work divided by priority weight).
 #[derive(Default)]
 pub struct CostHistogram(BTreeMap<i32, f64>);
 
-/// Where a cost ranks among all requested work.
+/// Position of a cost in the distribution of all requested work.
 pub struct CostRank {
-    /// Share of the work that costs less.
+    /// Share of the requested work that lies in buckets of lower cost.
     pub cheaper: f64,
-    /// Share of the work that costs as much.
+    /// Share of the requested work that lies in the same cost bucket.
     pub equal: f64,
 }
 
 impl CostHistogram {
-    fn step(cost: f64) -> i32 {
-        (cost.log2() * STEPS_PER_DOUBLING).round() as i32
+    fn bucket(cost: f64) -> i32 {
+        (cost.log2() * BUCKETS_PER_DOUBLING).round() as i32
     }
 
-    /// Counts requested work of this cost.
+    /// Adds `work_ms` milliseconds of requested work to the bucket of its cost.
     pub fn count(&mut self, cost: f64, work_ms: f64) {
-        *self.0.entry(CostHistogram::step(cost)).or_insert(0.0) += work_ms;
+        *self.0.entry(CostHistogram::bucket(cost)).or_insert(0.0) += work_ms;
     }
 
-    /// Where a cost ranks.
+    /// Returns the position of a cost in the distribution of all requested work.
     pub fn rank(&self, cost: f64) -> CostRank {
-        let step = CostHistogram::step(cost);
-        let all = self.0.values().sum::<f64>().max(1e-9);
-        let cheaper: f64 = self.0.range(..step).map(|(_, work)| work).sum();
+        let bucket = CostHistogram::bucket(cost);
+        let total = self.0.values().sum::<f64>().max(1e-9);
+        let cheaper: f64 = self.0.range(..bucket).map(|(_, work)| work).sum();
         CostRank {
-            cheaper: cheaper / all,
-            equal: self.0.get(&step).unwrap_or(&0.0) / all,
+            cheaper: cheaper / total,
+            equal: self.0.get(&bucket).unwrap_or(&0.0) / total,
         }
     }
 
-    /// Keeps this part of each sum.
-    pub fn decay(&mut self, kept: f64) {
+    /// Multiplies all sums by `factor` and removes buckets whose work has become negligible.
+    pub fn decay(&mut self, factor: f64) {
         for work in self.0.values_mut() {
-            *work *= kept;
+            *work *= factor;
         }
-        self.0.retain(|_, work| *work > SMALLEST_WORK);
+        self.0.retain(|_, work| *work > MIN_BUCKET_WORK_MS);
     }
 }
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -1,23 +1,28 @@
-//! What answers teach of the work and the memory that queries take, by class.
+//! Work and memory of queries by class, as learned from served queries, and corrections of the
+//! estimates that clients send.
 
 use crate::ClassSettings;
 
-/// Weight of a new answer; the last fifty count.
-const LEARNING_STEP: f64 = 0.02;
+/// Weight of a new sample in a moving average, which thus reflects about the last fifty samples.
+const AVERAGE_WEIGHT: f64 = 0.02;
 
-/// Logarithmic error of an estimate before answers are known.
+/// Standard deviation assumed for the logarithm of the actual cost around its prediction, before
+/// samples are known.
 const PRIOR_DEVIATION: f64 = 0.4;
 
-/// Slope of the line from estimate to truth, in logarithms, before answers are known.
+/// Slope assumed for the regression from the logarithm of an estimate to that of the actual value,
+/// before samples are known. A slope below 1 pulls estimates towards their mean.
 const PRIOR_SLOPE: f64 = 0.6;
 
-/// Weight of slope and deviation before any answer, in answers.
-const PRIOR_ANSWERS: f64 = 6.0;
+/// Weight of the assumed slope and deviation, as a number of samples.
+const PRIOR_WEIGHT: f64 = 6.0;
 
-/// Answers after which the usual work of a class is known.
-const ENOUGH_ANSWERS: f64 = 10.0;
+/// Number of served queries of a class from which the class's mean work is trusted more than the
+/// estimate of a single request.
+const MIN_ANSWERS: f64 = 10.0;
 
-/// What a served query took, beside its estimates; in milliseconds and megabytes.
+/// Actual and estimated cost of a served query. Work is run time on a single thread in
+/// milliseconds, memory is in megabytes.
 pub struct CostSample {
     pub work_ms: f64,
     pub estimated_work_ms: Option<f64>,
@@ -25,25 +30,26 @@
     pub estimated_memory_mb: Option<f64>,
 }
 
-/// What answers have taught about a class.
+/// Costs learned from the served queries of one class.
 #[derive(Clone, Copy, Default)]
 pub struct ClassCosts {
-    /// Answers so far.
+    /// Number of served queries.
     pub answers: f64,
-    /// Mean work.
+    /// Moving average of the work of a query, in milliseconds.
     pub work_ms: f64,
-    /// Mean memory.
+    /// Moving average of the memory of a query, in megabytes.
     pub memory_mb: f64,
-    /// Estimated work of all requests that came, in milliseconds.
+    /// Sum of the estimated work of all requests that have arrived, in milliseconds.
     pub requested_work_ms: f64,
-    /// True work by estimate.
+    /// Regression from estimated work to actual work.
     pub work_fit: LogFit,
-    /// True memory by estimate.
+    /// Regression from estimated memory to actual memory.
     pub memory_fit: LogFit,
 }
 
 impl ClassCosts {
-    /// Work as usual for the class; before any answer a guess from its latency objective.
+    /// Returns the expected work, in milliseconds, of a query without an estimate: the class's mean
+    /// or, before the first served query, a figure derived from the class's latency objective.
     pub fn usual_work_ms(&self, class: &ClassSettings) -> f64 {
         if self.answers > 0.0 {
             self.work_ms
@@ -52,9 +58,10 @@
         }
     }
 
-    /// Work as usual for the class, or the estimate while that is hardly known, if it is more.
+    /// Returns the work, in milliseconds, that slow start assumes for a query: the class's mean, or
+    /// the estimate if the estimate is higher and the mean is based on few queries.
     pub fn cautious_work_ms(&self, estimate_ms: f64) -> f64 {
-        let floor = if self.answers < ENOUGH_ANSWERS {
+        let floor = if self.answers < MIN_ANSWERS {
             estimate_ms
         } else {
             0.0
@@ -62,10 +69,10 @@
         self.work_ms.max(floor)
     }
 
-    /// Takes in what a query took.
+    /// Updates averages and regressions with the cost of a served query.
     pub fn learn(&mut self, sample: &CostSample) {
         self.answers += 1.0;
-        let step = LEARNING_STEP.max(1.0 / self.answers);
+        let step = AVERAGE_WEIGHT.max(1.0 / self.answers);
         self.work_ms += step * (sample.work_ms - self.work_ms);
         if let Some(estimate) = sample.estimated_work_ms {
             self.work_fit.learn(estimate.ln(), sample.work_ms.ln());
@@ -80,10 +87,11 @@
     }
 }
 
-/// A straight line through pairs of logarithms (estimate `x`, truth `y`): fading means and squares.
+/// Linear regression on the logarithms of estimates (`x`) and actual values (`y`). It stores
+/// exponentially weighted means, variances and covariance, so that old samples lose weight.
 #[derive(Clone, Copy, Default)]
 pub struct LogFit {
-    pairs: f64,
+    samples: f64,
     x: f64,
     y: f64,
     xx: f64,
@@ -91,16 +99,17 @@
     yy: f64,
 }
 
-/// What a fit expects, as a logarithm, and the deviation of the truth from it.
-pub struct LogExpectation {
+/// Prediction of a regression: the logarithm of the expected value, and the standard deviation of
+/// the actual logarithm from it.
+pub struct LogPrediction {
     pub log: f64,
     pub deviation: f64,
 }
 
 impl LogFit {
     fn learn(&mut self, x: f64, y: f64) {
-        self.pairs += 1.0;
-        let step = LEARNING_STEP.max(1.0 / self.pairs);
+        self.samples += 1.0;
+        let step = AVERAGE_WEIGHT.max(1.0 / self.samples);
         let dx = x - self.x;
         let dy = y - self.y;
         let blend = |old: f64, square: f64| (1.0 - step) * (old + step * square);
@@ -111,38 +120,40 @@
         self.y += step * dy;
     }
 
-    /// The truth to be expected for an estimate; the prior slope and deviation count as some pairs
-    /// that scatter by 1.
-    pub fn expect(&self, x: f64) -> LogExpectation {
-        if self.pairs < 1.0 {
-            return LogExpectation {
+    /// Predicts the logarithm of the actual value from `x`, the logarithm of the estimate. The
+    /// assumed slope and deviation count as `PRIOR_WEIGHT` samples whose `x` has a variance of 1.
+    pub fn expect(&self, x: f64) -> LogPrediction {
+        if self.samples < 1.0 {
+            return LogPrediction {
                 log: x,
                 deviation: PRIOR_DEVIATION,
             };
         }
-        let weight = PRIOR_ANSWERS;
-        let all = self.pairs + weight;
-        let slope = (self.pairs * self.xy + weight * PRIOR_SLOPE) / (self.pairs * self.xx + weight);
+        let weight = PRIOR_WEIGHT;
+        let all = self.samples + weight;
+        let slope =
+            (self.samples * self.xy + weight * PRIOR_SLOPE) / (self.samples * self.xx + weight);
         let variance = (self.yy - slope * (2.0 * self.xy - slope * self.xx)).max(0.0);
         let deviation =
-            ((self.pairs * variance + weight * PRIOR_DEVIATION * PRIOR_DEVIATION) / all).sqrt();
-        LogExpectation {
+            ((self.samples * variance + weight * PRIOR_DEVIATION * PRIOR_DEVIATION) / all).sqrt();
+        LogPrediction {
             log: self.y + slope * (x - self.x),
             deviation,
         }
     }
 }
 
-/// What is known of all classes.
+/// Learned costs of all classes.
 #[derive(Default)]
 pub struct CostModel {
     classes: Vec<ClassCosts>,
-    /// Mean work of all answers, as of the last survey: it separates light queries from heavy ones.
+    /// Mean work of a query over all classes, in milliseconds, as of the last survey (periodic load
+    /// update). It separates light queries from heavy ones.
     pub mean_work_ms: f64,
 }
 
 impl CostModel {
-    /// Nothing is known yet of any class.
+    /// Creates a model without samples for this number of classes.
     pub fn new(classes: usize) -> CostModel {
         CostModel {
             classes: vec![ClassCosts::default(); classes],
@@ -150,22 +161,22 @@
         }
     }
 
-    /// What is known of a class, by its place in the settings.
+    /// Returns the learned costs of the class with this index in the settings.
     pub fn class(&self, class: usize) -> &ClassCosts {
         &self.classes[class]
     }
 
-    /// What is known of a class, to be changed.
+    /// Returns the learned costs of the class with this index in the settings, for modification.
     pub fn class_mut(&mut self, class: usize) -> &mut ClassCosts {
         &mut self.classes[class]
     }
 
-    /// What is known of each class, in the order of the settings.
+    /// Returns the learned costs of all classes, in the order of the settings.
     pub fn all(&self) -> &[ClassCosts] {
         &self.classes
     }
 
-    /// Computes the mean work of all answers anew.
+    /// Recomputes the mean work of a query over all classes.
     pub fn update_mean_work(&mut self) {
         let work: f64 = self
             .classes
@@ -176,7 +187,7 @@
         self.mean_work_ms = work / answers.max(1.0);
     }
 
-    /// The largest mean work of a class, or `least_ms` if that is more.
+    /// Returns the largest mean work of any class in milliseconds, or `least_ms` if that is larger.
     pub fn heaviest_work_ms(&self, least_ms: f64) -> f64 {
         self.classes
             .iter()
--- a/crates/decisions/src/state/decay.rs
+++ b/crates/decisions/src/state/decay.rs
@@ -1,17 +1,17 @@
-//! Counts that decay exponentially, so that what happened lately weighs most.
+//! Counts that decay exponentially, so that recent observations weigh most.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Count under which an entry of [`DecayingCounts`] is dropped.
-const SMALLEST_COUNT: f64 = 0.01;
+/// Value below which a count in [`DecayingCounts`] is removed.
+const MIN_COUNT: f64 = 0.01;
 
-/// The part of a decaying sum that is left after `elapsed`.
+/// Returns the factor by which a decaying sum shrinks during `elapsed`.
 pub fn remaining(elapsed: Micros, half_life_ms: f64) -> f64 {
     0.5f64.powf(elapsed.as_millis() / half_life_ms)
 }
 
-/// Decaying sums of signs, and of the bad ones among them.
+/// Exponentially decaying weights of all observations and of the bad ones among them.
 #[derive(Clone, Copy, Default)]
 pub struct Tally {
     all: f64,
@@ -20,18 +20,18 @@
 }
 
 impl Tally {
-    /// All signs and the bad ones, decayed to `now`.
+    /// Returns the weights of all observations and of the bad ones, decayed to `now`.
     pub fn at(&self, now: Micros, half_life_ms: f64) -> (f64, f64) {
-        let kept = remaining(now.since(self.updated), half_life_ms);
-        (self.all * kept, self.bad * kept)
+        let factor = remaining(now.since(self.updated), half_life_ms);
+        (self.all * factor, self.bad * factor)
     }
 
-    /// Counts one sign.
+    /// Counts one observation, with a weight of 1.
     pub fn count(&mut self, now: Micros, bad: bool, half_life_ms: f64) {
         self.add(now, 1.0, f64::from(u8::from(bad)), half_life_ms);
     }
 
-    /// Adds signs by weight.
+    /// Adds observations of total weight `more`, including bad ones of weight `more_bad`.
     pub fn add(&mut self, now: Micros, more: f64, more_bad: f64, half_life_ms: f64) {
         let (all, bad) = self.at(now, half_life_ms);
         self.all = all + more;
@@ -39,45 +39,48 @@
         self.updated = now;
     }
 
-    /// The share of bad signs, with `prior` good ones more.
+    /// Returns the share of bad observations. To smooth small counts, good observations with a
+    /// total weight of `prior` are assumed in addition.
     pub fn share(&self, now: Micros, half_life_ms: f64, prior: f64) -> f64 {
         let (all, bad) = self.at(now, half_life_ms);
         (bad / (all + prior)).min(1.0)
     }
 
-    /// The share of bad signs without those of `own`, and with `prior` more of which a part `least`
-    /// is bad.
+    /// Returns the share of bad observations without those counted in `own`. To smooth small
+    /// counts, further observations with a total weight of `prior_weight` are assumed, of which the
+    /// share `prior_share` is bad.
     pub fn share_without(
         &self,
         own: &Tally,
         now: Micros,
         half_life_ms: f64,
-        least: f64,
-        prior: f64,
+        prior_share: f64,
+        prior_weight: f64,
     ) -> f64 {
         let (all, bad) = self.at(now, half_life_ms);
         let (own_all, own_bad) = own.at(now, half_life_ms);
-        ((bad - own_bad).max(0.0) + least * prior) / ((all - own_all).max(0.0) + prior)
+        ((bad - own_bad).max(0.0) + prior_share * prior_weight)
+            / ((all - own_all).max(0.0) + prior_weight)
     }
 }
 
-/// Decaying counts by name.
+/// Exponentially decaying counts by name.
 #[derive(Default)]
 pub struct DecayingCounts(BTreeMap<String, f64>);
 
 impl DecayingCounts {
-    /// Counts one more; returns the sum with it.
+    /// Adds 1 to the count of a name and returns the new count.
     pub fn count(&mut self, name: &str) -> f64 {
         let sum = self.0.entry(name.to_owned()).or_insert(0.0);
         *sum += 1.0;
         *sum
     }
 
-    /// Keeps this part of each count.
-    pub fn decay(&mut self, kept: f64) {
+    /// Multiplies all counts by `factor` and removes counts that have become negligible.
+    pub fn decay(&mut self, factor: f64) {
         for sum in self.0.values_mut() {
-            *sum *= kept;
+            *sum *= factor;
         }
-        self.0.retain(|_, sum| *sum > SMALLEST_COUNT);
+        self.0.retain(|_, sum| *sum > MIN_COUNT);
     }
 }
--- a/crates/decisions/src/state/engine_table.rs
+++ b/crates/decisions/src/state/engine_table.rs
@@ -1,21 +1,22 @@
-//! All engines that are known, and the tables that are held on them.
+//! All known engines, and the locks on table groups that their queries hold.
 
 use super::engine::Engine;
 use crate::{EngineEntry, EngineId, EngineState, Micros};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
 
-/// Engines by their place in the table; a place is reused once its engine is gone and not in use.
+/// Engines by index. The index of a removed engine is reused once no open request refers to it.
 #[derive(Default)]
 pub struct EngineTable {
     engines: Vec<Engine>,
-    index: HashMap<EngineId, usize>,
-    /// Until when a table group counts as held on an engine.
-    held_groups: BTreeMap<(usize, u64), Micros>,
-    /// Least memory of a listed engine, in megabytes.
+    index_by_id: HashMap<EngineId, usize>,
+    /// Time until which a table group is assumed to be locked on an engine, by the engine's index
+    /// and the number of the group.
+    locked_groups: BTreeMap<(usize, u64), Micros>,
+    /// Smallest memory of any listed engine, in megabytes.
     pub smallest_memory_mb: f64,
-    /// Least memory for one thread of a listed engine whose threads are at their first bound, in
-    /// megabytes.
+    /// Smallest memory per thread of any listed engine, in megabytes, if each engine runs as many
+    /// threads as its initial thread limit allows.
     pub smallest_memory_per_thread_mb: f64,
 }
 
@@ -34,32 +35,32 @@
 }
 
 impl EngineTable {
-    /// Engines in the table, those removed but still in use included.
+    /// Returns the number of engines in the table, including removed ones.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// All engines by their place.
+    /// Iterates over all engines in the order of their indices.
     pub fn iter(&self) -> std::slice::Iter<'_, Engine> {
         self.engines.iter()
     }
 
-    /// All engines by their place, to be changed.
+    /// Iterates over all engines in the order of their indices, for modification.
     pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, Engine> {
         self.engines.iter_mut()
     }
 
-    /// The engines that are listed and serving.
+    /// Iterates over the engines that are in the engine list and accept new work.
     pub fn listed(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter().filter(|engine| engine.listed)
     }
 
-    /// Place of an engine, if it is known.
+    /// Returns the index of an engine, if the engine is known.
     pub fn index_of(&self, id: &EngineId) -> Option<usize> {
-        self.index.get(id).copied()
+        self.index_by_id.get(id).copied()
     }
 
-    /// Marks all engines as gone, before a whole list is read.
+    /// Marks all engines as removed, before a complete engine list is applied.
     pub fn remove_all(&mut self) {
         for engine in &mut self.engines {
             engine.listed = false;
@@ -67,32 +68,33 @@
         }
     }
 
-    /// A place for an engine not known before: that of one that is gone and not in use, so that
-    /// replacements of engines do not make the table grow.
+    /// Adds a new engine and returns its index. The index of a removed engine for which `in_use`
+    /// returns false is reused, so that the table does not grow as engines are replaced.
     pub fn insert(&mut self, id: &EngineId, in_use: impl Fn(usize) -> bool) -> usize {
         let is_gone = |engine: &Engine| engine.entry.state == EngineState::Removed;
         let free =
-            (0..self.engines.len()).find(|place| is_gone(&self.engines[*place]) && !in_use(*place));
-        let place = free.unwrap_or(self.engines.len());
+            (0..self.engines.len()).find(|index| is_gone(&self.engines[*index]) && !in_use(*index));
+        let index = free.unwrap_or(self.engines.len());
         if free.is_some() {
-            let replaced = std::mem::replace(&mut self.engines[place], Engine::new(id));
-            self.index.remove(&replaced.entry.engine);
+            let replaced = std::mem::replace(&mut self.engines[index], Engine::new(id));
+            self.index_by_id.remove(&replaced.entry.engine);
         } else {
             self.engines.push(Engine::new(id));
         }
-        self.index.insert(id.clone(), place);
-        self.held_groups.retain(|(engine, _), _| *engine != place);
-        place
+        self.index_by_id.insert(id.clone(), index);
+        self.locked_groups.retain(|(engine, _), _| *engine != index);
+        index
     }
 
-    /// Stores what the list says of an engine.
+    /// Stores an engine's entry from the engine list.
     pub fn store_entry(&mut self, engine: usize, entry: EngineEntry) {
         let engine = &mut self.engines[engine];
         engine.listed = entry.state == EngineState::Serving;
         engine.entry = entry;
     }
 
-    /// Computes the smallest engine's figures anew, for `threads_per_core` at their bound.
+    /// Recomputes the smallest memory figures of the listed engines. `threads_per_core` is the
+    /// initial limit on the threads of an engine per core.
     pub fn update_smallest(&mut self, threads_per_core: f64) {
         let least =
             |figure: fn(&Engine) -> f64| self.listed().map(figure).fold(f64::INFINITY, f64::min);
@@ -102,30 +104,31 @@
         self.smallest_memory_per_thread_mb = memory_per_core_mb / threads_per_core;
     }
 
-    /// Whether a table group counts as held on an engine.
+    /// Returns whether a table group is assumed to be locked on an engine.
     pub fn holds_group(&self, engine: usize, group: u64, now: Micros) -> bool {
-        self.held_groups
+        self.locked_groups
             .get(&(engine, group))
             .is_some_and(|until| *until > now)
     }
 
-    /// Own work holds a table group until then.
+    /// Records that an attempt of this gateway locks a table group, until `until` at the latest.
     pub fn hold_group(&mut self, engine: usize, group: u64, until: Micros) {
-        self.held_groups.insert((engine, group), until);
+        self.locked_groups.insert((engine, group), until);
     }
 
-    /// Something holds a table group; it counts as held until then unless more is known.
+    /// Records that another query was found to lock a table group. `until` applies only if no lock
+    /// on that group is recorded yet.
     pub fn observe_held_group(&mut self, engine: usize, group: u64, until: Micros) {
-        self.held_groups.entry((engine, group)).or_insert(until);
+        self.locked_groups.entry((engine, group)).or_insert(until);
     }
 
-    /// Own work that held a table group has ended.
+    /// Removes the lock on a table group after this gateway's attempt that held it has ended.
     pub fn release_group(&mut self, engine: usize, group: u64) {
-        self.held_groups.remove(&(engine, group));
+        self.locked_groups.remove(&(engine, group));
     }
 
-    /// Forgets holds that have run out.
+    /// Removes expired locks on table groups.
     pub fn expire_held_groups(&mut self, now: Micros) {
-        self.held_groups.retain(|_, until| *until > now);
+        self.locked_groups.retain(|_, until| *until > now);
     }
 }
--- a/crates/decisions/src/state/key_queues.rs
+++ b/crates/decisions/src/state/key_queues.rs
@@ -1,26 +1,26 @@
-//! Order of requests that share a key: one at a time, in the order of arrival, with a rest after an
-//! unsure end.
+//! Queues that run requests with the same ordering key one at a time, in order of arrival. A key
+//! can be paused after an attempt that may still be running.
 
 use crate::Micros;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// A queue for each key, and the rests of keys.
+/// A queue of requests for each ordering key, and the pauses of keys.
 #[derive(Default)]
 pub struct KeyQueues {
     queues: HashMap<Arc<str>, VecDeque<u64>>,
-    rests_until: HashMap<Arc<str>, Micros>,
+    paused_until: HashMap<Arc<str>, Micros>,
 }
 
 impl KeyQueues {
-    /// Puts a request behind all others of its key; returns the length of the queue with it.
+    /// Appends a request to the queue of its key and returns the new length of that queue.
     pub fn join(&mut self, key: &Arc<str>, sequence: u64) -> usize {
         let queue = self.queues.entry(key.clone()).or_default();
         queue.push_back(sequence);
         queue.len()
     }
 
-    /// Takes a request out of the queue of its key.
+    /// Removes a request from the queue of its key.
     pub fn leave(&mut self, key: &Arc<str>, sequence: u64) {
         self.queues
             .entry(key.clone())
@@ -28,7 +28,8 @@
             .retain(|queued| *queued != sequence);
     }
 
-    /// Whether a request is the first of its key.
+    /// Returns whether a request is the first in the queue of its key. Also returns true if the key
+    /// has no queued requests.
     pub fn is_first(&self, key: &Arc<str>, sequence: u64) -> bool {
         self.queues
             .get(key)
@@ -36,34 +37,34 @@
             .is_none_or(|first| *first == sequence)
     }
 
-    /// Starts a rest of a key.
+    /// Pauses a key until `until`, replacing any earlier pause of the key.
     pub fn rest(&mut self, key: &Arc<str>, until: Micros) {
-        self.rests_until.insert(key.clone(), until);
+        self.paused_until.insert(key.clone(), until);
     }
 
-    /// Whether a key rests.
+    /// Returns whether a key is paused at `now`.
     pub fn is_resting(&self, key: &Arc<str>, now: Micros) -> bool {
-        self.rests_until.get(key).is_some_and(|until| *until > now)
+        self.paused_until.get(key).is_some_and(|until| *until > now)
     }
 
-    /// Forgets empty queues and rests that are over.
+    /// Removes empty queues and expired pauses.
     pub fn expire(&mut self, now: Micros) {
         self.queues.retain(|_, queue| !queue.is_empty());
-        self.rests_until.retain(|_, until| *until > now);
+        self.paused_until.retain(|_, until| *until > now);
     }
 
-    /// How many keys have a queue, and how many rest; for tests of the memory that they take.
+    /// Returns the number of queues plus the number of paused keys, for tests of memory use.
     pub fn len(&self) -> usize {
-        self.queues.len() + self.rests_until.len()
+        self.queues.len() + self.paused_until.len()
     }
 
-    /// Whether no key is known.
+    /// Returns whether there are neither queues nor paused keys.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Entries for which memory is taken.
+    /// Returns the number of entries for which the hash tables have allocated memory.
     pub fn capacity(&self) -> usize {
-        self.queues.capacity() + self.rests_until.capacity()
+        self.queues.capacity() + self.paused_until.capacity()
     }
 }
--- a/crates/decisions/src/state/mod.rs
+++ b/crates/decisions/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What the gateway remembers of engines, requests and classes. It decides nothing.
+//! What a gateway knows about engines, requests and classes. The modules here make no decisions.
 //!
-//! Each module holds one group of state with the methods that touch it alone; `decide` reads
-//! several of them to take a decision.
+//! Each module contains one part of the state, with the methods that access that part only. The
+//! modules under `decide` combine several parts to make a decision.
 
 pub mod admission_state;
 pub mod clock;
--- a/crates/decisions/src/state/observed_load.rs
+++ b/crates/decisions/src/state/observed_load.rs
@@ -1,17 +1,19 @@
-//! Load of a kind of machine, by own work and reports.
+//! Load of each machine kind, estimated from this gateway's own queries and from load reports.
 
 use super::costs::ClassCosts;
 use super::engine::Engine;
 use super::engine_table::EngineTable;
 use crate::Settings;
 
-/// Weight of the fleet's mean against own queries on one engine, in queries.
+/// Weight of the mean load of a machine kind when it is combined with this gateway's own queries on
+/// one engine, as a number of queries.
 const PRIOR_QUERIES: f64 = 4.0;
 
-/// Weight of a first guess of one thread a query, in queries.
+/// Weight of the initial assumption that a query runs on one thread, as a number of queries.
 const PRIOR_THREAD_QUERIES: f64 = 0.2;
 
-/// Own work on engines without a fresh report.
+/// This gateway's load on engines without a recent load report. Each engine is weighted by 1 minus
+/// the trust in its last report.
 #[derive(Clone, Copy, Default)]
 struct UnreportedLoad {
     queries: f64,
@@ -19,7 +21,7 @@
     cores: f64,
 }
 
-/// Sums over the engines of a kind, for one survey.
+/// Sums over the listed engines of one machine kind, for one survey (periodic load update).
 #[derive(Default)]
 struct KindTotals {
     engines: f64,
@@ -27,12 +29,12 @@
     threads: f64,
     memory_mb: f64,
     cores: f64,
-    /// Cores of engines with a report, weighted by trust.
+    /// Cores of the engines that sent load reports, weighted by the trust in each report.
     reported_cores: f64,
-    /// Threads that they report, weighted by trust.
+    /// Threads on engines according to their load reports, weighted by the trust in each report.
     reported_threads: f64,
-    /// Whether some report has busy cores only.
-    cores_only: bool,
+    /// Whether some engine reports the share of busy cores but not the number of queries.
+    has_busy_only_report: bool,
     unreported: UnreportedLoad,
 }
 
@@ -48,9 +50,9 @@
     fn add(&mut self, engine: &Engine, kind: &ObservedLoad) {
         let report = &engine.reported.report;
         let trust = engine.reported.trust;
-        // What warms up holds little: the queries in flight are on the others.
+        // An engine that is warming up gets less work, so its cores count for less here.
         let cores = engine.cores * engine.warm_share;
-        self.cores_only |= report.busy.is_some() && report.in_flight.is_none();
+        self.has_busy_only_report |= report.busy.is_some() && report.in_flight.is_none();
         self.engines += 1.0;
         self.cores += cores;
         self.queries += engine.queries;
@@ -66,45 +68,47 @@
     }
 }
 
-/// What a survey goes by beside the engines.
+/// Inputs of a survey (periodic load update) other than the engines.
 #[derive(Clone, Copy)]
 pub struct SurveyBasis {
-    /// Part of what was seen before that is kept.
+    /// Weight of earlier observations in the moving averages, from 0 to 1.
     pub kept: f64,
-    /// Gateways that share the engines.
+    /// Number of gateways that share the engines.
     pub gateways: f64,
-    /// Threads a core, estimated from the stretch of answers.
+    /// Threads per core of all gateways together, estimated from the stretch of answers.
     pub threads_per_core_by_stretch: f64,
 }
 
 impl SurveyBasis {
-    /// Threads a core of all gateways, by own work or, where that is little, by the stretch of
-    /// answers.
+    /// Estimates the threads per core of all gateways together from this gateway's load. If this
+    /// gateway has few queries, the estimate from the stretch of answers dominates.
     fn threads_per_core(&self, queries: f64, threads: f64, cores: f64) -> f64 {
         (threads * self.gateways / cores.max(1e-3) * queries + self.threads_per_core_by_stretch)
             / (queries + 1.0)
     }
 }
 
-/// What one kind of machine shows: decaying means of own work there, and threads a core for all
-/// gateways.
+/// Observed load of one machine kind: moving averages of this gateway's load on its engines, and
+/// estimated threads per core of all gateways together.
 #[derive(Clone, Copy, Default)]
 pub struct ObservedLoad {
     queries: f64,
     threads: f64,
     memory_mb: f64,
     unreported: UnreportedLoad,
-    /// Threads a core of all gateways.
+    /// Threads per core of all gateways together, over all engines of the kind.
     threads_per_core: f64,
-    /// The same for engines without a fresh report.
+    /// Threads per core of all gateways together, on engines without a recent load report.
     unreported_threads_per_core: f64,
-    /// Share of its even part that is left to classes open to all kinds.
+    /// Every machine kind gets a share of all work in proportion to its cores. This is the fraction
+    /// of that share that remains for classes open to all kinds, after the work of classes that are
+    /// restricted to certain kinds. It can be negative.
     pub share_left: f64,
 }
 
 impl ObservedLoad {
-    /// Blends what own work and fresh reports show of the engines of this kind into what was seen
-    /// before.
+    /// Updates the averages with this gateway's load on the engines of this kind, and with recent
+    /// load reports from these engines.
     pub fn survey<'a>(&mut self, engines: impl Iterator<Item = &'a Engine>, basis: SurveyBasis) {
         let totals = KindTotals::of(engines, self);
         let blend = |before: f64, now: f64| basis.kept * before + (1.0 - basis.kept) * now;
@@ -121,16 +125,17 @@
         let half_engine = totals.cores / totals.engines / 2.0;
         let blended =
             (all * half_engine + totals.reported_threads) / (half_engine + totals.reported_cores);
-        // Busy cores are a lower bound of the threads that run.
-        self.threads_per_core = if totals.cores_only {
+        // The number of busy cores is a lower bound on the number of running threads.
+        self.threads_per_core = if totals.has_busy_only_report {
             blended.max(all)
         } else {
             blended
         };
 
-        // Reports come with answers, so that of many gateways each hears most from engines with
-        // little to do: these say nothing of the others. What it has in flight there does, and is
-        // one part in `gateways` of all.
+        // Load reports arrive with answers. If there are many gateways, each has recent reports
+        // mainly from lightly loaded engines, which say nothing about the other engines. This
+        // gateway's own queries on engines without a recent report are a better sample, because
+        // they are about one in `gateways` of all queries on those engines.
         let blend = |before: f64, now: f64| basis.kept * before + (1.0 - basis.kept) * now;
         let unreported = &mut self.unreported;
         unreported.queries = blend(unreported.queries, totals.unreported.queries);
@@ -141,8 +146,9 @@
             (own * unreported.queries + self.threads_per_core) / (unreported.queries + 1.0);
     }
 
-    /// Threads of all other gateways on an engine, estimated from own queries there (one in
-    /// `gateways` of all) and, with the weight of a few queries, from the mean of its kind.
+    /// Estimates the threads of all other gateways on an engine. The estimate is based on this
+    /// gateway's own queries there, which are about one in `gateways` of all queries. It is
+    /// combined with the mean of the machine kind, which has the weight of `PRIOR_QUERIES` queries.
     pub fn threads_of_others(&self, engine: &Engine, gateways: f64) -> f64 {
         let trust = engine.reported.trust;
         let threads_per_core =
@@ -153,19 +159,18 @@
         queries * self.threads_per_query()
     }
 
-    /// Threads that a query runs on; near 1 before anything was seen.
+    /// Returns the average number of threads per query; close to 1 before queries were observed.
     pub fn threads_per_query(&self) -> f64 {
         (self.threads + PRIOR_THREAD_QUERIES) / (self.queries + PRIOR_THREAD_QUERIES)
     }
 
-    /// Memory that a running thread holds, in megabytes.
+    /// Returns the average memory per running thread, in megabytes.
     pub fn memory_per_thread_mb(&self) -> f64 {
         self.memory_mb / (self.threads + PRIOR_THREAD_QUERIES)
     }
 }
 
-/// Updates what classes bound to some kinds of machine leave of each kind's even share of work to
-/// other classes.
+/// Recomputes [`ObservedLoad::share_left`] of all machine kinds, from the work requested by class.
 pub fn update_share_left(
     kinds: &mut [ObservedLoad],
     engines: &EngineTable,
--- a/crates/decisions/src/state/placement.rs
+++ b/crates/decisions/src/state/placement.rs
@@ -1,19 +1,20 @@
-//! Which engines a table group is planned on: weighted rendezvous hashing, bounded by each engine's
-//! part of all work.
+//! Assignment of table groups to engines by weighted rendezvous hashing, with a limit on the share
+//! of all queries that is planned on each engine.
 
 use super::hash::mix;
 use std::collections::BTreeMap;
 
-/// Chance that two queries ask for one group, before some were seen.
+/// Assumed probability that two queries use the same table group, before queries were counted.
 const PRIOR_SHARE: f64 = 0.05;
 
-/// Weight of the prior and of the usual share, in queries (or pairs of them).
-const PRIOR_QUERIES: f64 = 10.0;
+/// Weight of an assumed share when it is combined with counted queries, as a number of queries or
+/// of pairs of queries.
+const PRIOR_WEIGHT: f64 = 10.0;
 
-/// Count under which a group is forgotten.
-const SMALLEST_COUNT: f64 = 0.05;
+/// Value below which the decaying count of a table group is removed.
+const MIN_COUNT: f64 = 0.05;
 
-/// How often each table group is asked for: decaying counts of own queries.
+/// Exponentially decaying counts of this gateway's queries by table group.
 #[derive(Default)]
 pub struct GroupCounts {
     counts: BTreeMap<u64, f64>,
@@ -21,50 +22,52 @@
 }
 
 impl GroupCounts {
-    /// Counts a query of a group.
+    /// Counts a query of a table group.
     pub fn count(&mut self, group: u64) {
         *self.counts.entry(group).or_insert(0.0) += 1.0;
         self.all += 1.0;
     }
 
-    /// Keeps this part of each count; what is hardly asked for is forgotten.
-    pub fn decay(&mut self, kept: f64) {
+    /// Multiplies all counts by `factor` and removes table groups that have become rare.
+    pub fn decay(&mut self, factor: f64) {
         for count in self.counts.values_mut() {
-            *count *= kept;
+            *count *= factor;
         }
-        self.counts.retain(|_, count| *count > SMALLEST_COUNT);
+        self.counts.retain(|_, count| *count > MIN_COUNT);
         self.all = self.counts.values().sum();
     }
 
-    /// The groups that are asked for, in the order of their numbers.
+    /// Returns the numbers of the counted table groups, in ascending order.
     pub fn groups(&self) -> Vec<u64> {
         self.counts.keys().copied().collect()
     }
 
-    /// A group's share of all queries: its count, and as if some more were seen at the chance that
-    /// two queries ask for one group; that is the prior until some were seen.
+    /// Estimates a table group's share of all queries. To smooth small counts, `PRIOR_WEIGHT`
+    /// further queries are assumed to use the group with the probability that any two queries use
+    /// the same group, which is `PRIOR_SHARE` before queries were counted.
     pub fn share(&self, group: u64) -> f64 {
-        let weight = PRIOR_QUERIES;
+        let weight = PRIOR_WEIGHT;
         let same: f64 = self
             .counts
             .values()
             .map(|count| count * (count - 1.0).max(0.0))
             .sum();
-        let usual = (same + PRIOR_SHARE * weight) / (self.all * (self.all - 1.0).max(0.0) + weight);
-        (self.counts.get(&group).unwrap_or(&0.0) + usual * weight) / (self.all + weight)
+        let typical_share =
+            (same + PRIOR_SHARE * weight) / (self.all * (self.all - 1.0).max(0.0) + weight);
+        (self.counts.get(&group).unwrap_or(&0.0) + typical_share * weight) / (self.all + weight)
     }
 }
 
-/// The part of a group's queries that is planned on one engine.
+/// Queries of one table group that are planned to run on one engine.
 #[derive(Clone, Copy)]
 pub struct PlannedPart {
-    /// Place of the engine in the table.
+    /// Index of the engine in the engine table.
     pub engine: usize,
-    /// As a share of all queries.
+    /// Share of all queries, over all table groups, that is planned for this group and engine.
     pub part: f64,
 }
 
-/// Parts of each table group's queries by engine, and the room left on each engine.
+/// Planned engines of each table group, and the remaining capacity of each engine.
 #[derive(Default)]
 pub struct PlacementPlan {
     groups: BTreeMap<u64, Vec<PlannedPart>>,
@@ -72,8 +75,8 @@
 }
 
 impl PlacementPlan {
-    /// An empty plan; `room` holds for each engine the share of all queries that may be planned on
-    /// it.
+    /// Creates an empty plan. `room` is the share of all queries that may be planned on each
+    /// engine, by engine index.
     pub fn with_room(room: Vec<f64>) -> PlacementPlan {
         PlacementPlan {
             groups: BTreeMap::new(),
@@ -81,17 +84,18 @@
         }
     }
 
-    /// Whether a group is planned.
+    /// Returns whether a table group has been planned.
     pub fn contains(&self, group: u64) -> bool {
         self.groups.contains_key(&group)
     }
 
-    /// Whether more queries may be planned on an engine.
+    /// Returns whether an engine has capacity left for further queries in this plan.
     pub fn has_room(&self, engine: usize) -> bool {
         self.room[engine] > 0.0
     }
 
-    /// The part of a group's queries that is planned on an engine.
+    /// Returns the share of all queries that is planned for a table group on an engine; `None` if
+    /// the group is not planned on that engine.
     pub fn part(&self, group: u64, engine: usize) -> Option<f64> {
         let parts = self.groups.get(&group)?;
         parts
@@ -100,7 +104,8 @@
             .map(|planned| planned.part)
     }
 
-    /// Plans a group's share on engines in their order, on each up to its room.
+    /// Distributes a table group's share of all queries over engines in the given order, filling
+    /// each engine up to its remaining capacity.
     pub fn place(&mut self, group: u64, mut share: f64, order: &[usize]) {
         let parts = self.groups.entry(group).or_default();
         for &engine in order {
@@ -114,31 +119,30 @@
     }
 }
 
-/// Counts of table groups, and a plan for each class.
+/// Query counts of table groups, and a placement plan for each class.
 #[derive(Default)]
 pub struct Placement {
     pub counts: GroupCounts,
     pub plans: Vec<PlacementPlan>,
 }
 
-/// Distance of an engine from what is placed, for the order of a weighted rendezvous: to be divided
-/// by a weight.
-pub fn rendezvous_distance(engine_hash: u64, placed: u64) -> f64 {
-    -(((mix(engine_hash ^ mix(placed)) >> 11) as f64 + 1.0) / (1u64 << 53) as f64).ln()
+/// Returns the unweighted distance between an engine and an item for weighted rendezvous hashing.
+/// The caller divides it by the engine's weight; the engine with the smallest result is preferred.
+pub fn rendezvous_distance(engine_hash: u64, item: u64) -> f64 {
+    -(((mix(engine_hash ^ mix(item)) >> 11) as f64 + 1.0) / (1u64 << 53) as f64).ln()
 }
 
-/// An engine and what it counts for in placement.
+/// An engine and its weight in rendezvous hashing.
 pub struct WeightedEngine {
-    /// Place of the engine in the table.
+    /// Index of the engine in the engine table.
     pub engine: usize,
     pub hash: u64,
     pub weight: f64,
 }
 
-/// Places of the engines in the order of their distance from what is placed.
-pub fn order_by_distance(engines: impl Iterator<Item = WeightedEngine>, placed: u64) -> Vec<usize> {
-    let distance =
-        |engine: &WeightedEngine| rendezvous_distance(engine.hash, placed) / engine.weight;
+/// Returns the indices of the engines, ordered by weighted distance to an item from near to far.
+pub fn order_by_distance(engines: impl Iterator<Item = WeightedEngine>, item: u64) -> Vec<usize> {
+    let distance = |engine: &WeightedEngine| rendezvous_distance(engine.hash, item) / engine.weight;
     let mut order: Vec<(f64, usize)> = engines
         .map(|engine| (distance(&engine), engine.engine))
         .collect();
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -1,32 +1,32 @@
-//! A request that the gateway has taken, with its attempts.
+//! An open request and its attempts.
 
 use super::hash::hash_text;
 use super::trouble_model::{MissKey, FEATURES};
 use crate::{Attempt, Micros, Outcome, Progress, Request};
 
-/// One attempt of a request.
+/// An attempt of a request to be served by one engine.
 pub struct TrackedAttempt {
-    /// Place of its engine in the table.
+    /// Index of the engine in the engine table.
     pub engine: usize,
     pub sent: Micros,
-    /// When something last came of it.
+    /// When the attempt was sent or last reported progress.
     pub last_progress: Micros,
     pub memory_mb: f64,
     pub expected_ms: f64,
-    /// Whether it ever spilled or waited.
+    /// Whether the query ever spilled to disk or waited on the engine.
     pub stalled: bool,
-    /// Whether it waits for memory or for a holder of its tables, by its last report of progress:
-    /// no work is done.
+    /// Whether, according to its last progress report, the query waits for memory or for a table
+    /// lock. A waiting query does no work.
     pub waits: bool,
-    /// Whether its silence was counted against its engine.
+    /// Whether the lack of progress reports was already counted against the engine.
     pub silence_counted: bool,
     pub cancelled: bool,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl TrackedAttempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent at `now`.
     pub fn new(engine: usize, now: Micros, memory_mb: f64, expected_ms: f64) -> TrackedAttempt {
         TrackedAttempt {
             engine,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the attempt has not ended yet.
     pub fn in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Stores a report of its progress.
+    /// Stores a progress report of the attempt.
     pub fn progressed(&mut self, now: Micros, progress: Progress) {
         self.last_progress = now;
         self.stalled |= !matches!(progress, Progress::ShareDone(_));
@@ -57,7 +57,8 @@
         );
     }
 
-    /// Whether it took work; an error, a failed connection or a wait took next to none.
+    /// Returns whether the attempt took work from the engine. Errors, failed connections, unsent
+    /// attempts and cancellations of a waiting query took next to none.
     fn took_work(&self) -> bool {
         match self.outcome {
             Some(Outcome::Error | Outcome::ConnectFailed | Outcome::NotSent) => false,
@@ -67,35 +68,36 @@
     }
 }
 
-/// A request that is not answered yet, or has an attempt in flight.
+/// An open request: one that is not answered yet or still has an attempt in flight.
 #[derive(Default)]
 pub struct TrackedRequest {
     pub request: Request,
-    /// Hash of its id.
+    /// Hash of the request's id.
     pub hash: u64,
     pub arrived: Micros,
     pub deadline: Micros,
-    /// Whether nothing more is owed to the client.
+    /// Whether the client already has its answer or no longer waits for one.
     pub answered: bool,
-    /// Whether its tenant was over its quota when it came.
+    /// Whether the request's tenant exceeded its quota when the request arrived.
     pub over_quota: bool,
-    /// Whether it was accepted as a flagged query; `None` while no engine is known.
+    /// Whether the query was flagged as likely to run short of memory; `None` while no engine is
+    /// available for the request.
     pub flagged: Option<bool>,
-    /// What the trouble model judged it by.
+    /// Input of the model that predicts memory shortages; `None` if the model was not used.
     pub features: Option<[f64; FEATURES]>,
-    /// Free memory of its first engine when it was judged, in megabytes.
+    /// Free memory of the preferred engine when flagging was decided, in megabytes.
     pub free_memory_then_mb: f64,
-    /// Whether it met memory trouble.
+    /// Whether the query ran short of memory.
     pub troubled: bool,
-    /// Expected work on one thread.
+    /// Expected work, as run time on a single thread in milliseconds.
     pub work_ms: f64,
-    /// Expected need of memory.
+    /// Expected memory, in megabytes.
     pub memory_mb: f64,
     pub attempts: Vec<TrackedAttempt>,
 }
 
 impl TrackedRequest {
-    /// A request that arrives now.
+    /// Creates a request that arrives at `now`.
     pub fn new(request: Request, now: Micros) -> TrackedRequest {
         let deadline = now.plus(request.time_left);
         let hash = hash_text(&request.id.0);
@@ -109,12 +111,12 @@
         }
     }
 
-    /// Whether it was sent to an engine before.
+    /// Returns whether an attempt of this request was ever sent to an engine.
     pub fn was_sent_to(&self, engine: usize) -> bool {
         self.attempts.iter().any(|attempt| attempt.engine == engine)
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts
             .iter()
@@ -122,14 +124,14 @@
             .count()
     }
 
-    /// An attempt that is in flight, by its number.
+    /// Returns the attempt with this number, if it is in flight.
     pub fn attempt_in_flight(&mut self, attempt: Attempt) -> Option<&mut TrackedAttempt> {
         self.attempts
             .get_mut(attempt.0 as usize)
             .filter(|attempt| attempt.in_flight())
     }
 
-    /// The engines that answered it with an error.
+    /// Iterates over the engines that answered the request with an error.
     pub fn failed_engines(&self) -> impl Iterator<Item = usize> + '_ {
         let failed = self
             .attempts
@@ -138,7 +140,8 @@
         failed.map(|attempt| attempt.engine)
     }
 
-    /// Whether an attempt in flight is cancelled, to be sent again at its outcome.
+    /// Returns whether an attempt in flight was cancelled so that the request can be sent again,
+    /// which happens once the cancelled attempt has ended.
     pub fn resend_pending(&self) -> bool {
         !self.answered
             && self
@@ -147,7 +150,7 @@
                 .any(|attempt| attempt.cancelled && attempt.in_flight())
     }
 
-    /// Marks every attempt in flight as cancelled; returns those that were not yet.
+    /// Marks all attempts in flight as cancelled and returns those that were not cancelled before.
     pub fn cancel_all(&mut self) -> Vec<Attempt> {
         let mut cancelled = Vec::new();
         for (number, attempt) in self.attempts.iter_mut().enumerate() {
@@ -159,7 +162,8 @@
         cancelled
     }
 
-    /// Class, table group and bucket of its memory estimate, as in the miss list.
+    /// Returns the query's key in `MissList`: its class, its table group and its memory estimate,
+    /// rounded to a power of two.
     pub fn miss_key(&self) -> MissKey {
         let estimate = self.request.memory_hint_mb.filter(|mb| *mb > 0.0);
         MissKey {
@@ -169,12 +173,12 @@
         }
     }
 
-    /// Whether the last attempt took work.
+    /// Returns whether the last attempt took work from its engine.
     pub fn last_attempt_took_work(&self) -> bool {
         self.attempts.last().is_some_and(TrackedAttempt::took_work)
     }
 
-    /// The first attempt that may have run, or is in flight.
+    /// Returns the first attempt that may have run, including attempts in flight.
     pub fn first_that_may_have_run(&self) -> Option<&TrackedAttempt> {
         self.attempts
             .iter()
--- a/crates/decisions/src/state/retry_state.rs
+++ b/crates/decisions/src/state/retry_state.rs
@@ -1,16 +1,17 @@
-//! What retries are limited by: own tokens that requests earn, and counts for the budget in the
-//! settings.
+//! Limits on retries: a token bucket that arriving requests refill, and counts for the retry budget
+//! in the settings.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Retries that can be saved up.
+/// Capacity of the token bucket: the number of retries that can be saved up.
 const MAX_TOKENS: f64 = 30.0;
 
-/// Tokens that a request earns; under overload they are soon spent.
+/// Number of tokens that each arriving request adds to the bucket. Under overload, retries spend
+/// tokens faster than requests add them, so retries soon stop.
 const TOKENS_PER_REQUEST: f64 = 0.2;
 
-/// A token bucket for retries that repeat work, and when requests came and retries were sent.
+/// Token bucket for retries that repeat work, and the times of recent requests and retries.
 pub struct RetryState {
     tokens: f64,
     requests: VecDeque<Micros>,
@@ -28,28 +29,28 @@
 }
 
 impl RetryState {
-    /// A request has come: it earns a part of a retry.
+    /// Records the arrival of a request and adds its tokens to the bucket.
     pub fn request_arrived(&mut self, now: Micros) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
         self.requests.push_back(now);
     }
 
-    /// Whether a retry that repeats work has a token.
+    /// Returns whether the bucket has a token for a retry that repeats work.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// A retry that repeats work takes a token.
+    /// Spends a token on a retry that repeats work.
     pub fn spend_token(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Counts a retry for the budget in the settings.
+    /// Records a retry, to be counted against the retry budget in the settings.
     pub fn retry_sent(&mut self, now: Micros) {
         self.retries.push_back(now);
     }
 
-    /// Requests that came inside a span.
+    /// Returns the number of requests that arrived less than `span` ago.
     pub fn requests_within(&self, now: Micros, span: Micros) -> f64 {
         self.requests
             .iter()
@@ -57,7 +58,7 @@
             .count() as f64
     }
 
-    /// Retries sent inside a span, its edge included.
+    /// Returns the number of retries that were sent at most `span` ago.
     pub fn retries_within(&self, now: Micros, span: Micros) -> f64 {
         self.retries
             .iter()
@@ -65,7 +66,7 @@
             .count() as f64
     }
 
-    /// Forgets what lies before a span.
+    /// Removes recorded requests and retries that are older than `span`.
     pub fn expire(&mut self, now: Micros, span: Micros) {
         self.requests.retain(|at| now.since(*at) <= span);
         self.retries.retain(|at| now.since(*at) <= span);
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -1,32 +1,33 @@
-//! Signs that a zone is lost with all its engines.
+//! Detection of zones that have probably failed with all their engines.
 
 use crate::{Micros, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Signs for and against one zone.
+/// Health of one zone.
 #[derive(Default)]
 pub struct ZoneHealth {
-    /// Engines lost since the last sign of life from the zone.
+    /// Indices of the engines that were lost (failed to connect, or missed a progress report) since
+    /// any engine of the zone last responded.
     lost_engines: BTreeSet<usize>,
-    trials: u32,
-    next_trial: Micros,
+    trials_sent: u32,
+    next_trial_at: Micros,
 }
 
 impl ZoneHealth {
-    /// Something came from one of its engines.
+    /// Records that an engine of the zone has responded, and resets all signs of a zone failure.
     pub fn engine_alive(&mut self) {
-        self.trials = 0;
-        self.next_trial = Micros(0);
+        self.trials_sent = 0;
+        self.next_trial_at = Micros(0);
         self.lost_engines.clear();
     }
 
-    /// An engine took no connection, or missed a report of progress that was due.
+    /// Records that an engine could not be connected to, or missed a progress report that was due.
     pub fn engine_lost(&mut self, engine: usize) {
         self.lost_engines.insert(engine);
     }
 
-    /// An attempt ended there. Time-outs, resets and cancels may come from an engine that is
-    /// silent: no sign.
+    /// Updates the zone with the end of an attempt. Time-outs, resets, cancellations and unsent
+    /// attempts are ignored, because they do not show whether the engine still responds.
     pub fn attempt_ended(&mut self, engine: usize, outcome: Outcome) {
         if outcome.may_still_run() || outcome == Outcome::NotSent {
             return;
@@ -38,40 +39,41 @@
         }
     }
 
-    /// A trial goes out: the next follows after a pause that doubles from `first` to `longest`.
+    /// Records a trial request to a failed zone. The next trial is due after a delay that doubles
+    /// from `first` up to `longest`.
     pub fn trial_sent(&mut self, now: Micros, first: Micros, longest: Micros) {
-        let pause = Micros(first.0 << self.trials.min(8)).min(longest);
-        self.next_trial = now.plus(pause);
-        self.trials += 1;
+        let delay = Micros(first.0 << self.trials_sent.min(8)).min(longest);
+        self.next_trial_at = now.plus(delay);
+        self.trials_sent += 1;
     }
 }
 
-/// The zones by name.
+/// Health of all zones, by zone name.
 #[derive(Default)]
 pub struct Zones(BTreeMap<String, ZoneHealth>);
 
 impl Zones {
-    /// Health of a zone, by its name.
+    /// Returns the health of a zone, and creates an entry for a new zone.
     pub fn zone_mut(&mut self, zone: &str) -> &mut ZoneHealth {
         if !self.0.contains_key(zone) {
             self.0.insert(zone.to_owned(), ZoneHealth::default());
         }
         self.0
             .get_mut(zone)
-            .expect("inserted above if it was absent")
+            .expect("zone was inserted above if it was missing")
     }
 
-    /// How many engines of a zone are lost, with nothing from it since.
+    /// Returns how many engines of a zone were lost since any engine of the zone last responded.
     pub fn lost_engines(&self, zone: &str) -> usize {
         self.0
             .get(zone)
             .map_or(0, |health| health.lost_engines.len())
     }
 
-    /// Whether the next trial of a zone is due.
+    /// Returns whether another trial request may be sent to a zone.
     pub fn trial_due(&self, zone: &str, now: Micros) -> bool {
         self.0
             .get(zone)
-            .is_none_or(|health| now >= health.next_trial)
+            .is_none_or(|health| now >= health.next_trial_at)
     }
 }
--- a/crates/decisions/tests/key_queues.rs
+++ b/crates/decisions/tests/key_queues.rs
@@ -1,4 +1,4 @@
-//! Queues of keys do not grow with the keys that have passed through.
+//! The memory of the key queues does not grow with the number of keys that were used.
 
 use beamgap_decisions::{KeyQueues, Micros};
 use std::sync::Arc;
@@ -18,5 +18,8 @@
     }
     keys.expire(Micros::from_millis(1_000_400));
     assert!(keys.is_empty());
-    assert!(keys.capacity() < 4096, "the tables have grown");
+    assert!(
+        keys.capacity() < 4096,
+        "the hash tables have grown with the number of keys"
+    );
 }
