--- a/crates/decisions/src/decide/completion.rs
+++ b/crates/decisions/src/decide/completion.rs
@@ -1,29 +1,30 @@
-//! Completion: a request is answered, rejected or failed, and forgotten once nothing of it is in
-//! flight.
+//! Completion of requests. A request is answered, rejected or failed, and its state is removed once
+//! no attempt is in flight.
 
 use super::Gateway;
 use crate::{Action, Micros};
 
-/// Longest pause that a rejected client is advised, before jitter, in microseconds.
-const LONGEST_RETRY_AFTER: f64 = 1_000_000.0;
+/// Upper bound on the `retry_after` of a rejection before jitter, in microseconds.
+const MAX_RETRY_AFTER_US: f64 = 1_000_000.0;
 
-/// Part of that pause that falls away as all work is admitted, in microseconds.
-const RETRY_AFTER_RANGE: f64 = 700_000.0;
+/// Amount by which `retry_after` is reduced when all work is admitted, in microseconds; scaled by
+/// the admitted share.
+const RETRY_AFTER_RANGE_US: f64 = 700_000.0;
 
-/// Least factor of the jitter on that pause, in thousandths.
-const LEAST_JITTER: u64 = 700;
+/// Lower bound of the jitter factor on `retry_after`, in thousandths.
+const MIN_JITTER_PER_MILLE: u64 = 700;
 
-/// Range of the jitter on that pause, in thousandths.
-const JITTER_RANGE: u64 = 600;
+/// Width of the range of jitter factors on `retry_after`, in thousandths.
+const JITTER_RANGE_PER_MILLE: u64 = 600;
 
 impl Gateway {
-    /// Answers a request that is given up, at once: rejected where trying again is harmless, else
-    /// failed.
+    /// Ends a request without serving it. It is rejected if the client can safely try again, and
+    /// failed if an attempt may have run and another one could execute the request twice.
     pub(super) fn reject_or_fail(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let retry_after = self.retry_after();
         let request = &self.requests[sequence];
-        let may_be_refused = self.class(request).repeat.may_be_refused();
-        let harmless = may_be_refused || request.first_that_may_have_run().is_none();
+        let may_be_rejected = self.class(request).repeat.may_be_rejected();
+        let harmless = may_be_rejected || request.first_that_may_have_run().is_none();
         let id = request.request.id.clone();
         if harmless {
             actions.push(Action::Reject {
@@ -36,17 +37,20 @@
         self.finish(sequence, actions);
     }
 
-    /// When a rejected client should come back: the fuller the fleet the later, spread so that not
-    /// all come as one.
+    /// Returns how long a rejected client should wait before it tries again, or `None` if the
+    /// settings disable `retry_after`. The time grows as the admitted share falls, and jitter
+    /// spreads the retries of many clients.
     fn retry_after(&mut self) -> Option<Micros> {
-        let jitter = LEAST_JITTER + self.random.draw() % JITTER_RANGE;
-        let base = (LONGEST_RETRY_AFTER - RETRY_AFTER_RANGE * self.admission.admitted_share) as u64;
+        let jitter = MIN_JITTER_PER_MILLE + self.random.draw() % JITTER_RANGE_PER_MILLE;
+        let base =
+            (MAX_RETRY_AFTER_US - RETRY_AFTER_RANGE_US * self.admission.admitted_share) as u64;
         let pause = Micros(base * jitter / 1000);
         self.settings.retry_after.map(|longest| longest.min(pause))
     }
 
-    /// Nothing more is owed to the client: cancels what is in flight; at the last outcome forgets
-    /// the request and passes its key on.
+    /// Marks a request as answered and cancels its attempts in flight. Once no attempt is in
+    /// flight, the state of the request is removed, which lets the next request with its ordering
+    /// key run.
     pub(super) fn finish(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         self.requests.waiting.remove(&sequence);
         let may_cancel = self.settings.cancel;
@@ -72,7 +76,7 @@
         }
     }
 
-    /// Answers waiting requests whose time is up.
+    /// Rejects or fails the waiting requests that are too late to be worth sending.
     pub(super) fn finish_overdue(&mut self, actions: &mut Vec<Action>) {
         let waiting = self.requests.waiting_requests();
         let overdue: Vec<u64> = waiting
--- a/crates/decisions/src/settings/check.rs
+++ b/crates/decisions/src/settings/check.rs
@@ -1,78 +1,78 @@
-//! Refuses settings that make no sense.
+//! Validation of the settings of a gateway.
 
 use super::{ClassSettings, Settings};
 use crate::Micros;
 
-/// A setting that makes no sense, by its path.
+/// An invalid setting, named by its path.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A list that needs an entry has none.
-    #[error("setting {setting} is empty")]
+    /// A list that needs at least one entry is empty.
+    #[error("setting {setting} is empty; it needs at least one entry")]
     Empty {
         /// Path of the setting.
         setting: String,
     },
-    /// A figure that must not be zero is.
-    #[error("setting {setting} is 0")]
+    /// A value that must be greater than zero is zero.
+    #[error("setting {setting} is 0; it must be greater than 0")]
     Zero {
         /// Path of the setting.
         setting: String,
     },
-    /// A figure is negative or not finite.
-    #[error("setting {setting} is {value}")]
-    NotAQuantity {
+    /// A number is negative, infinite or NaN.
+    #[error("setting {setting} is {value}; it must be finite and not negative")]
+    InvalidQuantity {
         /// Path of the setting.
         setting: String,
-        /// The figure.
+        /// The rejected value.
         value: f64,
     },
 }
 
 impl SettingsError {
-    /// Path of the setting.
+    /// Path of the invalid setting.
     pub fn setting(&self) -> &str {
         match self {
             SettingsError::Empty { setting }
             | SettingsError::Zero { setting }
-            | SettingsError::NotAQuantity { setting, .. } => setting,
+            | SettingsError::InvalidQuantity { setting, .. } => setting,
         }
     }
 }
 
-/// Accepts a figure that is finite and not negative.
+/// Returns an error unless the value is finite and not negative.
 fn check_quantity(setting: &str, value: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value >= 0.0 {
         Ok(())
     } else {
-        Err(SettingsError::NotAQuantity {
+        Err(SettingsError::InvalidQuantity {
             setting: setting.to_owned(),
             value,
         })
     }
 }
 
-fn check_class(place: usize, class: &ClassSettings) -> Result<(), SettingsError> {
+fn check_class(index: usize, class: &ClassSettings) -> Result<(), SettingsError> {
     check_quantity(
-        &format!("classes[{place}].aim_stretch"),
+        &format!("classes[{index}].aim_stretch"),
         class.objective_stretch,
     )?;
-    check_quantity(&format!("classes[{place}].worth"), class.priority_weight)?;
-    check_quantity(&format!("classes[{place}].late_worth"), class.late_weight)?;
-    check_quantity(&format!("classes[{place}].threads"), class.threads)?;
+    check_quantity(&format!("classes[{index}].worth"), class.priority_weight)?;
+    check_quantity(&format!("classes[{index}].late_worth"), class.late_weight)?;
+    check_quantity(&format!("classes[{index}].threads"), class.threads)?;
     if class.deadline == Micros(0) {
         return Err(SettingsError::Zero {
-            setting: format!("classes[{place}].deadline"),
+            setting: format!("classes[{index}].deadline"),
         });
     }
     Ok(())
 }
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
     ///
-    /// The first setting that does not, by its path.
+    /// Returns an error for the first invalid setting, with its path.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::Empty {
@@ -84,19 +84,19 @@
                 setting: "gateways".to_owned(),
             });
         }
-        for (place, class) in self.classes.iter().enumerate() {
-            check_class(place, class)?;
+        for (index, class) in self.classes.iter().enumerate() {
+            check_class(index, class)?;
         }
-        for (place, kind) in self.kinds.iter().enumerate() {
-            check_quantity(&format!("kinds[{place}].cores"), kind.cores.unwrap_or(0.0))?;
+        for (index, kind) in self.kinds.iter().enumerate() {
+            check_quantity(&format!("kinds[{index}].cores"), kind.cores.unwrap_or(0.0))?;
             check_quantity(
-                &format!("kinds[{place}].memory_mb"),
+                &format!("kinds[{index}].memory_mb"),
                 kind.memory_mb.unwrap_or(0.0),
             )?;
         }
-        for (place, tenant) in self.tenants.iter().enumerate() {
+        for (index, tenant) in self.tenants.iter().enumerate() {
             let quota_per_s = tenant.quota_per_s.unwrap_or(0.0);
-            check_quantity(&format!("tenants[{place}].quota_per_s"), quota_per_s)?;
+            check_quantity(&format!("tenants[{index}].quota_per_s"), quota_per_s)?;
         }
         self.check_limits()
     }
--- a/crates/decisions/src/settings/class.rs
+++ b/crates/decisions/src/settings/class.rs
@@ -1,27 +1,30 @@
-//! Classes of requests: latency objective, worth, repeats, order and placement.
+//! Settings of a request class: latency objective, priority weight, retry safety, ordering and the
+//! engines it may use.
 
 use crate::Micros;
 
-/// Whether a request of a class may be run again.
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Idempotent: it may run any number of times.
+    /// Idempotent: the request may run any number of times.
     Safe,
-    /// Idempotent by key: the engines of a group drop repeats for a while.
+    /// Idempotent by key: for a limited time, the engines of one group detect and drop a repeated
+    /// request.
     Keyed {
-        /// The engines that drop repeats.
+        /// The engines that drop repeats of the request.
         group: RepeatGroup,
-        /// For how long from the send of the first attempt that may have run.
+        /// How long engines drop repeats, counted from the send of the first attempt that may have
+        /// run.
         window: Micros,
     },
-    /// Not idempotent: it may be sent again, or rejected, only if it has certainly not run.
+    /// Not idempotent: the request may be retried or rejected only if it has certainly not run.
     Unsafe,
 }
 
 impl Repeat {
-    /// Whether a rejection is harmless though an attempt may have run: every engine serves or drops
-    /// a repeat.
-    pub fn may_be_refused(self) -> bool {
+    /// Whether a client may safely be told to try again although an attempt may have run. True if
+    /// every engine can serve or drop a repeat.
+    pub fn may_be_rejected(self) -> bool {
         matches!(
             self,
             Repeat::Safe
@@ -33,51 +36,54 @@
     }
 }
 
-/// Which engines drop the repeats of a keyed request.
+/// Which engines drop repeats of a request that is idempotent by key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatGroup {
     /// Every engine.
     All,
-    /// Those in the zone of the first attempt that may have run.
+    /// Engines in the zone of the first attempt that may have run.
     Zone,
-    /// Those in its cell.
+    /// Engines in the cell of the first attempt that may have run.
     Cell,
 }
 
-/// A class of requests.
+/// Settings of one request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name, for logs only.
+    /// Name of the class; used in logs only.
     pub name: String,
-    /// Latency objective: an answer within this and `objective_stretch` is in time.
+    /// Latency objective: an answer within this time, extended by `objective_stretch`, is in time.
     pub latency_objective: Micros,
-    /// The objective grows by this times the true work over the threads.
+    /// Extends the latency objective for heavy queries: the objective grows by this factor times
+    /// the query's actual work divided by its number of threads.
     pub objective_stretch: f64,
-    /// How long a client waits in all.
+    /// How long a client waits for an answer before it leaves.
     pub deadline: Micros,
-    /// Worth of an answer in time, against other classes.
+    /// Value of an answer in time, relative to other classes. Under overload, requests with little
+    /// work per unit of weight are admitted first.
     pub priority_weight: f64,
-    /// Share of the worth that a late answer has.
+    /// Value of a late answer, as a fraction of the value of an answer in time.
     pub late_weight: f64,
-    /// Whether it may be repeated.
+    /// Whether a request may run more than once.
     pub repeat: Repeat,
-    /// Whether requests with one key run in the order of arrival.
+    /// Whether requests with the same ordering key run one at a time, in order of arrival.
     pub in_order: bool,
-    /// Machine kinds open to the class; `None` for all.
+    /// Kinds of machine that the class may run on; `None` for all.
     pub kinds: Option<Vec<String>>,
-    /// Zones open to the class; `None` for all.
+    /// Zones that the class may run in; `None` for all.
     pub zones: Option<Vec<String>>,
-    /// Threads that one query runs on.
+    /// Number of threads that one query runs on.
     pub threads: f64,
-    /// Whether it holds its table group on its engine while it runs.
+    /// Whether a query locks its table group on the engine while it runs.
     pub holds_tables: bool,
-    /// Whether it waits on an engine while such a holder of its table group runs there.
+    /// Whether a query waits on an engine while another query there holds a lock on its table
+    /// group.
     pub waits_for_holder: bool,
 }
 
 impl ClassSettings {
-    /// An idempotent class on one thread with no bound of place or order; latency objective and
-    /// deadline as given.
+    /// An idempotent class with one thread per query, the given latency objective and deadline, and
+    /// no restriction on engines or order.
     pub fn plain(name: &str, latency_objective: Micros, deadline: Micros) -> ClassSettings {
         ClassSettings {
             name: name.to_owned(),
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! Settings of a gateway: classes, kinds of machine, tenants, and the rules that its decisions
-//! respect.
+//! Settings of a gateway: request classes, kinds of machine, tenants, and the limits that every
+//! decision respects.
 
 mod check;
 mod class;
@@ -9,12 +9,12 @@
 
 use crate::Micros;
 
-/// A kind of machine.
+/// A kind of machine that engines run on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// Its name, as in [`EngineEntry::kind`](crate::EngineEntry::kind).
+    /// Name of the kind, as in [`EngineEntry::kind`](crate::EngineEntry::kind).
     pub name: String,
-    /// Cores, if known.
+    /// Number of cores, if known.
     pub cores: Option<f64>,
     /// Memory in megabytes, if known.
     pub memory_mb: Option<f64>,
@@ -23,156 +23,169 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Its name, as in [`Request::tenant`](crate::Request::tenant).
+    /// Name of the tenant, as in [`Request::tenant`](crate::Request::tenant).
     pub name: String,
-    /// Requests a second within its quota, over all gateways; `None` for no bound.
+    /// Request rate per second that the tenant may send through all gateways together; `None` for
+    /// no limit.
     pub quota_per_s: Option<f64>,
 }
 
 /// How load reports reach the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// In answers and probe results.
+    /// With answers and with probe results.
     InAnswers,
-    /// In probe results only.
+    /// With probe results only.
     InProbes,
-    /// Never.
+    /// No load reports are sent.
     Absent,
 }
 
-/// What an engine does with a query when its memory is all granted.
+/// What an engine does with a new query when all of its memory is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenShort {
-    /// It is queued for memory at the engine.
+    /// The query waits in the engine's memory queue.
     Waits,
-    /// It gets what is left, and spills to disk.
+    /// The query gets the memory that is left, and spills to disk.
     GetsLess,
-    /// It is admitted, and all queries slow down once the memory in use passes what there is.
+    /// The engine admits the query and overcommits its memory; all of its queries slow down once
+    /// the memory in use exceeds the physical memory.
     LetIn,
 }
 
-/// How the list of engines reaches the gateway.
+/// How the engine list reaches the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes are delivered without being asked for.
+    /// The discovery service pushes changes without a request.
     Pushed,
-    /// Changes are delivered after [`Action::Subscribe`](crate::Action::Subscribe) or
-    /// [`Action::FetchList`](crate::Action::FetchList) only.
+    /// Changes arrive only after [`Action::Subscribe`](crate::Action::Subscribe) or
+    /// [`Action::FetchList`](crate::Action::FetchList).
     Subscribed {
-        /// A gateway that has not asked for this long is held to know the list.
+        /// A gateway that has not requested the list for this long is assumed to have the current
+        /// list.
         ask_within: Micros,
     },
 }
 
-/// A bound on retries over a sliding span.
+/// A retry budget: a limit on retries within a sliding time window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that are always allowed.
+    /// Retries that are allowed in any window, whatever the number of requests.
     pub free: f64,
-    /// Retries that each request adds.
+    /// Additional retries allowed for each request in the window.
     pub per_request: f64,
-    /// Length of the span.
+    /// Length of the sliding window.
     pub span: Micros,
 }
 
-/// Slow start: what a freshly started engine bears from all gateways together.
+/// Slow start: limits the work that all gateways together send to a freshly started engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that it has at its start, at least.
+    /// Lower bound on the engine's capacity right after its start, as a fraction of its full
+    /// capacity.
     pub start_share: f64,
-    /// Time after which it has its whole capacity, at the latest.
+    /// Time after its start within which an engine reaches its full capacity.
     pub warm_within: Micros,
-    /// Work of more than this many times its present capacity, over `fall_span`, brings it down.
+    /// The engine fails if the work sent to it within `fall_span` exceeds this multiple of its
+    /// current capacity.
     pub fall_multiple: f64,
-    /// Time over which work is compared with its capacity.
+    /// Length of the time window in which the work sent to an engine that is warming up is compared
+    /// with its capacity.
     pub fall_span: Micros,
 }
 
-/// Cores of a kind of machine that states none.
-const UNSTATED_CORES: f64 = 8.0;
+/// Number of cores assumed for a kind of machine whose settings give none.
+const DEFAULT_CORES: f64 = 8.0;
 
-/// Memory of a kind of machine that states none, in megabytes.
-const UNSTATED_MEMORY_MB: f64 = 16_384.0;
+/// Memory assumed for a kind of machine whose settings give none, in megabytes.
+const DEFAULT_MEMORY_MB: f64 = 16_384.0;
 
-/// What a kind of machine has.
+/// Cores and memory of a kind of machine, with defaults for missing settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
-    /// Place of the kind in [`Settings::kinds`], behind the last if it is not there.
+    /// Index of the kind in [`Settings::kinds`], or the length of that list if the kind is not in
+    /// it.
     pub kind: usize,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
     /// Memory in megabytes.
     pub memory_mb: f64,
 }
 
-/// One gateway's part of what engines that warm up bear.
+/// One gateway's share of the work that may be sent to engines that are warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartShare {
-    /// Gateways that share the engines.
+    /// Number of gateways that share the engines.
     pub gateways: f64,
-    /// Which of them this one is, from 0.
+    /// Index of this gateway among those gateways, from 0.
     pub number: u64,
 }
 
-/// Settings of a gateway. What is absent binds nothing.
+/// Settings of a gateway. An optional setting that is absent imposes no limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Gateways that share the engines, this one included; at least 1.
+    /// Number of gateways that share the engines, including this one; at least 1.
     pub gateways: u32,
-    /// Its part of what engines that warm up bear, where that is set while it runs.
+    /// This gateway's share of the work for engines that are warming up, if it was assigned at run
+    /// time; `None` derives it from `gateways` and `own_number`.
     pub slow_start_share: Option<SlowStartShare>,
-    /// Number of this gateway among them, from 0.
+    /// Index of this gateway among all gateways, from 0.
     pub own_number: u32,
-    /// Zone of this gateway.
+    /// Zone that this gateway runs in; engines in the same zone are preferred. `None` disables the
+    /// preference.
     pub zone: Option<String>,
-    /// Classes of requests; at least one.
+    /// Request classes; at least one.
     pub classes: Vec<ClassSettings>,
     /// Kinds of machine; may be empty.
     pub kinds: Vec<KindSettings>,
     /// Tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Share of the priority weight that a request over its tenant's quota keeps.
+    /// Factor on the priority weight of a request whose tenant is over its quota; 1 applies no
+    /// penalty.
     pub over_quota_weight: f64,
     /// How load reports reach the gateway.
     pub reports: Reports,
     /// How the engine list reaches the gateway.
     pub discovery: Discovery,
-    /// Attempts of one request at most; `None` for no bound.
+    /// Maximum number of attempts per request; `None` for no limit.
     pub max_attempts: Option<u32>,
-    /// Whether a request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at the same time (a hedged request).
     pub hedging: bool,
-    /// Whether [`Action::Cancel`](crate::Action::Cancel) is allowed.
+    /// Whether the gateway may emit [`Action::Cancel`](crate::Action::Cancel).
     pub cancel: bool,
-    /// Whether [`Action::SendToPeer`](crate::Action::SendToPeer) is allowed.
+    /// Whether the gateway may emit [`Action::SendToPeer`](crate::Action::SendToPeer).
     pub peers: bool,
-    /// Longest `retry_after` in an [`Action::Reject`](crate::Action::Reject); `None` where none is
-    /// given.
+    /// Maximum `retry_after` in an [`Action::Reject`](crate::Action::Reject); with `None`,
+    /// rejections carry no `retry_after`.
     pub retry_after: Option<Micros>,
-    /// Bound on retries, where one is stated.
+    /// Limit on retries; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
-    /// Slow start of engines, where a rule is stated.
+    /// Limits for engines that are warming up; `None` disables slow start.
     pub slow_start: Option<SlowStart>,
-    /// Time in which sends to an engine that drains or is removed must end.
+    /// Time within which the gateway must stop sending to an engine that is draining or was
+    /// removed.
     pub drain_grace: Micros,
-    /// Time that a key rests after an attempt that may still run.
+    /// How long requests with the same ordering key are held back after an attempt that may still
+    /// be running on its engine.
     pub key_rest: Micros,
-    /// Whether engines respect the memory in [`Action::SetTerms`](crate::Action::SetTerms).
+    /// Whether engines apply the memory grant in [`Action::SetTerms`](crate::Action::SetTerms).
     pub grants: bool,
-    /// Whether engines respect the priority in [`Action::SetTerms`](crate::Action::SetTerms).
+    /// Whether engines apply the priority in [`Action::SetTerms`](crate::Action::SetTerms).
     pub priorities: bool,
-    /// What happens to a query when an engine's memory is all granted.
+    /// What an engine does with a new query when all of its memory is granted.
     pub when_short: WhenShort,
-    /// Share of an engine's memory that one query gets at most.
+    /// Maximum fraction of an engine's memory that one query can be granted.
     pub largest_grant: f64,
-    /// Time between reports of progress; `None` where there are none.
+    /// Interval at which engines report the progress of an attempt; `None` if they report no
+    /// progress.
     pub progress_interval: Option<Micros>,
-    /// Whether answers report the true work and memory.
+    /// Whether answers report the actual work and memory of the query.
     pub reports_cost: bool,
 }
 
 impl Settings {
-    /// Settings with the given classes and nothing else stated: one gateway, pushed lists, no
-    /// allowance.
+    /// Settings with the given classes and defaults for everything else: one gateway, a pushed
+    /// engine list, and every optional feature disabled.
     pub fn plain(classes: Vec<ClassSettings>) -> Settings {
         Settings {
             gateways: 1,
@@ -203,25 +216,25 @@
         }
     }
 
-    /// What a kind of machine has; where no cores or memory are stated, a small machine's.
+    /// Cores and memory of a kind of machine; missing settings are replaced by those of a small
+    /// machine.
     pub fn machine(&self, kind: &str) -> Machine {
-        let place = self.kinds.iter().position(|stated| stated.name == kind);
-        let stated = place.map(|place| &self.kinds[place]);
-        let cores = stated
+        let index = self.kinds.iter().position(|known| known.name == kind);
+        let known = index.map(|index| &self.kinds[index]);
+        let cores = known
             .and_then(|kind| kind.cores)
             .filter(|cores| *cores > 0.0);
-        let memory_mb = stated
-            .and_then(|kind| kind.memory_mb)
-            .filter(|mb| *mb > 0.0);
+        let memory_mb = known.and_then(|kind| kind.memory_mb).filter(|mb| *mb > 0.0);
         Machine {
-            kind: place.unwrap_or(self.kinds.len()),
-            cores: cores.unwrap_or(UNSTATED_CORES),
-            memory_mb: memory_mb.unwrap_or(UNSTATED_MEMORY_MB),
+            kind: index.unwrap_or(self.kinds.len()),
+            cores: cores.unwrap_or(DEFAULT_CORES),
+            memory_mb: memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
         }
     }
 }
 
-/// [`Settings::plain`] without classes; not enough to start a gateway.
+/// Same as [`Settings::plain`] without any class. [`Settings::check`] rejects these settings until
+/// a class is added.
 impl Default for Settings {
     fn default() -> Settings {
         Settings::plain(Vec::new())
