--- a/crates/decisions/src/decide/arrival.rs
+++ b/crates/decisions/src/decide/arrival.rs
@@ -1,10 +1,12 @@
-//! A request arrives: it is estimated, counted and entered, then dispatched.
+//! Arrival of a request: its cost is estimated and recorded, it joins the queue of its ordering
+//! key, and it is dispatched.
 
 use super::Gateway;
 use crate::state::request::TrackedRequest;
 use crate::{Action, Request};
 
-/// Requests of one key that may be in the queue: more could not all run while their clients wait.
+/// Maximum number of queued requests with the same ordering key. Such requests run one at a time,
+/// so the last ones in a longer queue would miss their deadlines.
 const MAX_REQUESTS_PER_KEY: usize = 256;
 
 impl Gateway {
--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -1,54 +1,57 @@
-//! The life of an attempt: send, progress, end.
+//! Lifecycle of an attempt: the send to an engine, progress reports, and the outcome.
 
-use super::outlier_ejection::{FIRST_EJECTION, LONGEST_EJECTION};
+use super::outlier_ejection::{BASE_EJECTION_TIME, MAX_EJECTION_TIME};
 use super::{Gateway, WINDOW};
 use crate::state::request::{TrackedAttempt, TrackedRequest};
 use crate::{Action, Attempt, AttemptEnd, Micros, Outcome, Progress};
 
-/// Share of an engine's memory that is granted by threads; the rest is for light queries.
+/// Fraction of an engine's memory that is granted in proportion to threads; the rest is left for
+/// light queries, which need little memory.
 const GRANTED_MEMORY_SHARE: f64 = 0.85;
 
-/// Times its class's mean work above which a query yields to others under pressure.
-const GIANT_QUERY: f64 = 3.0;
+/// A query with more than this multiple of its class's mean work gets the lowest priority on an
+/// engine under pressure.
+const OUTSIZED_QUERY_FACTOR: f64 = 3.0;
 
-/// Time for which a table group counts as held after an attempt was reported to wait for its
-/// holder.
-const HELD_GROUP_MEMORY: Micros = Micros::from_millis(1500);
+/// How long a table group counts as locked on an engine after an attempt there reported that it
+/// waits for another query's lock.
+const OBSERVED_LOCK_TTL: Micros = Micros::from_millis(1500);
 
-/// Priority where engines know none.
-const NO_PRIORITY: u8 = 1;
+/// Priority value that is sent to engines without support for priorities.
+const NEUTRAL_PRIORITY: u8 = 1;
 
 /// Priority of light queries.
 const LIGHT_PRIORITY: u8 = 3;
 
-/// Priority of a heavy query that can be in time; one more if it holds its tables.
+/// Priority of a heavy query that can meet its latency objective; raised by one if its class locks
+/// table groups, since other queries wait for the lock.
 const IN_TIME_PRIORITY: u8 = 1;
 
-/// Priority of a heavy query that is late, or far heavier than its class on an engine under
-/// pressure.
+/// Priority of a heavy query that can't meet its latency objective, or whose work is far above its
+/// class's mean while the engine is under pressure.
 const LOW_PRIORITY: u8 = 0;
 
-/// An attempt at the moment that its progress is reported.
+/// Copy of an attempt's state when a progress report for it arrives.
 pub(super) struct AttemptSnapshot {
     pub(super) number: Attempt,
     pub(super) engine: usize,
     pub(super) age_ms: f64,
     pub(super) expected_ms: f64,
-    /// Whether it ever spilled or waited.
+    /// Whether the attempt has spilled to disk or waited at any time.
     pub(super) stalled: bool,
 }
 
 impl Gateway {
-    /// Sends a request to an engine.
+    /// Sends a request to an engine as a new attempt, and records the send.
     pub(super) fn send(&mut self, sequence: u64, index: usize, actions: &mut Vec<Action>) {
         let now = self.clock.now;
-        if self.zone_is_lost(index) {
+        if self.zone_has_failed(index) {
             let zone = self.health.zones.zone_mut(&self.engines[index].entry.zone);
-            zone.trial_sent(now, FIRST_EJECTION, LONGEST_EJECTION);
+            zone.trial_sent(now, BASE_EJECTION_TIME, MAX_EJECTION_TIME);
         }
         let request = &self.requests[sequence];
         let threads = self.threads(request);
-        let memory_mb = self.memory_for(request, index);
+        let memory_mb = self.memory_to_reserve_mb(request, index);
         let expected_ms =
             request.work_ms / threads.max(1.0) * self.engines[index].stretch.blended.max(1.0);
         let is_retry = !request.attempts.is_empty();
@@ -94,7 +97,8 @@
         });
     }
 
-    /// Counts a send on its engine.
+    /// Adds an attempt to the load of its engine, to the engine's slow-start history, and to the
+    /// table locks held there.
     fn count_send(&mut self, sequence: u64, index: usize, memory_mb: f64) {
         let now = self.clock.now;
         let request = &self.requests[sequence];
@@ -115,38 +119,44 @@
         }
     }
 
-    /// Memory that is set aside for a request on an engine: its need, or its part by threads where
-    /// grants count.
-    fn memory_for(&self, request: &TrackedRequest, index: usize) -> f64 {
+    /// Memory to reserve for a request on an engine, in megabytes: the expected need, or a share of
+    /// the engine's memory in proportion to threads if engines apply memory grants and that share
+    /// is larger.
+    fn memory_to_reserve_mb(&self, request: &TrackedRequest, index: usize) -> f64 {
         let engine = &self.engines[index];
         let threads = self.threads(request);
-        let part_by_threads = if self.settings.grants {
+        let share_by_threads = if self.settings.grants {
             GRANTED_MEMORY_SHARE * threads * engine.memory_mb / engine.thread_bound.max(threads)
         } else {
             0.0
         };
         let largest = engine.memory_mb * self.settings.largest_grant;
-        request.memory_mb.max(part_by_threads).min(largest).max(0.0)
+        request
+            .memory_mb
+            .max(share_by_threads)
+            .min(largest)
+            .max(0.0)
     }
 
     fn priority(&self, request: &TrackedRequest, index: usize) -> u8 {
         if !self.settings.priorities {
-            return NO_PRIORITY;
+            return NEUTRAL_PRIORITY;
         }
         if self.is_light(request) {
             return LIGHT_PRIORITY;
         }
         let class_work_ms = self.costs.class(request.request.class.0).work_ms;
-        let is_giant = request.work_ms > GIANT_QUERY * class_work_ms
-            && self.is_pressed(index, self.load(index));
-        if self.can_be_in_time(request) && !is_giant {
+        let is_outsized = request.work_ms > OUTSIZED_QUERY_FACTOR * class_work_ms
+            && self.is_under_pressure(index, self.load(index));
+        if self.can_be_in_time(request) && !is_outsized {
             IN_TIME_PRIORITY + u8::from(self.class(request).holds_tables)
         } else {
             LOW_PRIORITY
         }
     }
 
-    /// Takes in the end of an attempt, and sends its request again, answers it or forgets it.
+    /// Handles the outcome of an attempt: updates the engine's load and health, then completes,
+    /// retries or rejects the request.
     pub(super) fn attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(sequence) = self.requests.sequence_of(&end.request) else {
             return;
@@ -162,18 +172,18 @@
         let stalled = attempt.stalled;
         let sent = attempt.sent;
         let silence_counted = attempt.silence_counted;
-        let was_called_off = attempt.cancelled || end.outcome == Outcome::NotSent;
-        self.rest_key_after(sequence, end.outcome);
+        let was_cancelled_or_unsent = attempt.cancelled || end.outcome == Outcome::NotSent;
+        self.block_key_after(sequence, end.outcome);
         self.release_engine(sequence, index, memory_mb);
         if end.outcome == Outcome::Served {
             let newest = &mut self.health.newest_served_attempt;
             *newest = sent.max(*newest);
             self.learn_from_answer(sequence, index, end, stalled);
         }
-        if end.outcome == Outcome::Served || !was_called_off {
-            self.judge_outcome(index, end.outcome, silence_counted, work_ms, actions);
+        if end.outcome == Outcome::Served || !was_cancelled_or_unsent {
+            self.record_outcome(index, end.outcome, silence_counted, work_ms, actions);
         }
-        self.count_errors(sequence, end.outcome, actions);
+        self.attribute_errors(sequence, end.outcome, actions);
         let request = &self.requests[sequence];
         if end.request_answered || request.answered {
             self.finish(sequence, actions);
@@ -182,7 +192,7 @@
         }
     }
 
-    /// Takes an ended attempt off the counts of its engine.
+    /// Removes an ended attempt from its engine's load and releases its table lock.
     fn release_engine(&mut self, sequence: u64, index: usize, memory_mb: f64) {
         let request = &self.requests[sequence];
         if self.class(request).holds_tables {
@@ -193,7 +203,8 @@
         self.engines[index].attempt_ended(threads, memory_mb);
     }
 
-    /// Takes in the progress of an attempt.
+    /// Handles a progress report: updates the health of the zone and, if the attempt waits or is
+    /// slow, may cancel it so that the request is sent to another engine.
     pub(super) fn attempt_progressed(
         &mut self,
         sequence: u64,
@@ -211,8 +222,8 @@
             .zone_mut(&self.engines[engine].entry.zone)
             .engine_alive();
         if progress == Progress::WaitsForMemory {
-            self.queue_met(engine, self.requests[sequence].work_ms);
-            if self.is_hopeless_in_queue(sequence) {
+            self.record_engine_queue(engine, self.requests[sequence].work_ms);
+            if self.is_too_late_in_engine_queue(sequence) {
                 self.reject_or_fail(sequence, actions);
                 return;
             }
@@ -221,12 +232,12 @@
         match progress {
             Progress::Spilling(_) | Progress::WaitsForMemory => {
                 if !was_troubled {
-                    self.memory_trouble(sequence, engine);
+                    self.record_memory_shortage(sequence, engine);
                 }
             }
             Progress::WaitsForHolder => {
                 let group = self.requests[sequence].request.table_group;
-                let until = self.clock.now.plus(HELD_GROUP_MEMORY);
+                let until = self.clock.now.plus(OBSERVED_LOCK_TTL);
                 self.engines.observe_held_group(engine, group, until);
             }
             Progress::ShareDone(share) => {
--- a/crates/decisions/src/decide/dispatch.rs
+++ b/crates/decisions/src/decide/dispatch.rs
@@ -1,18 +1,21 @@
-//! Dispatch: sends a request to an engine, lets it wait here, or rejects it.
+//! Dispatch of a request: it is sent to an engine, queued in the gateway, or rejected.
 
-use super::load::{BUSY_CAPACITY, LEAST_TRUST};
+use super::load::{BUSY_CAPACITY, MIN_REPORT_TRUST};
 use super::Gateway;
 use crate::state::request::TrackedRequest;
 use crate::Action;
 use std::cmp::Ordering;
 
-/// Waiting requests tried in one pass; bounds its work.
-const MAX_DISPATCHED_AT_ONCE: usize = 8;
+/// Maximum number of waiting requests that are dispatched in one pass; bounds the time that one
+/// event takes.
+const MAX_DISPATCHES_PER_PASS: usize = 8;
 
-/// Times the thread bound up to which light work still goes where engines know no priorities.
-const LIGHT_WORK_BOUND: f64 = 1.3;
+/// Without engine priorities, light queries are accepted until the load reaches this multiple of an
+/// engine's thread limit.
+const LIGHT_WORK_OVERCOMMIT: f64 = 1.3;
 
-/// The order in which waiting requests are tried.
+/// Sort key of a waiting request: requests that can be in time precede late ones, requests within
+/// their tenant's quota precede those over it, then the lowest cost comes first.
 struct WaitingRank {
     is_late: bool,
     over_quota: bool,
@@ -30,11 +33,12 @@
 }
 
 impl Gateway {
-    /// Sends the request, lets it wait, or ends it.
+    /// Sends the request to an engine, adds it to the waiting requests, or ends it by rejection or
+    /// failure.
     pub(super) fn dispatch(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         let ranked = self.ranked_engines(&self.requests[sequence]);
-        if let (None, Some(&home)) = (self.requests[sequence].flagged, ranked.first()) {
-            self.decide_flag(sequence, home);
+        if let (None, Some(&preferred)) = (self.requests[sequence].flagged, ranked.first()) {
+            self.decide_flag(sequence, preferred);
         }
         let candidates = self.candidates(sequence, ranked);
         let request = &self.requests[sequence];
@@ -49,8 +53,9 @@
         }
     }
 
-    /// The engines that are usable now. Behind the holder of its tables a load would only keep
-    /// memory: it waits here, for the first engine to be free.
+    /// Filters the ranked engines down to those that may be used now. A query that locks its table
+    /// group skips engines where the group is already locked: waiting there would occupy the
+    /// engine's memory, so the request waits in the gateway until some engine is free.
     fn candidates(&self, sequence: u64, ranked: Vec<usize>) -> Vec<usize> {
         let request = &self.requests[sequence];
         let group = request.request.table_group;
@@ -62,52 +67,54 @@
         candidates
     }
 
-    /// The first candidate with room; light work, and work for which cores are free, goes to the
-    /// least loaded where none has room.
+    /// Chooses the first candidate with room. If no candidate has room, a light query may go to the
+    /// least loaded candidate, and other queries may go to the least loaded candidate with free
+    /// cores.
     fn choose_engine(&self, request: &TrackedRequest, candidates: Vec<usize>) -> Option<usize> {
         let flagged = request.flagged == Some(true);
-        let passes = self.passes_as_light(request);
-        let costly = !passes && self.is_too_costly(request);
+        let may_exceed_bound = self.may_exceed_thread_bound(request);
+        let costly = !may_exceed_bound && self.is_too_costly(request);
         let first_with_room = candidates
             .iter()
             .copied()
             .find(|engine| self.has_room(request, *engine));
-        // Under overload, costly work goes only to engines that show no pressure.
+        // Requests over the admitted cost are sent only to engines that show no pressure.
         let choice = first_with_room
-            .filter(|engine| !costly || !self.is_pressed(*engine, self.load(*engine)));
+            .filter(|engine| !costly || !self.is_under_pressure(*engine, self.load(*engine)));
         if choice.is_some() || costly || flagged {
             return choice;
         }
-        self.least_loaded(passes, candidates)
+        self.least_loaded(may_exceed_bound, candidates)
     }
 
-    /// Whether a request is so light that it may pass the thread bound.
-    fn passes_as_light(&self, request: &TrackedRequest) -> bool {
+    /// Whether a query is light enough to be sent to an engine that has reached its thread limit.
+    fn may_exceed_thread_bound(&self, request: &TrackedRequest) -> bool {
         let class_work_ms = self.costs.class(request.request.class.0).work_ms;
         let is_light_class = 2.0 * class_work_ms <= self.costs.mean_work_ms;
         self.is_small(request) || (is_light_class && self.is_light(request))
     }
 
-    /// Whether an engine has threads for a request and, if it is flagged, memory.
+    /// Whether an engine can take a request within its thread limit and, if the query is flagged as
+    /// likely to run short of memory, within its free memory.
     fn has_room(&self, request: &TrackedRequest, engine: usize) -> bool {
         let flagged = request.flagged == Some(true);
-        !self.past_thread_bound(engine, self.threads(request))
+        !self.would_exceed_thread_bound(engine, self.threads(request))
             && (!flagged || self.free_memory_mb(engine) >= request.memory_mb)
     }
 
-    /// The least loaded candidate, of those with free cores unless the request is light. Light work
-    /// passes the bound where priorities speed it up; elsewhere it would slow the others down like
-    /// any work.
+    /// Chooses the candidate with the lowest load per core; queries that aren't light need a
+    /// candidate with free cores. Without engine priorities, a light query slows other queries down
+    /// like any other query, so candidates far over their thread limit are skipped.
     fn least_loaded(&self, is_light: bool, candidates: Vec<usize>) -> Option<usize> {
-        let bears = |engine: usize| {
+        let accepts = |engine: usize| {
             self.settings.priorities
-                || self.load(engine) < LIGHT_WORK_BOUND * self.engines[engine].thread_bound
+                || self.load(engine) < LIGHT_WORK_OVERCOMMIT * self.engines[engine].thread_bound
         };
         let relative_load = |engine: &usize| self.load(*engine) / self.engines[*engine].cores;
         candidates
             .into_iter()
             .filter(|engine| is_light || self.has_free_cores(*engine))
-            .filter(|engine| bears(*engine))
+            .filter(|engine| accepts(*engine))
             .min_by(|a, b| relative_load(a).total_cmp(&relative_load(b)))
     }
 
@@ -115,7 +122,7 @@
         let engine = &self.engines[index];
         let load = self.load(index);
         match engine
-            .report_trusted(LEAST_TRUST)
+            .report_trusted(MIN_REPORT_TRUST)
             .and_then(|report| report.busy)
         {
             Some(busy) => busy < BUSY_CAPACITY && load < engine.thread_bound,
@@ -123,7 +130,8 @@
         }
     }
 
-    /// Tries waiting requests again: in time before late, inside before over quota, cheapest first.
+    /// Dispatches waiting requests again, in the order of their sort key. Does nothing if waiting
+    /// requests were already dispatched at the current time.
     pub(super) fn dispatch_waiting(&mut self, actions: &mut Vec<Action>) {
         if self.requests.waiting.is_empty() || self.requests.last_dispatch == self.clock.now {
             return;
@@ -132,7 +140,7 @@
         for ranked in self
             .ranked_waiting()
             .into_iter()
-            .take(MAX_DISPATCHED_AT_ONCE)
+            .take(MAX_DISPATCHES_PER_PASS)
         {
             self.requests.waiting.remove(&ranked.sequence);
             self.dispatch(ranked.sequence, actions);
--- a/crates/decisions/src/decide/engine_list.rs
+++ b/crates/decisions/src/decide/engine_list.rs
@@ -1,6 +1,6 @@
-//! Takes in the list of engines and their load reports.
+//! Handles updates of the engine list and load reports from engines.
 
-use super::load::{CAREFUL_THREADS_PER_CORE, INITIAL_THREADS_PER_CORE};
+use super::load::{CONSERVATIVE_THREADS_PER_CORE, INITIAL_THREADS_PER_CORE};
 use super::Gateway;
 use crate::state::clock::Backoff;
 use crate::{Action, EngineEntry, EngineId, ListKind, LoadReport, WhenShort};
@@ -42,10 +42,11 @@
         self.engines.store_entry(index, entry);
     }
 
-    /// First bound of threads a core; low where engines admit more than their memory holds.
+    /// Initial limit on threads per core. It is lower if engines overcommit their memory, because
+    /// too many concurrent queries then slow all of them down.
     fn initial_threads_per_core(&self) -> f64 {
         if self.settings.when_short == WhenShort::LetIn {
-            CAREFUL_THREADS_PER_CORE
+            CONSERVATIVE_THREADS_PER_CORE
         } else {
             INITIAL_THREADS_PER_CORE
         }
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -1,29 +1,32 @@
-//! What a query will need, by estimate and by what answers have taught, and what each answer
-//! teaches.
+//! Estimates of the work and memory that a query needs. Estimates come from the client's hints and
+//! from the actual costs of earlier queries in the same class.
 
-use super::load::{BUSY_CAPACITY, LEAST_TRUST, STRETCH_HIGH, STRETCH_LOW};
+use super::load::{BUSY_CAPACITY, MIN_REPORT_TRUST, STRETCH_HIGH, STRETCH_LOW};
 use super::Gateway;
 use crate::state::costs::CostSample;
 use crate::state::request::TrackedRequest;
 use crate::{AttemptEnd, Micros};
 
-/// Deviations of the logarithmic estimate error that a memory need covers; about four needs in
-/// five.
-const MEMORY_DEVIATIONS: f64 = 0.9;
+/// Safety margin on the memory estimate, in standard deviations of the logarithmic estimate error;
+/// it covers the need of about four in five queries.
+const MEMORY_MARGIN_DEVIATIONS: f64 = 0.9;
 
-/// Margin on the usual memory of a class where a request has no estimate.
-const USUAL_MEMORY_MARGIN: f64 = 1.5;
+/// Factor on the mean memory of a class to estimate a query that came without a memory hint.
+const MEAN_MEMORY_MARGIN: f64 = 1.5;
 
-/// Share of the memory that a small query needs at most; sixty such queries fit side by side.
+/// A query counts as small if it needs at most this fraction of the smallest engine's memory; sixty
+/// such queries fit on an engine at the same time.
 const SMALL_MEMORY_SHARE: f64 = 1.0 / 64.0;
 
-/// Times its expected memory over which a query counts as memory trouble.
+/// A query that used more than this multiple of its expected memory counts as having run short of
+/// memory.
 const MEMORY_OVERRUN: f64 = 2.0;
 
-/// Largest stretch that an answer teaches.
+/// Upper bound on a measured stretch, so that single outliers don't dominate the mean. Stretch is
+/// the latency of a query divided by its latency on an idle engine.
 const MAX_STRETCH: f64 = 20.0;
 
-/// What a query is expected to need.
+/// Expected work and memory of a query.
 pub(super) struct Estimate {
     pub(super) work_ms: f64,
     pub(super) memory_mb: f64,
@@ -49,28 +52,29 @@
         let costs = self.costs.class(request.request.class.0);
         if let Some(hint) = request.request.memory_hint_mb.filter(|mb| *mb > 0.0) {
             let expected = costs.memory_fit.expect(hint.ln());
-            return (expected.log + MEMORY_DEVIATIONS * expected.deviation).exp();
+            return (expected.log + MEMORY_MARGIN_DEVIATIONS * expected.deviation).exp();
         }
         if costs.memory_mb > 0.0 {
-            costs.memory_mb * USUAL_MEMORY_MARGIN
+            costs.memory_mb * MEAN_MEMORY_MARGIN
         } else {
-            // What is not known yet is not small: a thread's part of the memory at the bound.
+            // A class without known memory use is assumed to need a full share of an engine's
+            // memory for each of its threads, so that its queries don't pass as small.
             self.threads(request) * self.engines.smallest_memory_per_thread_mb
         }
     }
 
-    /// Whether a request needs little memory.
+    /// Whether a query needs only a small fraction of the smallest engine's memory.
     pub(super) fn is_small(&self, request: &TrackedRequest) -> bool {
         request.memory_mb <= SMALL_MEMORY_SHARE * self.engines.smallest_memory_mb
     }
 
-    /// Whether a request needs little memory, or little work.
+    /// Whether a query is small in memory, or needs no more work than the mean of all queries.
     pub(super) fn is_light(&self, request: &TrackedRequest) -> bool {
         self.is_small(request) || request.work_ms <= self.costs.mean_work_ms
     }
 
-    /// Takes in what a served attempt took. `stalled`: it spilled or waited, so that its latency
-    /// says nothing.
+    /// Updates the cost model and the load estimates from a served attempt. `stalled` means that
+    /// the attempt spilled or waited, so that its latency doesn't show how loaded the engine is.
     pub(super) fn learn_from_answer(
         &mut self,
         sequence: u64,
@@ -98,7 +102,7 @@
         let class = request.request.class.0;
         self.costs.class_mut(class).learn(&sample);
         if let Some(memory_mb) = sample.memory_mb {
-            self.learn_trouble(
+            self.learn_memory_use(
                 sequence,
                 engine,
                 memory_mb,
@@ -110,44 +114,52 @@
         }
     }
 
-    /// Teaches the trouble model the true need of memory; one far over its estimate counts as
-    /// trouble.
-    fn learn_trouble(&mut self, sequence: u64, engine: usize, memory_mb: f64, was_estimated: bool) {
+    /// Trains the model that predicts memory shortages with the actual memory use of a query. A
+    /// query that used far more than its estimate is recorded as having run short of memory.
+    fn learn_memory_use(
+        &mut self,
+        sequence: u64,
+        engine: usize,
+        memory_mb: f64,
+        was_estimated: bool,
+    ) {
         let request = &self.requests[sequence];
         let troubled = request.troubled;
         let overran = memory_mb > MEMORY_OVERRUN * request.memory_mb;
         if let Some(features) = request.features {
-            // The label compares with what was free then, as waiting removes the trouble that was
-            // predicted.
+            // The label compares the need with the memory that was free when the query was judged.
+            // If the query was flagged and therefore waited, it may not have run short of memory
+            // although the prediction was right.
             let label = f64::from(u8::from(
                 troubled || memory_mb > request.free_memory_then_mb,
             ));
             self.flagging.model.learn(&features, label);
         }
         if was_estimated && overran && !troubled {
-            self.memory_trouble(sequence, engine);
+            self.record_memory_shortage(sequence, engine);
         }
     }
 
-    /// Takes in how far an answer was stretched; heavy work shows contention most.
+    /// Records the stretch of an answer (its latency divided by the latency on an idle engine).
+    /// Queries with more work get more weight because they show contention for cores more clearly.
     fn learn_stretch(&mut self, engine: usize, stretch: f64, work_ms: f64) {
         let stretch = stretch.min(MAX_STRETCH);
         let step = (0.1 * work_ms / self.costs.mean_work_ms.max(1.0)).clamp(0.01, 0.4);
         self.stretch.learn(stretch, step);
         let busy = self.engines[engine]
-            .report_trusted(LEAST_TRUST)
+            .report_trusted(MIN_REPORT_TRUST)
             .and_then(|report| report.busy)
             .unwrap_or(0.0);
         let by_stretch =
             (stretch / self.stretch.best - STRETCH_LOW) / (STRETCH_HIGH - STRETCH_LOW) / 2.0;
         let by_cores = (busy - BUSY_CAPACITY) / (1.0 - BUSY_CAPACITY);
-        self.overload_sign(work_ms, by_stretch.max(by_cores).clamp(0.0, 1.0));
+        self.record_overload_signal(work_ms, by_stretch.max(by_cores).clamp(0.0, 1.0));
         self.engines[engine].learn_stretch(
             self.clock.now,
             stretch,
             step,
             super::load::ENGINE_HALF_LIFE_MS,
         );
-        self.move_thread_bound(engine);
+        self.adjust_thread_bound(engine);
     }
 }
--- a/crates/decisions/src/decide/flagging.rs
+++ b/crates/decisions/src/decide/flagging.rs
@@ -1,26 +1,29 @@
-//! Which queries are flagged as likely to overload an engine's memory.
+//! Flags queries that are likely to run short of memory on their engine.
 //!
-//! The three steps of SAFELoad ("SAFELoad: Efficient Admission Control Framework for Identifying
-//! Memory-Overloading Queries in Cloud Data Warehouses"): a cheap pass for what is harmless, a
-//! confidence from a model and a list of misses, and a quota that each flag is paid from.
+//! The method is SAFELoad ("SAFELoad: Efficient Admission Control Framework for Identifying
+//! Memory-Overloading Queries in Cloud Data Warehouses"). It has three steps: a prefilter for
+//! harmless queries, a confidence from a model and from a list of missed queries, and a quota from
+//! which the price of each flag is deducted.
 
 use super::Gateway;
 use crate::state::request::TrackedRequest;
 use crate::state::trouble_model::{entropy, MissList, TroubleModel, FEATURES};
 
-/// Weight of a flag's entropy in its price (gamma).
+/// Weight of the prediction's entropy in the price of a flag (gamma in SAFELoad); uncertain
+/// predictions cost more.
 const ENTROPY_WEIGHT: f64 = 1.0;
 
-/// Discount on the price of a flag for each miss since the last refill (beta).
+/// Discount on the price of a flag for each missed query since the last quota refill (beta in
+/// SAFELoad).
 const MISS_DISCOUNT: f64 = 0.5;
 
-/// Lowest price of a flag (Cmin).
-const LOWEST_PRICE: f64 = 0.1;
+/// Lower bound on the price of a flag (Cmin in SAFELoad).
+const MIN_PRICE: f64 = 0.1;
 
-/// Confidence from which a query is flagged.
+/// Minimum predicted probability of running short of memory at which a query is flagged.
 const FLAG_CONFIDENCE: f64 = 0.5;
 
-/// What flagging has learned; the quota stands with each engine.
+/// Model and miss list of the flagging method. The quota is stored with each engine.
 #[derive(Default)]
 pub(super) struct FlaggingState {
     pub(super) model: TroubleModel,
@@ -28,21 +31,22 @@
 }
 
 impl Gateway {
-    /// Decides once for a request whether it is flagged, by the engine that comes first for it.
-    pub(super) fn decide_flag(&mut self, sequence: u64, home: usize) {
+    /// Decides whether a request is flagged, with respect to its preferred engine. The decision is
+    /// made once per request.
+    pub(super) fn decide_flag(&mut self, sequence: u64, preferred: usize) {
         let request = &self.requests[sequence];
-        if self.passes_cheaply(request, home) {
+        if self.passes_prefilter(request, preferred) {
             self.requests.get_mut(sequence).flagged = Some(false);
             return;
         }
-        let features = self.trouble_features(request, home);
-        let free_memory_mb = self.free_memory_mb(home);
-        let confidence = self.trouble_confidence(request, &features);
-        let price = self.flag_price(home, confidence);
+        let features = self.memory_shortage_features(request, preferred);
+        let free_memory_mb = self.free_memory_mb(preferred);
+        let confidence = self.memory_shortage_confidence(request, &features);
+        let price = self.flag_price(preferred, confidence);
         let accepted =
-            confidence >= FLAG_CONFIDENCE && self.engines[home].flag_quota.quota >= price;
+            confidence >= FLAG_CONFIDENCE && self.engines[preferred].flag_quota.quota >= price;
         if accepted {
-            self.engines[home].flag_quota.quota -= price;
+            self.engines[preferred].flag_quota.quota -= price;
         }
         let request = self.requests.get_mut(sequence);
         request.features = Some(features);
@@ -50,15 +54,21 @@
         request.flagged = Some(accepted);
     }
 
-    /// Step 1, the cheap pass: the query is small, or its engine had no memory trouble in the last
-    /// window.
-    fn passes_cheaply(&self, request: &TrackedRequest, home: usize) -> bool {
-        let quota = &self.engines[home].flag_quota;
+    /// Step 1, the prefilter: skips the prediction if the query is small, or if no query ran short
+    /// of memory on the engine in the previous or the current window.
+    fn passes_prefilter(&self, request: &TrackedRequest, preferred: usize) -> bool {
+        let quota = &self.engines[preferred].flag_quota;
         self.is_small(request) || quota.last_trouble + quota.trouble < 1.0
     }
 
-    /// Step 2, prediction: certain for what was missed before, else by the model.
-    fn trouble_confidence(&self, request: &TrackedRequest, features: &[f64; FEATURES]) -> f64 {
+    /// Step 2, the prediction: returns the probability that the query runs short of memory. It is 1
+    /// if a similar query recently ran short of memory without a flag; otherwise the model predicts
+    /// it.
+    fn memory_shortage_confidence(
+        &self,
+        request: &TrackedRequest,
+        features: &[f64; FEATURES],
+    ) -> f64 {
         if self
             .flagging
             .misses
@@ -70,9 +80,10 @@
         }
     }
 
-    /// What the model goes by: a constant, need by memory, need by free memory, memory in use,
-    /// recent trouble.
-    fn trouble_features(&self, request: &TrackedRequest, engine: usize) -> [f64; FEATURES] {
+    /// Features of the model: a constant, the expected memory relative to the engine's memory and
+    /// to its free memory, the fraction of memory in use, and the number of queries that ran short
+    /// of memory in the previous window.
+    fn memory_shortage_features(&self, request: &TrackedRequest, engine: usize) -> [f64; FEATURES] {
         let free_mb = self.free_memory_mb(engine).max(1.0);
         let engine = &self.engines[engine];
         let size = (request.memory_mb / engine.memory_mb * 4.0).min(2.0);
@@ -82,13 +93,15 @@
         [1.0, size, fit, in_use, trouble]
     }
 
-    /// Step 3, quota: the price of a flag is max(1 + gamma H(p) - beta FNC, Cmin).
+    /// Step 3, the quota: the price of a flag is max(1 + gamma H(p) - beta FNC, Cmin), where H(p)
+    /// is the entropy of the prediction and FNC the number of missed queries (false negatives).
     fn flag_price(&self, engine: usize, confidence: f64) -> f64 {
         let misses = self.engines[engine].flag_quota.misses;
-        (1.0 + ENTROPY_WEIGHT * entropy(confidence) - MISS_DISCOUNT * misses).max(LOWEST_PRICE)
+        (1.0 + ENTROPY_WEIGHT * entropy(confidence) - MISS_DISCOUNT * misses).max(MIN_PRICE)
     }
 
-    /// Refills the quota of each engine at the end of a window.
+    /// Refills the flagging quota of each engine at the start of a quota window and drops expired
+    /// entries of the miss list.
     pub(super) fn refill_flag_quotas(&mut self) {
         for engine in self.engines.iter_mut() {
             engine.flag_quota.refill();
@@ -96,9 +109,9 @@
         self.flagging.misses.expire(self.clock.now);
     }
 
-    /// A query met memory trouble: it is counted for its engine; one that was not flagged is a
-    /// miss, and listed.
-    pub(super) fn memory_trouble(&mut self, sequence: u64, engine: usize) {
+    /// Records that a query ran short of memory on an engine. If the query was not flagged, it
+    /// counts as a miss and joins the miss list.
+    pub(super) fn record_memory_shortage(&mut self, sequence: u64, engine: usize) {
         let request = self.requests.get_mut(sequence);
         request.troubled = true;
         let was_flagged = request.flagged == Some(true);
--- a/crates/decisions/src/decide/load.rs
+++ b/crates/decisions/src/decide/load.rs
@@ -1,4 +1,5 @@
-//! How loaded each engine is: by its reports, by own work, and by how far answers are stretched.
+//! Load estimates for each engine, from its load reports, from this gateway's own queries, and from
+//! how much contention stretches the latency of answers.
 
 use super::{Gateway, WINDOW};
 use crate::state::decay::remaining;
@@ -6,61 +7,72 @@
 use crate::state::observed_load::{update_share_left, SurveyBasis};
 use crate::Micros;
 
-/// Trust in a report under which it is not taken by itself.
-pub(super) const LEAST_TRUST: f64 = 0.5;
+/// Minimum trust at which a value from a load report is used on its own instead of being blended
+/// with other estimates. Trust is 1 for a new report and decays with its age.
+pub(super) const MIN_REPORT_TRUST: f64 = 0.5;
 
-/// Half-life of what is known of one engine, in milliseconds.
+/// Half-life of the weight of earlier answers in an engine's stretch estimate, in milliseconds.
 pub(super) const ENGINE_HALF_LIFE_MS: f64 = 3000.0;
 
-/// First bound of threads a core, all gateways together; over 1, as some wait for disks.
+/// Initial limit on threads per core of an engine, for all gateways together. It exceeds 1 because
+/// some threads wait for disk I/O.
 pub(super) const INITIAL_THREADS_PER_CORE: f64 = 1.8;
 
-/// First bound of threads a core where engines admit more than their memory holds.
-pub(super) const CAREFUL_THREADS_PER_CORE: f64 = 1.0;
+/// Initial limit on threads per core where engines overcommit their memory.
+pub(super) const CONSERVATIVE_THREADS_PER_CORE: f64 = 1.0;
 
-/// Stretch over the best above which heavy work contends for cores, so that the thread bound falls.
+/// The thread limit of an engine is lowered if its stretch exceeds the lowest stretch of any engine
+/// by this factor: heavy queries then contend for cores. Stretch is the latency of a query divided
+/// by its latency on an idle engine.
 pub(super) const STRETCH_HIGH: f64 = 2.2;
 
-/// Stretch over the best below which the thread bound may rise.
+/// The thread limit of an engine may be raised while its stretch is below this multiple of the
+/// lowest stretch of any engine.
 pub(super) const STRETCH_LOW: f64 = 1.7;
 
-/// Share of busy cores that counts as capacity.
+/// Fraction of busy cores at which an engine counts as fully used.
 pub(super) const BUSY_CAPACITY: f64 = 0.85;
 
-/// Weight of a fresh report against own work, in gateways: they weigh the same where so many others
-/// send.
+/// Number of other gateways at which a fresh load report and the estimate from this gateway's own
+/// queries get equal weight. With more gateways, own queries reveal less of the total load.
 const REPORT_WEIGHT_GATEWAYS: f64 = 3.0;
 
-/// Half-life of what own work shows of the fleet, in milliseconds.
+/// Half-life of the load estimates for each kind of machine, in milliseconds.
 const FLEET_HALF_LIFE_MS: f64 = 4000.0;
 
-/// Half-life of the trust in a report, in milliseconds.
+/// Half-life of the trust in a load report, in milliseconds.
 const REPORT_HALF_LIFE_MS: f64 = 1500.0;
 
-/// Age up to which a report's free memory is used.
+/// Maximum age at which the free memory in a load report is still used.
 const MAX_REPORT_AGE: Micros = WINDOW;
 
-/// Time for which an engine counts as having a queue, after an attempt met one.
-const QUEUE_MEMORY: Micros = WINDOW;
+/// How long an engine counts as having a memory queue after an attempt was queued there or was
+/// rejected as overloaded.
+const OBSERVED_QUEUE_TTL: Micros = WINDOW;
 
-/// Stretch less threads a core: at half use nothing is stretched yet.
+/// Offset between the stretch of answers and the number of threads per core: up to half a thread
+/// per core, queries don't slow each other down.
 const IDLE_STRETCH: f64 = 0.5;
 
-/// Recent answers that make an engine's own stretch count half.
+/// Weight of the fleet's mean stretch in the estimate for one engine, in answers: after this many
+/// recent answers the engine's own mean has equal weight.
 const PRIOR_ANSWERS: f64 = 4.0;
 
-/// Lowest thread bound, in threads a core: it keeps an engine in use.
-const LOWEST_THREADS_PER_CORE: f64 = 0.6;
+/// Lower bound on the thread limit of an engine, in threads per core; it keeps a slow engine in
+/// use.
+const MIN_THREADS_PER_CORE: f64 = 0.6;
 
-/// Highest thread bound, in threads a core: past any level at which work done still rises.
-const HIGHEST_THREADS_PER_CORE: f64 = 2.4;
+/// Upper bound on the thread limit of an engine, in threads per core; throughput no longer rises
+/// with more threads.
+const MAX_THREADS_PER_CORE: f64 = 2.4;
 
-/// Time between two moves of a thread bound.
-const THREAD_BOUND_PAUSE: Micros = Micros::from_millis(700);
+/// Minimum time between two changes of an engine's thread limit.
+const MIN_THREAD_BOUND_INTERVAL: Micros = Micros::from_millis(700);
 
 impl Gateway {
-    /// Free memory in megabytes: by a fresh report less what was sent since, else the engine's
-    /// memory less what own queries and those of others use.
+    /// Free memory of an engine in megabytes. With a fresh load report, it is the reported free
+    /// memory less the memory reserved by later sends; otherwise it is the engine's memory less the
+    /// estimated use by queries of all gateways.
     pub(super) fn free_memory_mb(&self, engine: usize) -> f64 {
         let engine = &self.engines[engine];
         let reported = &engine.reported;
@@ -80,15 +92,16 @@
         free.max(0.0)
     }
 
-    /// Threads of all gateways that run on an engine.
+    /// Estimated number of threads that queries of all gateways run on an engine.
     pub(super) fn load(&self, engine: usize) -> f64 {
         let engine = &self.engines[engine];
         engine.threads + self.threads_of_others(engine)
     }
 
-    /// Threads that other gateways run there: by a report, fading as it ages into what own work
-    /// shows against its kind's mean. Busy cores are the least that runs: any number may wait for
-    /// them.
+    /// Estimated number of threads that queries of other gateways run on an engine. The value from
+    /// the load report fades, as the report ages, into an estimate from own queries and the mean of
+    /// the machine kind. A report that contains only busy cores can't lower the estimate, because
+    /// more threads may be waiting for those cores.
     fn threads_of_others(&self, engine: &Engine) -> f64 {
         let kind = &self.kinds[engine.kind];
         let sampled = kind.threads_of_others(engine, self.gateways()) * engine.warm_share;
@@ -104,13 +117,15 @@
         }
     }
 
-    /// What a fresh report counts against own work, from 0 to 1.
+    /// Weight of a fresh load report against the estimate from own queries, from 0 to 1; it grows
+    /// with the number of gateways.
     fn report_weight(&self) -> f64 {
         (self.gateways() - 1.0) / (self.gateways() - 1.0 + REPORT_WEIGHT_GATEWAYS)
     }
 
-    /// Updates each engine's warm share, trust and stretch, and ends rests of ejected engines.
-    pub(super) fn survey_engines(&mut self, elapsed: Micros) {
+    /// Updates the slow-start share, the trust in the load report and the stretch estimate of each
+    /// engine. An engine whose ejection time has passed becomes half-open.
+    pub(super) fn update_engine_loads(&mut self, elapsed: Micros) {
         let now = self.clock.now;
         for index in 0..self.engines.len() {
             let warmth = self.warmth(&self.engines[index]);
@@ -128,8 +143,8 @@
         }
     }
 
-    /// Updates what each kind of machine shows.
-    pub(super) fn survey_kinds(&mut self, elapsed: Micros) {
+    /// Updates the load estimates for each kind of machine.
+    pub(super) fn update_kind_loads(&mut self, elapsed: Micros) {
         update_share_left(
             &mut self.kinds,
             &self.engines,
@@ -148,15 +163,18 @@
         }
     }
 
-    /// Updates the least stretch of a listed engine.
+    /// Updates the lowest stretch of all listed engines, the baseline for judging the stretch of
+    /// the others.
     pub(super) fn update_best_stretch(&mut self) {
         let stretches = self.engines.listed().map(|engine| engine.stretch.blended);
         self.stretch.best = stretches.fold(f64::INFINITY, f64::min).clamp(0.7, 1.3);
     }
 
-    /// Whether more threads would pass the engine's bound, which binds only under pressure. A queue
-    /// lowers the bound, the more so the smaller the own part of the load.
-    pub(super) fn past_thread_bound(&self, index: usize, threads: f64) -> bool {
+    /// Whether a query with this many threads would exceed an engine's thread limit while the
+    /// engine is under pressure. Slow start scales the limit down. A memory queue lowers the limit
+    /// further, and by more if many gateways share the engine, since each gateway then causes only
+    /// a small part of the load.
+    pub(super) fn would_exceed_thread_bound(&self, index: usize, threads: f64) -> bool {
         let engine = &self.engines[index];
         let load = self.load(index);
         let queue_factor = if self.has_queue(engine) {
@@ -165,34 +183,35 @@
             1.0
         };
         let bound = self.warmth(engine) * engine.thread_bound * queue_factor;
-        load + threads > bound.max(threads) && self.is_pressed(index, load)
+        load + threads > bound.max(threads) && self.is_under_pressure(index, load)
     }
 
-    /// Whether queries wait for memory on an engine.
+    /// Whether queries are waiting for memory on an engine, by a load report or by a recent
+    /// attempt.
     fn has_queue(&self, engine: &Engine) -> bool {
         let reported = engine
-            .report_trusted(LEAST_TRUST)
+            .report_trusted(MIN_REPORT_TRUST)
             .and_then(|report| report.queued);
         reported.is_some_and(|queued| queued >= 1.0) || engine.queue_seen_until > self.clock.now
     }
 
-    /// Whether an engine under this load shows pressure: stretched answers, a queue, or no free
-    /// core.
-    pub(super) fn is_pressed(&self, index: usize, load: f64) -> bool {
+    /// Whether an engine with this load is under pressure: its answers are stretched, it has a
+    /// memory queue, or no core is free.
+    pub(super) fn is_under_pressure(&self, index: usize, load: f64) -> bool {
         let engine = &self.engines[index];
         engine.stretch.blended > STRETCH_LOW * self.stretch.best
             || self.has_queue(engine)
             || load >= engine.cores
     }
 
-    /// Moves the thread bound: down fast where heavy work is stretched, up slowly where the bound
-    /// is in use.
-    pub(super) fn move_thread_bound(&mut self, index: usize) {
+    /// Adjusts an engine's thread limit: lowers it by a factor while heavy queries are slowed down,
+    /// and raises it in small steps while most of it is in use.
+    pub(super) fn adjust_thread_bound(&mut self, index: usize) {
         let now = self.clock.now;
         let best = self.stretch.best;
         let used = self.load(index) / self.engines[index].thread_bound;
         let engine = &mut self.engines[index];
-        if now.since(engine.thread_bound_moved) < THREAD_BOUND_PAUSE {
+        if now.since(engine.thread_bound_moved) < MIN_THREAD_BOUND_INTERVAL {
             return;
         }
         let stretch = engine.stretch.blended / best;
@@ -204,15 +223,16 @@
             return;
         };
         engine.thread_bound = bound.clamp(
-            LOWEST_THREADS_PER_CORE * engine.cores,
-            HIGHEST_THREADS_PER_CORE * engine.cores,
+            MIN_THREADS_PER_CORE * engine.cores,
+            MAX_THREADS_PER_CORE * engine.cores,
         );
         engine.thread_bound_moved = now;
     }
 
-    /// An own attempt met a queue for memory: the engine counts as having one for a while.
-    pub(super) fn queue_met(&mut self, engine: usize, work_ms: f64) {
-        self.engines[engine].queue_seen_until = self.clock.now.plus(QUEUE_MEMORY);
-        self.overload_sign(work_ms, 1.0);
+    /// Records that an attempt met a memory queue on an engine; the engine counts as having a queue
+    /// for some time.
+    pub(super) fn record_engine_queue(&mut self, engine: usize, work_ms: f64) {
+        self.engines[engine].queue_seen_until = self.clock.now.plus(OBSERVED_QUEUE_TTL);
+        self.record_overload_signal(work_ms, 1.0);
     }
 }
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -1,19 +1,23 @@
-//! The decisions. [`Gateway`] takes events and hands each to the module that decides about it.
+//! Decision logic of the gateway. [`Gateway`] passes each event to the module that handles it.
 //!
-//! In the order of a request's way:
+//! The modules, in the order in which a request passes through them:
 //!
-//! - `arrival`: a request is taken, estimated and entered.
-//! - `estimates`: expected work and memory, and what answers teach of them.
-//! - `flagging`: SAFELoad's cheap pass, prediction and quota.
-//! - `routing`: the order of engines for a table group; `dispatch`: send, wait or reject.
-//! - `admission`: shedding by cost under overload, and which requests are too late.
-//! - `load`: how loaded engines are, and the threads that each bears.
-//! - `send_rules`: the bounds that every send passes, with `ordering` by key, `retry_budget` and
-//!   `slow_start`.
-//! - `attempts`: send, progress and end of an attempt; `retries`: cancelling and sending again,
-//!   hedging; `completion`: answered and forgotten.
-//! - `outlier_ejection`: which engines and zones are trusted.
-//! - `tenant_quota`, `engine_list`, and `status` for outsiders.
+//! - `arrival`: a new request is estimated and recorded.
+//! - `estimates`: expected work and memory of queries, learned from answers.
+//! - `flagging`: SAFELoad's prefilter, prediction and quota for queries likely to run short of
+//!   memory.
+//! - `routing`: the order in which engines are tried for a table group; `dispatch`: sends, queues
+//!   or rejects a request.
+//! - `admission`: load shedding by cost under overload, and rejection of requests that are too
+//!   late.
+//! - `load`: load estimates and the limit on threads of each engine.
+//! - `send_rules`: rules that every send must satisfy, based on `ordering` (one request at a time
+//!   per ordering key), `retry_budget` and `slow_start`.
+//! - `attempts`: send, progress and outcome of attempts; `retries`: retries, hedged requests and
+//!   cancellation; `completion`: end of a request.
+//! - `outlier_ejection`: health of engines and zones.
+//! - `tenant_quota`: quotas of tenants; `engine_list`: updates of the engine list; `status`:
+//!   read-only status for callers.
 
 mod admission;
 mod arrival;
@@ -53,32 +57,33 @@
 use flagging::FlaggingState;
 use outlier_ejection::FleetHealth;
 
-/// Interval at which the quota for flagged queries is refilled and placement is planned anew.
+/// Interval at which flagging quotas are refilled and the placement of table groups is recomputed;
+/// also how long some observations of an engine stay valid.
 const WINDOW: Micros = Micros::from_millis(3000);
 
-/// Interval between surveys of the fleet's load.
-const SURVEY_INTERVAL: Micros = Micros::from_millis(100);
+/// Interval between updates of the load estimates.
+const LOAD_UPDATE_INTERVAL: Micros = Micros::from_millis(100);
 
-/// Interval of the gateway's own timer.
+/// Interval of the gateway's periodic timer.
 const TICK_INTERVAL: Micros = Micros::from_millis(25);
 
-/// The gateway's own timer.
+/// Id of the gateway's periodic timer.
 const TICK_TIMER: TimerId = TimerId(1);
 
-/// Half-life of the counts of table groups, in milliseconds.
+/// Half-life of the query counts per table group, in milliseconds.
 const GROUP_HALF_LIFE_MS: f64 = 20_000.0;
 
-/// Half-life of the costs of requested work, in milliseconds.
+/// Half-life of the work recorded in the cost histogram, in milliseconds.
 const COST_HALF_LIFE_MS: f64 = 5000.0;
 
-/// First pause before the engine list is requested again.
-const FIRST_LIST_RETRY: Micros = Micros::from_millis(1000);
+/// Initial backoff before the gateway requests the engine list again after a failure.
+const MIN_LIST_BACKOFF: Micros = Micros::from_millis(1000);
 
-/// Longest pause before the engine list is requested again.
-const LONGEST_LIST_RETRY: Micros = Micros::from_millis(8000);
+/// Maximum backoff before the gateway requests the engine list again after a failure.
+const MAX_LIST_BACKOFF: Micros = Micros::from_millis(8000);
 
-/// Decides for one workload manager. Deterministic: the same settings, seed and events give the
-/// same actions.
+/// Decides for one gateway instance which engine runs each request, and when. The decisions are
+/// deterministic: the same settings, seed and events produce the same actions.
 #[derive(Default)]
 pub struct Gateway {
     settings: Settings,
@@ -88,7 +93,7 @@
     requests: RequestTable,
     keys: KeyQueues,
     costs: CostModel,
-    /// By kind of machine; the last is for kinds that the settings do not name.
+    /// Load estimates by kind of machine; the last entry is for kinds that the settings don't list.
     kinds: Vec<ObservedLoad>,
     stretch: FleetStretch,
     health: FleetHealth,
@@ -96,18 +101,18 @@
     flagging: FlaggingState,
     placement: Placement,
     retries: RetryState,
-    /// Requests of each tenant.
+    /// Decaying request counts by tenant.
     tenants: DecayingCounts,
     list_backoff: Backoff,
 }
 
 impl Gateway {
-    /// A gateway that has just come up and knows nothing but its settings. `seed` feeds all its
-    /// random draws.
+    /// Creates a gateway without any engines or requests. `seed` initializes its random number
+    /// generator.
     ///
     /// # Errors
     ///
-    /// A setting that makes no sense, by its path.
+    /// Returns an error that names the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Gateway, SettingsError> {
         settings.check()?;
         Ok(Gateway {
@@ -119,13 +124,14 @@
         })
     }
 
-    /// Sets its part of what engines that warm up bear; `None`: as the number of gateways in the
-    /// settings says.
+    /// Sets this gateway's share of the work for engines that are warming up. `None` derives the
+    /// share from the number of gateways in the settings.
     pub fn set_slow_start_share(&mut self, share: Option<SlowStartShare>) {
         self.settings.slow_start_share = share;
     }
 
-    /// Takes one event at the time `now` and appends what is to be done. Time never goes backward.
+    /// Handles one event at the time `now` and appends the resulting actions. `now` must not
+    /// decrease between calls.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.clock.advance(now);
         if self.clock.started_at.is_none() {
@@ -185,7 +191,7 @@
     fn list_failed(&mut self) {
         let draw = self.random.draw();
         self.list_backoff
-            .failed(self.clock.now, draw, FIRST_LIST_RETRY, LONGEST_LIST_RETRY);
+            .failed(self.clock.now, draw, MIN_LIST_BACKOFF, MAX_LIST_BACKOFF);
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
@@ -210,8 +216,8 @@
         self.expire_retry_counts();
         self.finish_overdue(actions);
         self.retry_lagging(actions);
-        if self.clock.since(self.clock.last_survey) >= SURVEY_INTERVAL {
-            self.survey();
+        if self.clock.since(self.clock.last_survey) >= LOAD_UPDATE_INTERVAL {
+            self.update_load_estimates();
             self.dispatch_waiting(actions);
         }
     }
@@ -229,15 +235,14 @@
         self.plan_all_groups();
     }
 
-    /// Once each survey interval: mean work, each engine's and kind's load, and the share that is
-    /// admitted.
-    fn survey(&mut self) {
+    /// Updates all load estimates, then the admitted share; runs at a fixed interval.
+    fn update_load_estimates(&mut self) {
         self.costs.update_mean_work();
         let elapsed = self.clock.since(self.clock.last_survey);
         self.clock.last_survey = self.clock.now;
-        self.survey_engines(elapsed);
+        self.update_engine_loads(elapsed);
         self.decay_tenant_counts(elapsed);
-        self.survey_kinds(elapsed);
+        self.update_kind_loads(elapsed);
         self.update_admitted_share(elapsed);
         self.update_best_stretch();
     }
@@ -250,7 +255,7 @@
         &self.settings.classes[request.request.class.0]
     }
 
-    /// Threads that a request's query runs on.
+    /// Number of threads that the query of a request runs on.
     fn threads(&self, request: &TrackedRequest) -> f64 {
         self.class(request).threads.max(0.1)
     }
--- a/crates/decisions/src/decide/ordering.rs
+++ b/crates/decisions/src/decide/ordering.rs
@@ -1,4 +1,5 @@
-//! Requests with one key run in the order of arrival, where their class asks for it.
+//! Ordering by key: in classes that ask for it, requests with the same ordering key run one at a
+//! time in the order of arrival.
 
 use super::Gateway;
 use crate::state::request::TrackedRequest;
@@ -6,7 +7,7 @@
 use std::sync::Arc;
 
 impl Gateway {
-    /// The key that orders a request, if it is ordered.
+    /// Returns the ordering key of a request if its class runs requests in order.
     fn ordering_key<'a>(&self, request: &'a TrackedRequest) -> Option<&'a Arc<str>> {
         request
             .request
@@ -15,7 +16,8 @@
             .filter(|_| self.class(request).in_order)
     }
 
-    /// Puts a request into the queue of its key; returns the queue's length, 0 without a key.
+    /// Appends a request to the queue of its ordering key. Returns the length of the queue, or 0 if
+    /// the request isn't ordered.
     pub(super) fn join_key_queue(&mut self, sequence: u64, request: &TrackedRequest) -> usize {
         match self.ordering_key(request) {
             Some(key) => self.keys.join(key, sequence),
@@ -23,7 +25,9 @@
         }
     }
 
-    /// Whether a request is the first of its key and the key does not rest.
+    /// Whether ordering by key allows a request to be sent: the request is first in the queue of
+    /// its key, and no earlier request with that key may still be running. A retry of the first
+    /// request doesn't wait for its own earlier attempt.
     pub(super) fn is_in_turn(&self, sequence: u64, request: &TrackedRequest) -> bool {
         let Some(key) = self.ordering_key(request) else {
             return true;
@@ -33,8 +37,9 @@
             && (was_sent || !self.keys.is_resting(key, self.clock.now))
     }
 
-    /// Lets a key rest after an attempt whose work may go on.
-    pub(super) fn rest_key_after(&mut self, sequence: u64, outcome: Outcome) {
+    /// Blocks an ordering key for some time after an attempt that may still be running on its
+    /// engine.
+    pub(super) fn block_key_after(&mut self, sequence: u64, outcome: Outcome) {
         if !outcome.may_still_run() {
             return;
         }
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -1,6 +1,6 @@
-//! Outlier ejection: engines that show more bad signs than the rest of the fleet are put out of use
-//! for a while, as proxies do it; after the rest an engine is half open and gets one attempt at a
-//! time until one is served.
+//! Outlier ejection, as known from proxies: an engine that shows more bad signals (failures) than
+//! the rest of the fleet gets no requests for some time. The engine then becomes half-open and
+//! receives one attempt at a time until one is served.
 
 use super::Gateway;
 use crate::state::decay::{remaining, Tally};
@@ -8,60 +8,70 @@
 use crate::state::zones::Zones;
 use crate::{Action, EjectionReason, LogEvent, Micros, Outcome};
 
-/// First rest of an ejected engine.
-pub(super) const FIRST_EJECTION: Micros = Micros::from_millis(1000);
+/// Duration of an engine's first ejection, doubled for each further one. Also the initial interval
+/// between trial requests to a failed zone.
+pub(super) const BASE_EJECTION_TIME: Micros = Micros::from_millis(1000);
 
-/// Longest rest of an ejected engine.
-pub(super) const LONGEST_EJECTION: Micros = Micros::from_millis(8000);
+/// Maximum duration of an ejection, and maximum interval between trial requests to a failed zone.
+pub(super) const MAX_EJECTION_TIME: Micros = Micros::from_millis(8000);
 
-/// Share of the fleet that may be out for anything but lost connections.
+/// Maximum fraction of listed engines that may be ejected or half-open before further ejections
+/// stop. Ejections for repeated connection failures are exempt.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Evidence, in log odds, over which an engine is ejected; trust is saved up no further.
+/// Evidence against an engine, in log odds, above which the engine is ejected. The negative of this
+/// value bounds the evidence in favor of an engine, so that long success doesn't delay a later
+/// ejection.
 const EJECTION_THRESHOLD: f64 = 2.0;
 
-/// Broken connections in a row, with none served between, from which they are a bad sign.
-const RESETS_BEFORE_SIGN: u32 = 3;
+/// Number of broken connections in a row, with no served attempt in between, from which on each
+/// broken connection counts as a bad signal.
+const MIN_RESETS_FOR_SIGNAL: u32 = 3;
 
-/// Failed connections in a row that eject an engine for certain, and mark its next answer as one of
-/// a fresh start.
-const CONNECT_FAILURES_SURE: u32 = 2;
+/// Number of failed connection attempts in a row that eject an engine regardless of the other
+/// evidence. If the engine serves an attempt after that many failures, it is assumed to have
+/// restarted.
+const CONNECT_FAILURES_TO_EJECT: u32 = 2;
 
-/// Engines lost, with no sign of life from their zone since, from which the whole zone counts as
-/// lost.
-const LOST_ENGINES_OF_ZONE: usize = 2;
+/// Number of engines in one zone that fail to respond, with no response from the zone since, after
+/// which the whole zone counts as failed.
+const LOST_ENGINES_TO_FAIL_ZONE: usize = 2;
 
-/// Half-life of the fleet's share of bad signs, in milliseconds.
-const SIGN_HALF_LIFE_MS: f64 = 10_000.0;
+/// Half-life of the counts of good and bad signals, in milliseconds.
+const SIGNAL_HALF_LIFE_MS: f64 = 10_000.0;
 
 /// Half-life of the evidence against one engine, in milliseconds.
 const EVIDENCE_HALF_LIFE_MS: f64 = 3000.0;
 
-/// Share of bad signs that any fleet has: bad plans, wrong estimates.
-const LEAST_BAD_SHARE: f64 = 0.02;
+/// Lower bound on the assumed share of bad signals: even a healthy fleet has failures, for example
+/// from bad query plans and wrong estimates.
+const MIN_BAD_SHARE: f64 = 0.02;
 
-/// Largest share of bad signs that is reckoned with.
+/// Upper bound on the assumed share of bad signals; with a share of 1, a bad signal would carry no
+/// evidence against an engine.
 const MAX_BAD_SHARE: f64 = 0.95;
 
-/// Weight of the least share of bad signs, in signs.
-const PRIOR_SIGNS: f64 = 5.0;
+/// Weight of the minimum share of bad signals as a prior in the estimated share, in number of
+/// signals.
+const PRIOR_SIGNALS: f64 = 5.0;
 
-/// Signs of the whole fleet and its zones.
+/// Health of the whole fleet and of its zones.
 #[derive(Default)]
 pub(super) struct FleetHealth {
-    /// Signs of all engines, and the bad ones among them.
+    /// Good and bad signals of all engines.
     signs: Tally,
     pub(super) zones: Zones,
-    /// When the newest attempt was sent that any engine has served.
+    /// Latest send time among all attempts that were served.
     pub(super) newest_served_attempt: Micros,
-    /// Before this no ejection is logged.
+    /// Ejections before this time aren't logged; limits the rate of log messages.
     next_log: Micros,
 }
 
 impl Gateway {
-    /// Weighs the end of an attempt for or against its engine. `silence_counted`: its silence has
-    /// counted already.
-    pub(super) fn judge_outcome(
+    /// Updates the health of an engine and its zone with the outcome of an attempt.
+    /// `silence_counted` means that missing progress reports of the attempt were already counted
+    /// against the engine.
+    pub(super) fn record_outcome(
         &mut self,
         index: usize,
         outcome: Outcome,
@@ -76,7 +86,7 @@
             .attempt_ended(index, outcome);
         match outcome {
             Outcome::Served => self.engine_served(index, silence_counted),
-            Outcome::Overloaded => self.queue_met(index, work_ms),
+            Outcome::Overloaded => self.record_engine_queue(index, work_ms),
             Outcome::ConnectFailed => self.connect_failed(index, actions),
             Outcome::Reset => self.connection_reset(index, actions),
             Outcome::Error | Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
@@ -86,51 +96,55 @@
     fn engine_served(&mut self, index: usize, silence_counted: bool) {
         let now = self.clock.now;
         let engine = &mut self.engines[index];
-        if engine.health.connect_failures_in_row >= CONNECT_FAILURES_SURE {
-            // Connections failed, now it answers: it has started anew and warms up.
+        if engine.health.connect_failures_in_row >= CONNECT_FAILURES_TO_EJECT {
+            // The engine refused connections before and now serves requests: it has restarted and
+            // is warming up.
             engine.started = Some(now);
         }
         engine.health.connect_failures_in_row = 0;
         engine.health.resets_in_row = 0;
         if !silence_counted {
-            self.good_sign(index);
+            self.record_good_signal(index);
         }
     }
 
-    /// What takes no connection starts anew, and warms up then.
+    /// Records a failed connection attempt. The engine is treated as restarting, so that slow start
+    /// applies once it accepts connections again.
     fn connect_failed(&mut self, index: usize, actions: &mut Vec<Action>) {
         let engine = &mut self.engines[index];
         engine.health.connect_failures_in_row += 1;
         engine.started = Some(self.clock.now);
-        self.bad_sign(index, EjectionReason::ConnectionsFail, actions);
-        if self.engines[index].health.connect_failures_in_row >= CONNECT_FAILURES_SURE {
+        self.record_bad_signal(index, EjectionReason::ConnectionsFail, actions);
+        if self.engines[index].health.connect_failures_in_row >= CONNECT_FAILURES_TO_EJECT {
             self.eject(index, EjectionReason::ConnectionsFail, true, actions);
         }
     }
 
-    /// A few connections break anywhere; an engine that breaks all and serves none is faulty.
+    /// Records a broken connection. Single broken connections occur with healthy engines; several
+    /// in a row without a served attempt indicate a fault.
     fn connection_reset(&mut self, index: usize, actions: &mut Vec<Action>) {
         let health = &mut self.engines[index].health;
         health.resets_in_row += 1;
-        if health.resets_in_row >= RESETS_BEFORE_SIGN {
-            self.bad_sign(index, EjectionReason::ConnectionsBreak, actions);
+        if health.resets_in_row >= MIN_RESETS_FOR_SIGNAL {
+            self.record_bad_signal(index, EjectionReason::ConnectionsBreak, actions);
         }
     }
 
-    /// Whether an engine's zone is lost. A zone fails with all its engines, and a gateway that
-    /// sends little to each would learn it one engine at a time: two lost engines with no sign of
-    /// life from the zone count for all of them, as long as some other zone is not lost.
-    pub(super) fn zone_is_lost(&self, index: usize) -> bool {
+    /// Whether the zone of an engine counts as failed, which makes all of its engines unusable. A
+    /// zone tends to fail as a whole, and a gateway that sends little to each engine would take
+    /// long to detect each failure; two unresponsive engines with no response from the zone are
+    /// taken as proof. If all zones appear to have failed, none counts as failed.
+    pub(super) fn zone_has_failed(&self, index: usize) -> bool {
         let lost = |engine: &Engine| {
-            self.health.zones.lost_engines(&engine.entry.zone) >= LOST_ENGINES_OF_ZONE
+            self.health.zones.lost_engines(&engine.entry.zone) >= LOST_ENGINES_TO_FAIL_ZONE
         };
         lost(&self.engines[index]) && self.engines.listed().any(|other| !lost(other))
     }
 
-    /// An error may be the request's fault as well as the engine's: it counts against an engine
-    /// once another has served the same request. An engine whose errors meet only what is never
-    /// repeated stays in use.
-    pub(super) fn count_errors(
+    /// Counts earlier errors of a request against the engines that returned them, once another
+    /// engine has served the same request. Until then, the request itself may be the cause. Errors
+    /// on requests that are never retried therefore never eject an engine.
+    pub(super) fn attribute_errors(
         &mut self,
         sequence: u64,
         outcome: Outcome,
@@ -141,12 +155,13 @@
         }
         let failed: Vec<usize> = self.requests[sequence].failed_engines().collect();
         for engine in failed {
-            self.bad_sign(engine, EjectionReason::AnswersWithErrors, actions);
+            self.record_bad_signal(engine, EjectionReason::AnswersWithErrors, actions);
         }
     }
 
-    /// Weighs a sign against an engine; ejects it where the evidence is enough.
-    pub(super) fn bad_sign(
+    /// Records a bad signal for an engine and ejects the engine if it is half-open or the evidence
+    /// is sufficient.
+    pub(super) fn record_bad_signal(
         &mut self,
         index: usize,
         reason: EjectionReason,
@@ -154,21 +169,21 @@
     ) {
         let now = self.clock.now;
         let share = self.bad_share_of_others(index);
-        let own_signs = self.engines[index]
+        let own_signals = self.engines[index]
             .health
             .signs
-            .at(now, SIGN_HALF_LIFE_MS)
+            .at(now, SIGNAL_HALF_LIFE_MS)
             .0;
         self.add_evidence(index, ((1.0 + share) / (2.0 * share)).ln(), true);
         let health = &self.engines[index].health;
-        let is_enough = health.suspicion > EJECTION_THRESHOLD + (1.0 + own_signs * share).ln();
+        let is_enough = health.suspicion > EJECTION_THRESHOLD + (1.0 + own_signals * share).ln();
         if health.health == Health::HalfOpen || is_enough {
             self.eject(index, reason, false, actions);
         }
     }
 
-    /// Weighs a sign for an engine; a half-open one is in use again.
-    fn good_sign(&mut self, index: usize) {
+    /// Records a good signal for an engine. A half-open engine becomes healthy.
+    fn record_good_signal(&mut self, index: usize) {
         self.add_evidence(index, -std::f64::consts::LN_2, false);
         let health = &mut self.engines[index].health;
         if health.health == Health::HalfOpen {
@@ -178,62 +193,64 @@
         }
     }
 
-    /// Share of bad signs of the rest of the fleet: what all engines share ejects none of them.
+    /// Share of bad signals among the other engines. It is the baseline for judging an engine, so
+    /// that a problem common to the whole fleet ejects no engine.
     fn bad_share_of_others(&self, index: usize) -> f64 {
         let own = &self.engines[index].health.signs;
         let signs = &self.health.signs;
         let share = signs.share_without(
             own,
             self.clock.now,
-            SIGN_HALF_LIFE_MS,
-            LEAST_BAD_SHARE,
-            PRIOR_SIGNS,
+            SIGNAL_HALF_LIFE_MS,
+            MIN_BAD_SHARE,
+            PRIOR_SIGNALS,
         );
-        share.clamp(LEAST_BAD_SHARE, MAX_BAD_SHARE)
+        share.clamp(MIN_BAD_SHARE, MAX_BAD_SHARE)
     }
 
-    /// Adds to the evidence against an engine, by how much likelier a faulty engine shows a sign
-    /// than the others now.
+    /// Adds the log likelihood ratio of a signal (how much more likely a faulty engine shows it
+    /// than the rest of the fleet) to the evidence against an engine.
     fn add_evidence(&mut self, index: usize, log_odds: f64, bad: bool) {
         let now = self.clock.now;
         let health = &mut self.engines[index].health;
         let kept = remaining(now.since(health.suspicion_updated), EVIDENCE_HALF_LIFE_MS);
         health.suspicion = (health.suspicion * kept + log_odds).max(-EJECTION_THRESHOLD);
         health.suspicion_updated = now;
-        health.signs.count(now, bad, SIGN_HALF_LIFE_MS);
-        self.health.signs.count(now, bad, SIGN_HALF_LIFE_MS);
+        health.signs.count(now, bad, SIGNAL_HALF_LIFE_MS);
+        self.health.signs.count(now, bad, SIGNAL_HALF_LIFE_MS);
     }
 
-    /// Puts an engine out of use for a rest that doubles each time. Unless it is `sure`, a part of
-    /// the fleet stays.
+    /// Ejects an engine for a time that doubles with each ejection. Unless the fault is certain,
+    /// nothing happens if too much of the fleet is already out of use.
     fn eject(
         &mut self,
         index: usize,
         reason: EjectionReason,
-        sure: bool,
+        is_certain: bool,
         actions: &mut Vec<Action>,
     ) {
         let health = self.engines[index].health.health;
-        let is_bounded = !sure && health == Health::Healthy && self.too_many_ejected();
+        let is_bounded = !is_certain && health == Health::Healthy && self.too_many_ejected();
         if is_bounded || matches!(health, Health::Ejected(_)) {
             return;
         }
         let engine = &mut self.engines[index];
-        let rest = Micros(FIRST_EJECTION.0 << engine.health.ejections.min(3)).min(LONGEST_EJECTION);
+        let duration =
+            Micros(BASE_EJECTION_TIME.0 << engine.health.ejections.min(3)).min(MAX_EJECTION_TIME);
         engine.health.ejections += 1;
-        engine.health.health = Health::Ejected(self.clock.now.plus(rest));
+        engine.health.health = Health::Ejected(self.clock.now.plus(duration));
         if self.clock.now >= self.health.next_log {
-            self.health.next_log = self.clock.now.plus(FIRST_EJECTION);
+            self.health.next_log = self.clock.now.plus(BASE_EJECTION_TIME);
             let engine = engine.entry.engine.clone();
             actions.push(Action::Log(LogEvent::EngineEjected {
                 engine,
-                rest,
+                rest: duration,
                 reason,
             }));
         }
     }
 
-    /// Whether one more ejection would pass the share of the fleet that may be out.
+    /// Whether one more ejection would exceed the fraction of engines that may be out of use.
     fn too_many_ejected(&self) -> bool {
         let listed = self.engines.listed().count() as f64;
         let unhealthy = self
--- a/crates/decisions/src/decide/retry_budget.rs
+++ b/crates/decisions/src/decide/retry_budget.rs
@@ -1,17 +1,18 @@
-//! The bound on retries that the settings state, over a sliding span.
+//! Retry budget from the settings: limits retries within a sliding time window.
 
 use super::Gateway;
 use crate::Micros;
 
 impl Gateway {
-    /// Whether one more retry stays inside the budget.
+    /// Whether the retry budget allows one more retry.
     pub(super) fn retry_budget_allows(&self) -> bool {
         let Some(budget) = self.settings.retry_budget else {
             return true;
         };
         let requests = self.retries.requests_within(self.clock.now, budget.span);
         let sent = self.retries.retries_within(self.clock.now, budget.span);
-        // A cancelled attempt that is to be sent again has its retry reserved until its outcome.
+        // An attempt that was cancelled for a retry reserves its retry in the budget until its
+        // outcome arrives.
         let reserved = self
             .requests
             .values()
--- a/crates/decisions/src/decide/routing.rs
+++ b/crates/decisions/src/decide/routing.rs
@@ -1,8 +1,8 @@
-//! Routing: in which order engines are tried for a request.
+//! Routing: the order in which engines are tried for a request.
 //!
-//! Queries of one table group go by an order of engines that all gateways share, so that few
-//! engines hold a group in their caches: weighted rendezvous hashing, bounded by each engine's part
-//! of all queries.
+//! All gateways compute the same order of engines for a table group, so that the data of each group
+//! is cached on few engines. The order uses weighted rendezvous hashing, with a limit on the share
+//! of all queries that is placed on each engine.
 
 use super::send_rules::is_open_to;
 use super::Gateway;
@@ -14,20 +14,24 @@
 use crate::{ClassSettings, Repeat};
 use std::cmp::Ordering;
 
-/// Share of a kind that is left to classes open to all kinds, at least.
-const LEAST_SHARE_LEFT: f64 = 0.02;
+/// Lower bound on the fraction of a machine kind's capacity that is assumed to be left for classes
+/// that may use every kind.
+const MIN_SHARE_LEFT: f64 = 0.02;
 
-/// Times an engine's even part of all queries that groups may be planned on it.
+/// Limit on the share of all queries that is placed on one engine, as a multiple of an equal share
+/// by weight.
 const PLACEMENT_SLACK: f64 = 1.25;
 
-/// Times as far that an engine of another zone counts.
+/// Factor on the distance of engines in other zones, so that engines in the gateway's own zone are
+/// preferred.
 const OTHER_ZONE_DISTANCE: f64 = 4.0;
 
-/// Where an engine stands in the order for a request.
+/// Sort key of an engine in the order for a request.
 struct RankedEngine {
-    /// Comes last: it was tried before, or its tables are held.
+    /// Whether the engine is tried last, because the request was sent there before, its table group
+    /// is locked there, or the query would lock tables that other queries read there.
     avoided: bool,
-    /// The group is not planned on it.
+    /// Whether the table group of the request isn't placed on the engine.
     unplanned: bool,
     distance: f64,
     engine: usize,
@@ -41,17 +45,20 @@
 }
 
 impl Gateway {
-    /// Weight of an engine in placement: cores, less what classes bound to its kind need.
+    /// Weight of an engine in the placement of a class: its number of cores. For a class that may
+    /// use every kind of machine, the weight is reduced by the work of classes that may use only
+    /// the engine's kind.
     fn placement_weight(&self, class: &ClassSettings, engine: &Engine) -> f64 {
         let share_left = if class.kinds.is_none() {
             self.kinds[engine.kind].share_left
         } else {
             1.0
         };
-        engine.cores * share_left.max(LEAST_SHARE_LEFT)
+        engine.cores * share_left.max(MIN_SHARE_LEFT)
     }
 
-    /// Plans all table groups anew, after counts or the list have changed.
+    /// Recomputes the placement of all table groups, after the query counts or the engine list have
+    /// changed.
     pub(super) fn plan_all_groups(&mut self) {
         let groups = self.placement.counts.groups();
         let mut plans = Vec::new();
@@ -82,9 +89,9 @@
         PlacementPlan::with_room(self.engines.iter().map(room).collect())
     }
 
-    /// Spreads a group over the first engines in its order, each up to its part of all queries.
-    /// Many gateways that see little each never find an engine pressed: where groups are few, all
-    /// would press the same few.
+    /// Places a table group on the first engines in its order, on each up to its limit. Without the
+    /// limit, if there are few groups, all gateways would overload the same few engines: each
+    /// gateway sends too little to detect the overload.
     fn plan_group(&self, class: &ClassSettings, plan: &mut PlacementPlan, group: u64) {
         if plan.contains(group) {
             return;
@@ -103,7 +110,8 @@
         plan.place(group, self.placement.counts.share(group), &order);
     }
 
-    /// Counts a query of a group, and plans the group for each class if it is new.
+    /// Counts a query of a table group, and places the group for each class that has no placement
+    /// for it yet.
     pub(super) fn count_group(&mut self, group: u64) {
         self.placement.counts.count(group);
         let mut plans = std::mem::take(&mut self.placement.plans);
@@ -113,7 +121,8 @@
         self.placement.plans = plans;
     }
 
-    /// Engines open to a request in its group's order; those tried before or held last.
+    /// Engines that the class of a request may use, in the order in which they are tried. Engines
+    /// that were tried before, or where the table group is locked, come last.
     pub(super) fn ranked_engines(&self, request: &TrackedRequest) -> Vec<usize> {
         let class = self.class(request);
         let open = self.engines.iter().enumerate();
@@ -131,7 +140,8 @@
         let plan = self.placement.plans.get(request.request.class.0);
         let part = plan.and_then(|plan| plan.part(group, index));
         let (avoided, unplanned, distance) = if class.holds_tables {
-            // What holds its tables is spread by request, away from the group's readers.
+            // A query that locks its table group is placed by the hash of the request, away from
+            // engines that serve readers of the group.
             let distance =
                 self.request_distance(request, engine) / self.placement_weight(class, engine);
             (self.group_is_read_on(group, index), false, distance)
@@ -142,8 +152,8 @@
                 rendezvous_distance(engine.hash, group) / self.placement_weight(class, engine);
             (false, true, distance)
         };
-        let minds_holders = class.waits_for_holder || class.holds_tables;
-        let is_held = minds_holders && self.engines.holds_group(index, group, self.clock.now);
+        let is_blocked_by_locks = class.waits_for_holder || class.holds_tables;
+        let is_held = is_blocked_by_locks && self.engines.holds_group(index, group, self.clock.now);
         RankedEngine {
             avoided: avoided || is_held || request.was_sent_to(index),
             unplanned,
@@ -152,32 +162,36 @@
         }
     }
 
-    /// Distance of an engine from a request, shorter in the own zone.
+    /// Rendezvous distance of an engine from a request; engines in other zones are farther away.
     fn request_distance(&self, request: &TrackedRequest, engine: &Engine) -> f64 {
-        let is_near = self
+        let is_same_zone = self
             .settings
             .zone
             .as_ref()
             .is_none_or(|zone| *zone == engine.entry.zone);
         rendezvous_distance(engine.hash, request.hash)
-            * if is_near { 1.0 } else { OTHER_ZONE_DISTANCE }
+            * if is_same_zone {
+                1.0
+            } else {
+                OTHER_ZONE_DISTANCE
+            }
     }
 
-    /// Whether some class that waits for holders of a table group has it planned on an engine.
+    /// Whether a table group is placed on an engine for a class whose queries wait for table locks.
     fn group_is_read_on(&self, group: u64, engine: usize) -> bool {
         let plans = self.placement.plans.iter().zip(&self.settings.classes);
         let mut readers = plans.filter(|(_, class)| class.waits_for_holder);
         readers.any(|(plan, _)| plan.part(group, engine).is_some())
     }
 
-    /// Whether a request may be sent to an engine, and the engine and its zone are trusted enough
-    /// for it.
+    /// Whether a request may be sent to an engine now, given the health of the engine and its zone,
+    /// and the rules that apply to every send.
     pub(super) fn is_usable(&self, sequence: u64, index: usize) -> bool {
         let engine = &self.engines[index];
         let class = self.class(&self.requests[sequence]);
         let health = engine.health.health;
         let is_free_for_trial = health == Health::HalfOpen && engine.queries < 1.0;
-        // What can't be sent again is never the trial of an engine that failed.
+        // A request that must not be retried is never the trial request for a half-open engine.
         let engine_trusted =
             health == Health::Healthy || (is_free_for_trial && class.repeat != Repeat::Unsafe);
         let zone_trusted = || {
@@ -186,7 +200,7 @@
                     .zones
                     .trial_due(&engine.entry.zone, self.clock.now)
             };
-            !self.zone_is_lost(index) || (class.repeat == Repeat::Safe && trial_due())
+            !self.zone_has_failed(index) || (class.repeat == Repeat::Safe && trial_due())
         };
         engine_trusted && zone_trusted() && self.may_send(sequence, index)
     }
--- a/crates/decisions/src/decide/send_rules.rs
+++ b/crates/decisions/src/decide/send_rules.rs
@@ -1,14 +1,15 @@
-//! The bounds that every send passes, whatever was decided before.
+//! Rules that every send must satisfy, however the engine was chosen.
 
 use super::Gateway;
 use crate::state::engine::Engine;
 use crate::state::request::TrackedRequest;
 use crate::{ClassSettings, EngineEntry, Micros, Repeat, RepeatGroup};
 
-/// Time before the end of its window that a keyed repeat is still sent.
+/// Safety margin before the end of the time in which engines drop repeats; no retry is sent during
+/// this margin.
 const KEYED_WINDOW_MARGIN: Micros = Micros::from_millis(200);
 
-/// Whether an engine is among those that a class is bound to.
+/// Whether the settings allow a class to use an engine, by its kind of machine and its zone.
 pub(super) fn is_open_to(class: &ClassSettings, engine: &EngineEntry) -> bool {
     let kind_open = class
         .kinds
@@ -22,7 +23,7 @@
 }
 
 impl Gateway {
-    /// Whether a request may be sent to an engine now.
+    /// Whether all rules allow a request to be sent to an engine now.
     pub(super) fn may_send(&self, sequence: u64, engine: usize) -> bool {
         let request = &self.requests[sequence];
         let engine = &self.engines[engine];
@@ -40,21 +41,22 @@
             && self.slow_start_allows(engine, self.cautious_work_ms(request))
     }
 
-    /// Whether the bound on a request's attempts leaves one more.
+    /// Whether the limit on attempts per request allows another attempt.
     pub(super) fn attempts_left(&self, request: &TrackedRequest) -> bool {
         self.settings
             .max_attempts
             .is_none_or(|cap| (request.attempts.len() as u32) < cap)
     }
 
-    /// Work of a request as slow start counts it.
+    /// Conservative estimate of the work of a request in milliseconds, used for slow start.
     pub(super) fn cautious_work_ms(&self, request: &TrackedRequest) -> f64 {
         self.costs
             .class(request.request.class.0)
             .cautious_work_ms(request.work_ms)
     }
 
-    /// Whether the class allows another attempt there, where one may have run.
+    /// Whether the class of a request allows another attempt on an engine although an earlier one
+    /// may have run.
     fn repeat_allowed(
         &self,
         request: &TrackedRequest,
--- a/crates/decisions/src/decide/slow_start.rs
+++ b/crates/decisions/src/decide/slow_start.rs
@@ -1,48 +1,53 @@
-//! Slow start: what a freshly started engine is sent while it warms up.
+//! Slow start: limits the work sent to a freshly started engine while it warms up.
 //!
-//! All gateways together must stay under what the engine bears, without talking to each other: each
-//! takes its own part of it. Light work has a rate of its own; heavy work, of which the part is
-//! under one query, goes by time slots that go round all gateways.
+//! All gateways together must stay below the capacity of the engine without coordinating, so each
+//! gateway uses a fixed share of that capacity. Light queries are limited by rate. If the share
+//! allows less than one heavy query at a time, heavy queries are limited by time slots that are
+//! assigned to the gateways in turn.
 
 use super::load::BUSY_CAPACITY;
-use super::{Gateway, SURVEY_INTERVAL};
+use super::{Gateway, LOAD_UPDATE_INTERVAL};
 use crate::state::engine::Engine;
 use crate::state::hash::{mix, unit_fraction};
 use crate::{Micros, SlowStart, SlowStartShare};
 
-/// Share of a warming engine's budget that is used: its capacity is a guess.
+/// Fraction of a warming engine's calculated budget that is used, as its capacity is only
+/// estimated.
 const BUDGET_MARGIN: f64 = 0.75;
 
-/// Times the time to warm up, over which gateways end their slow start.
-const END_SPREAD: f64 = 0.15;
+/// Spread of the end of slow start across gateways, as a fraction of the warm-up time.
+const END_JITTER: f64 = 0.15;
 
-/// Times what a warming engine can do that heavy work may be sent, as not all time slots are used.
-const SLOT_PACE: f64 = 1.5;
+/// Factor by which the time slots for heavy queries are shorter than the engine needs per query, as
+/// some slots remain unused.
+const SLOT_OVERCOMMIT: f64 = 1.5;
 
-/// Deviations of what all gateways send by chance that must still fit.
+/// Number of standard deviations of the work sent by all gateways that must still fit into the
+/// budget; gateways send independently, so their sum varies randomly.
 const CHANCE_DEVIATIONS: f64 = 2.5;
 
-/// Allowance for rounding in the comparison with the budget.
-const ROUNDING: f64 = 1.000_001;
+/// Tolerance factor for rounding errors in the comparison with the budget.
+const ROUNDING_TOLERANCE: f64 = 1.000_001;
 
-/// Slow start of one engine, as one gateway sees it.
+/// One gateway's share of the slow start of one engine.
 struct WarmupShare<'a> {
     rule: SlowStart,
     engine: &'a Engine,
     started: Micros,
-    /// Gateways that share the engine.
+    /// Number of gateways that share the engine.
     gateways: f64,
-    /// Which of them this one is.
+    /// Index of this gateway among them.
     number: u64,
-    /// Cores that the engine surely has.
+    /// Cores that the engine certainly provides at present.
     capacity: f64,
-    /// A fraction that differs by gateway and engine.
+    /// Hash of gateway and engine as a fraction from 0 to 1; staggers the gateways in time.
     jitter: f64,
 }
 
 impl Gateway {
-    /// Share of its capacity that an engine surely has: how it warms up is not known, the square is
-    /// careful.
+    /// Fraction of its full capacity that an engine certainly provides at present, 1 after warm-up.
+    /// It grows with the square of the time since the start, a cautious assumption because the
+    /// actual warm-up curve is unknown.
     pub(super) fn warmth(&self, engine: &Engine) -> f64 {
         let (Some(rule), Some(started)) = (self.settings.slow_start, engine.started) else {
             return 1.0;
@@ -52,7 +57,8 @@
         rule.start_share + (1.0 - rule.start_share) * progress.min(1.0).powi(2)
     }
 
-    /// Whether own work of this length is inside the own part of what a warming engine bears.
+    /// Whether slow start allows work of this length on an engine, within this gateway's share of
+    /// the engine's capacity.
     pub(super) fn slow_start_allows(&self, engine: &Engine, work_ms: f64) -> bool {
         let Some(share) = self.warmup_share(engine) else {
             return true;
@@ -62,11 +68,11 @@
         }
         let heaviest_ms = self.costs.heaviest_work_ms(work_ms);
         let slot_ms = slot_length_ms(
-            heaviest_ms / (SLOT_PACE * share.capacity),
+            heaviest_ms / (SLOT_OVERCOMMIT * share.capacity),
             share.rule.fall_span.as_millis(),
         );
         let is_heavy = 2.0 * work_ms > heaviest_ms;
-        if share.gateways > 1.0 && is_heavy && slot_ms >= SURVEY_INTERVAL.as_millis() {
+        if share.gateways > 1.0 && is_heavy && slot_ms >= LOAD_UPDATE_INTERVAL.as_millis() {
             self.slot_allows(&share, heaviest_ms, slot_ms)
         } else {
             self.rate_allows(&share, work_ms)
@@ -95,15 +101,16 @@
         })
     }
 
-    /// Whether slow start is over. Not at all gateways at once: what waits at each would come
-    /// together.
+    /// Whether slow start is over for an engine. Gateways end it at different times; otherwise the
+    /// requests queued in all of them would arrive at the engine at once.
     fn is_warmed_up(&self, share: &WarmupShare) -> bool {
-        let spread = 1.0 + END_SPREAD * share.jitter * (1.0 - 1.0 / share.gateways);
+        let spread = 1.0 + END_JITTER * share.jitter * (1.0 - 1.0 / share.gateways);
         self.clock.since(share.started).as_millis() >= share.rule.warm_within.as_millis() * spread
     }
 
-    /// Heavy work: one query in each of the own time slots, so that what all gateways send together
-    /// is even.
+    /// Whether a heavy query fits into the current time slot: the slot belongs to this gateway and
+    /// no other heavy query was sent in it. This spreads the heavy queries of all gateways evenly
+    /// over time.
     fn slot_allows(&self, share: &WarmupShare, heaviest_ms: f64, slot_ms: f64) -> bool {
         let now_ms = self.clock.now.as_millis();
         let slot = (now_ms / slot_ms) as u64;
@@ -117,8 +124,9 @@
         is_own_slot && !already_sent
     }
 
-    /// Light work: the own part of the budget less room for chance, over a longer span where it is
-    /// under one query, and then from a moment that differs by gateway.
+    /// Whether light work fits into this gateway's share of the budget, with room for random
+    /// variation. If the share is less than one query, the window is extended, and each gateway
+    /// starts at a different time within it.
     fn rate_allows(&self, share: &WarmupShare, work_ms: f64) -> bool {
         let rule = share.rule;
         let gateways = share.gateways;
@@ -141,12 +149,12 @@
         let may_start_at_once = span_factor <= 1.0 && up_since <= share.started;
         let waited = self.clock.since(share.started.max(up_since)).0 as f64;
         (may_start_at_once || waited >= share.jitter * span.0 as f64)
-            && sent_ms + work_ms <= mean_ms / gateways * span_factor * ROUNDING
+            && sent_ms + work_ms <= mean_ms / gateways * span_factor * ROUNDING_TOLERANCE
     }
 }
 
-/// The greatest mean of a sum of independent parts of one size whose `deviations` still stay within
-/// `most`.
+/// Returns the largest mean for a sum of independent random parts of the given size whose mean plus
+/// `deviations` standard deviations doesn't exceed `most`.
 fn mean_within(most: f64, size: f64, deviations: f64) -> f64 {
     let noise = deviations * size.sqrt();
     (((noise * noise + 4.0 * most).sqrt() - noise) / 2.0)
@@ -154,8 +162,8 @@
         .max(0.1)
 }
 
-/// The length of a time slot, as near to `ms` as halves and doubles of `span` come: gateways whose
-/// figures differ a little still agree whose slot it is.
+/// Rounds the length of a time slot to `span` times a power of two. Gateways whose cost estimates
+/// differ slightly thus still agree on the owner of each slot.
 fn slot_length_ms(ms: f64, span: f64) -> f64 {
     span * (ms / span).log2().round().exp2()
 }
--- a/crates/decisions/src/decide/status.rs
+++ b/crates/decisions/src/decide/status.rs
@@ -1,4 +1,4 @@
-//! What outsiders see of the engines and of this gateway; nothing is changed here.
+//! Read-only status of the engines and of the gateway.
 
 use super::Gateway;
 use crate::state::engine::{Engine, Health};
@@ -9,7 +9,7 @@
 }
 
 impl Gateway {
-    /// All engines that are listed or draining, in the order of their ids.
+    /// Status of all engines that are listed or draining, sorted by id.
     pub fn engine_statuses(&self) -> Vec<EngineStatus> {
         let is_shown =
             |engine: &&Engine| engine.listed || engine.entry.state == EngineState::Draining;
@@ -32,18 +32,19 @@
         }
     }
 
-    /// Engines that are remembered: those listed, and those gone to which a remembered request was
-    /// sent.
+    /// Number of engines that the gateway tracks: those in the engine list, and removed ones to
+    /// which a tracked request was sent.
     pub fn engines_held(&self) -> usize {
         self.engines.len()
     }
 
-    /// Requests that are remembered: not answered yet, or with an attempt in flight.
+    /// Number of requests that the gateway tracks: those without an answer and those with an
+    /// attempt in flight.
     pub fn requests_held(&self) -> usize {
         self.requests.len()
     }
 
-    /// The share of the requested work that is admitted now, from 0 to 1; 0 where no engine is in
+    /// Share of the requested work that is admitted at present, from 0 to 1; 0 if no engine is in
     /// use.
     pub fn admitted_share(&self) -> f64 {
         if self.engines.iter().any(is_in_use) {
