--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -173,7 +173,7 @@
         let sent = attempt.sent;
         let silence_counted = attempt.silence_counted;
         let was_cancelled_or_unsent = attempt.cancelled || end.outcome == Outcome::NotSent;
-        self.block_key_after(sequence, end.outcome);
+        self.pause_key_after(sequence, end.outcome);
         self.release_engine(sequence, index, memory_mb);
         if end.outcome == Outcome::Served {
             let newest = &mut self.health.newest_served_attempt;
--- a/crates/decisions/src/decide/ordering.rs
+++ b/crates/decisions/src/decide/ordering.rs
@@ -37,9 +37,9 @@
             && (was_sent || !self.keys.is_resting(key, self.clock.now))
     }
 
-    /// Blocks an ordering key for some time after an attempt that may still be running on its
-    /// engine.
-    pub(super) fn block_key_after(&mut self, sequence: u64, outcome: Outcome) {
+    /// Pauses an ordering key for a fixed time after an attempt that may still be running on its
+    /// engine, so that the next request with that key doesn't overtake it.
+    pub(super) fn pause_key_after(&mut self, sequence: u64, outcome: Outcome) {
         if !outcome.may_still_run() {
             return;
         }
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -1,6 +1,6 @@
-//! Outlier ejection, as known from proxies: an engine that shows more bad signals (failures) than
-//! the rest of the fleet gets no requests for some time. The engine then becomes half-open and
-//! receives one attempt at a time until one is served.
+//! Outlier ejection, as known from proxies: an engine that shows more failures than the rest of the
+//! fleet gets no requests for some time. The engine then becomes half-open and receives one attempt
+//! at a time until one is served.
 
 use super::Gateway;
 use crate::state::decay::{remaining, Tally};
@@ -25,8 +25,8 @@
 const EJECTION_THRESHOLD: f64 = 2.0;
 
 /// Number of broken connections in a row, with no served attempt in between, from which on each
-/// broken connection counts as a bad signal.
-const MIN_RESETS_FOR_SIGNAL: u32 = 3;
+/// broken connection counts as a bad observation (evidence of a fault).
+const MIN_RESETS_TO_COUNT: u32 = 3;
 
 /// Number of failed connection attempts in a row that eject an engine regardless of the other
 /// evidence. If the engine serves an attempt after that many failures, it is assumed to have
@@ -37,28 +37,28 @@
 /// which the whole zone counts as failed.
 const LOST_ENGINES_TO_FAIL_ZONE: usize = 2;
 
-/// Half-life of the counts of good and bad signals, in milliseconds.
-const SIGNAL_HALF_LIFE_MS: f64 = 10_000.0;
+/// Half-life of the counts of good and bad observations, in milliseconds.
+const OBSERVATION_HALF_LIFE_MS: f64 = 10_000.0;
 
 /// Half-life of the evidence against one engine, in milliseconds.
 const EVIDENCE_HALF_LIFE_MS: f64 = 3000.0;
 
-/// Lower bound on the assumed share of bad signals: even a healthy fleet has failures, for example
-/// from bad query plans and wrong estimates.
+/// Lower bound on the assumed share of bad observations: even a healthy fleet has failures, for
+/// example from bad query plans and wrong estimates.
 const MIN_BAD_SHARE: f64 = 0.02;
 
-/// Upper bound on the assumed share of bad signals; with a share of 1, a bad signal would carry no
-/// evidence against an engine.
+/// Upper bound on the assumed share of bad observations; with a share of 1, a bad observation would
+/// carry no evidence against an engine.
 const MAX_BAD_SHARE: f64 = 0.95;
 
-/// Weight of the minimum share of bad signals as a prior in the estimated share, in number of
-/// signals.
-const PRIOR_SIGNALS: f64 = 5.0;
+/// Weight of the minimum share of bad observations as a prior in the estimated share, in number of
+/// observations.
+const PRIOR_OBSERVATIONS: f64 = 5.0;
 
 /// Health of the whole fleet and of its zones.
 #[derive(Default)]
 pub(super) struct FleetHealth {
-    /// Good and bad signals of all engines.
+    /// Counts of good and bad observations of all engines.
     signs: Tally,
     pub(super) zones: Zones,
     /// Latest send time among all attempts that were served.
@@ -104,7 +104,7 @@
         engine.health.connect_failures_in_row = 0;
         engine.health.resets_in_row = 0;
         if !silence_counted {
-            self.record_good_signal(index);
+            self.record_good_observation(index);
         }
     }
 
@@ -114,7 +114,7 @@
         let engine = &mut self.engines[index];
         engine.health.connect_failures_in_row += 1;
         engine.started = Some(self.clock.now);
-        self.record_bad_signal(index, EjectionReason::ConnectionsFail, actions);
+        self.record_bad_observation(index, EjectionReason::ConnectionsFail, actions);
         if self.engines[index].health.connect_failures_in_row >= CONNECT_FAILURES_TO_EJECT {
             self.eject(index, EjectionReason::ConnectionsFail, true, actions);
         }
@@ -125,8 +125,8 @@
     fn connection_reset(&mut self, index: usize, actions: &mut Vec<Action>) {
         let health = &mut self.engines[index].health;
         health.resets_in_row += 1;
-        if health.resets_in_row >= MIN_RESETS_FOR_SIGNAL {
-            self.record_bad_signal(index, EjectionReason::ConnectionsBreak, actions);
+        if health.resets_in_row >= MIN_RESETS_TO_COUNT {
+            self.record_bad_observation(index, EjectionReason::ConnectionsBreak, actions);
         }
     }
 
@@ -155,13 +155,13 @@
         }
         let failed: Vec<usize> = self.requests[sequence].failed_engines().collect();
         for engine in failed {
-            self.record_bad_signal(engine, EjectionReason::AnswersWithErrors, actions);
+            self.record_bad_observation(engine, EjectionReason::AnswersWithErrors, actions);
         }
     }
 
-    /// Records a bad signal for an engine and ejects the engine if it is half-open or the evidence
-    /// is sufficient.
-    pub(super) fn record_bad_signal(
+    /// Records a bad observation of an engine, and ejects the engine if it is half-open or the
+    /// evidence is sufficient.
+    pub(super) fn record_bad_observation(
         &mut self,
         index: usize,
         reason: EjectionReason,
@@ -169,21 +169,22 @@
     ) {
         let now = self.clock.now;
         let share = self.bad_share_of_others(index);
-        let own_signals = self.engines[index]
+        let own_observations = self.engines[index]
             .health
             .signs
-            .at(now, SIGNAL_HALF_LIFE_MS)
+            .at(now, OBSERVATION_HALF_LIFE_MS)
             .0;
         self.add_evidence(index, ((1.0 + share) / (2.0 * share)).ln(), true);
         let health = &self.engines[index].health;
-        let is_enough = health.suspicion > EJECTION_THRESHOLD + (1.0 + own_signals * share).ln();
+        let is_enough =
+            health.suspicion > EJECTION_THRESHOLD + (1.0 + own_observations * share).ln();
         if health.health == Health::HalfOpen || is_enough {
             self.eject(index, reason, false, actions);
         }
     }
 
-    /// Records a good signal for an engine. A half-open engine becomes healthy.
-    fn record_good_signal(&mut self, index: usize) {
+    /// Records a good observation of an engine. A half-open engine becomes healthy.
+    fn record_good_observation(&mut self, index: usize) {
         self.add_evidence(index, -std::f64::consts::LN_2, false);
         let health = &mut self.engines[index].health;
         if health.health == Health::HalfOpen {
@@ -193,31 +194,31 @@
         }
     }
 
-    /// Share of bad signals among the other engines. It is the baseline for judging an engine, so
-    /// that a problem common to the whole fleet ejects no engine.
+    /// Share of bad observations among those of the other engines. It is the baseline for judging
+    /// an engine, so that a problem common to the whole fleet ejects no engine.
     fn bad_share_of_others(&self, index: usize) -> f64 {
         let own = &self.engines[index].health.signs;
         let signs = &self.health.signs;
         let share = signs.share_without(
             own,
             self.clock.now,
-            SIGNAL_HALF_LIFE_MS,
+            OBSERVATION_HALF_LIFE_MS,
             MIN_BAD_SHARE,
-            PRIOR_SIGNALS,
+            PRIOR_OBSERVATIONS,
         );
         share.clamp(MIN_BAD_SHARE, MAX_BAD_SHARE)
     }
 
-    /// Adds the log likelihood ratio of a signal (how much more likely a faulty engine shows it
-    /// than the rest of the fleet) to the evidence against an engine.
+    /// Adds the log likelihood ratio of an observation (how much more likely it is from a faulty
+    /// engine than from the rest of the fleet) to the evidence against an engine.
     fn add_evidence(&mut self, index: usize, log_odds: f64, bad: bool) {
         let now = self.clock.now;
         let health = &mut self.engines[index].health;
         let kept = remaining(now.since(health.suspicion_updated), EVIDENCE_HALF_LIFE_MS);
         health.suspicion = (health.suspicion * kept + log_odds).max(-EJECTION_THRESHOLD);
         health.suspicion_updated = now;
-        health.signs.count(now, bad, SIGNAL_HALF_LIFE_MS);
-        self.health.signs.count(now, bad, SIGNAL_HALF_LIFE_MS);
+        health.signs.count(now, bad, OBSERVATION_HALF_LIFE_MS);
+        self.health.signs.count(now, bad, OBSERVATION_HALF_LIFE_MS);
     }
 
     /// Ejects an engine for a time that doubles with each ejection. Unless the fault is certain,
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -242,8 +242,9 @@
             .collect()
     }
 
-    /// Whether the lack of progress has a cause outside the engine, such as the network: another
-    /// engine is quiet too, and no attempt that was sent later has been served by any engine.
+    /// Whether the lack of progress may have a cause outside the engine, such as the network:
+    /// another engine is quiet too, and no engine has served an attempt that was sent after this
+    /// attempt's last progress.
     fn is_silence_shared(&self, attempt: &TrackedAttempt, quiet_engines: &BTreeSet<usize>) -> bool {
         let is_other_quiet = quiet_engines.iter().any(|engine| *engine != attempt.engine);
         is_other_quiet && self.health.newest_served_attempt <= attempt.last_progress
@@ -294,7 +295,7 @@
             .zones
             .zone_mut(&self.engines[engine].entry.zone)
             .engine_lost(engine);
-        self.record_bad_signal(engine, EjectionReason::SilentWithWork, actions);
+        self.record_bad_observation(engine, EjectionReason::SilentWithWork, actions);
     }
 
     /// Sends the request of a slow or lost attempt to another engine. The new attempt runs beside
