--- a/crates/consensus/src/connection/client.rs
+++ b/crates/consensus/src/connection/client.rs
@@ -1,7 +1,7 @@
-//! The requesting side of a connection.
+//! The client side of a connection, which sends requests.
 
 use super::{
-    read, write, ConnectionError, Handshake, PeerRequest, PeerResponse, TrafficTotals,
+    read_frame, write_frame, ConnectionError, Handshake, PeerRequest, PeerResponse, TrafficTotals,
     MAX_FRAME_BYTES, MAX_HANDSHAKE_BYTES,
 };
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Counts the bytes over all connections of a member.
+/// Counters of the bytes that a member has read and written over all its connections, without the handshakes.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     read: AtomicU64,
@@ -27,7 +27,7 @@
         self.written.fetch_add(bytes as u64, Relaxed);
     }
 
-    /// The bytes so far.
+    /// Returns the numbers of bytes read and written since the start of the member.
     pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
             read: self.read.load(Relaxed),
@@ -36,8 +36,9 @@
     }
 }
 
-/// A connection that is opened when it is needed. A request without a response in time closes it, so that a late
-/// response is not taken for that of another request.
+/// A connection that is opened when a request needs it, and reused for later requests.
+///
+/// A failed request closes the connection, so that a late response is not mistaken for the response to another request.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -47,7 +48,7 @@
 }
 
 impl Connection {
-    /// A connection that is not open yet.
+    /// Creates a connection to `address` without opening it.
     pub fn new(
         address: SocketAddr,
         handshake: Handshake,
@@ -61,16 +62,16 @@
         }
     }
 
-    /// Sends a request and waits for the response, `deadline` at most.
+    /// Opens the connection if necessary, sends a request, and waits for the response for at most `max_wait`.
     ///
     /// # Errors
-    /// If the peer can't be reached, rejects the handshake, or does not respond in time.
+    /// If the peer can't be reached, rejects the handshake, sends a malformed frame, or does not respond in time.
     pub async fn request(
         &mut self,
         request: &PeerRequest,
-        deadline: Duration,
+        max_wait: Duration,
     ) -> Result<PeerResponse, ConnectionError> {
-        let response = timeout(deadline, self.exchange(request)).await;
+        let response = timeout(max_wait, self.exchange(request)).await;
         let response = response.unwrap_or(Err(ConnectionError::Timeout));
         if response.is_err() {
             self.stream = None;
@@ -78,25 +79,28 @@
         response
     }
 
+    /// Sends a request and reads the response, without a limit on the time to wait for the response.
     async fn exchange(&mut self, request: &PeerRequest) -> Result<PeerResponse, ConnectionError> {
-        // Taken out: a request that is cancelled half way closes its connection.
+        // The stream is taken out of `self`, so that a request that is cancelled midway drops and thereby closes it.
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => self.connect().await?,
         };
-        let written = write(&mut stream, request).await?;
+        let written = write_frame(&mut stream, request).await?;
         self.traffic.add_written(written);
-        let (response, read) = read(&mut stream, MAX_FRAME_BYTES).await?;
+        let (response, read) = read_frame(&mut stream, MAX_FRAME_BYTES).await?;
         self.traffic.add_read(read);
         self.stream = Some(stream);
         Ok(response)
     }
 
+    /// Opens the TCP connection and performs the handshake.
     async fn connect(&self) -> Result<TcpStream, ConnectionError> {
         let mut stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
-        write(&mut stream, &self.handshake).await?;
-        let (accepted, _): (Result<(), String>, _) = read(&mut stream, MAX_HANDSHAKE_BYTES).await?;
+        write_frame(&mut stream, &self.handshake).await?;
+        let (accepted, _): (Result<(), String>, _) =
+            read_frame(&mut stream, MAX_HANDSHAKE_BYTES).await?;
         accepted.map_err(ConnectionError::HandshakeRejected)?;
         Ok(stream)
     }
--- a/crates/consensus/src/connection/frame.rs
+++ b/crates/consensus/src/connection/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a length of four bytes in network order, then a message.
+//! The frames of a connection: a message length of four bytes in network byte order, then a postcard message.
 
 use super::ConnectionError;
 use serde::{de::DeserializeOwned, Serialize};
@@ -6,20 +6,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Longest frame, in bytes. A snapshot is sent in parts.
+/// Maximum length of a message in a frame, in bytes. Snapshots fit because they are sent in chunks.
 pub const MAX_FRAME_BYTES: usize = 2 << 20;
-/// Longest first frame of a connection, in bytes: little is read of an unknown peer.
+/// Maximum length of a handshake message, in bytes. The limit is low because the peer is still unknown.
 pub const MAX_HANDSHAKE_BYTES: usize = 1024;
-/// Time for a whole frame once it has begun, and for the handshake.
+/// Time limit for the rest of a frame after its length was read, for writing a frame, and for reading the handshake.
 pub const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of a frame's length.
+/// Size of the length at the start of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Reads a frame of at most `max_bytes`. Returns the message and the frame's length in bytes.
+/// Reads a frame whose message has at most `max_bytes`.
+///
+/// Waits for the start of the frame without a time limit. Returns the message, and the length of the frame in bytes.
 ///
 /// # Errors
-/// If the connection breaks, or the frame is too long, too slow or malformed.
-pub async fn read<T: DeserializeOwned>(
+/// If the connection breaks, or the frame is too long, malformed, or not complete within [`FRAME_TIMEOUT`].
+pub async fn read_frame<T: DeserializeOwned>(
     stream: &mut (impl AsyncReadExt + Unpin),
     max_bytes: usize,
 ) -> Result<(T, usize), ConnectionError> {
@@ -34,11 +36,11 @@
     Ok((message, length + LENGTH_BYTES))
 }
 
-/// Writes a frame. Returns its length in bytes.
+/// Writes a message as a frame. Returns the length of the frame in bytes.
 ///
 /// # Errors
-/// If the connection breaks, or the frame is too long or written too slowly.
-pub async fn write<T: Serialize>(
+/// If the connection breaks, or the frame is too long or not written within [`FRAME_TIMEOUT`].
+pub async fn write_frame<T: Serialize>(
     stream: &mut (impl AsyncWriteExt + Unpin),
     message: &T,
 ) -> Result<usize, ConnectionError> {
--- a/crates/consensus/src/connection/message.rs
+++ b/crates/consensus/src/connection/message.rs
@@ -1,4 +1,4 @@
-//! The messages between members. They are encoded by position: the order of variants and fields is the wire format.
+//! The messages between members. The encoding is positional, so the order of variants and fields is part of the format.
 
 use super::HandshakeMismatch;
 use crate::log_entry::TypeConfig;
@@ -10,27 +10,27 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The version of the message format. A member of another one is rejected, with a message that names both.
+/// Version of the message format. A handshake with another version is rejected, with an error that names both.
 pub const FORMAT_VERSION: u16 = 1;
-/// The first bytes of a connection.
+/// The first bytes of each handshake, which identify the protocol.
 const MAGIC: [u8; 4] = *b"bgc\x01";
 
 /// The first message on a connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Handshake {
     magic: [u8; 4],
-    /// The version of the messages that follow.
+    /// The version of the message format that the sender uses.
     pub format_version: u16,
-    /// The fleet's name.
+    /// The name of the sender's fleet.
     pub fleet: String,
-    /// The sender's name.
+    /// The sender's member name.
     pub member: String,
-    /// The cluster that a voter belongs to: two fleets of one name must not mix their logs.
+    /// The cluster id of a voter, so that two fleets with the same name don't mix their logs.
     pub cluster_id: Option<u64>,
 }
 
 impl Handshake {
-    /// A handshake of a member that belongs to no cluster yet, or only sends requests to the leader.
+    /// Creates a handshake without a cluster id, for a client or for a voter that belongs to no cluster yet.
     pub fn new(fleet: &str, member: &str) -> Handshake {
         Handshake {
             magic: MAGIC,
@@ -41,7 +41,9 @@
         }
     }
 
-    /// Why a voter of this fleet and cluster rejects the sender, if it does.
+    /// Returns why a voter of this fleet and cluster rejects the handshake, or `None` if the voter accepts it.
+    ///
+    /// Cluster ids are compared only if both sides have one.
     pub fn mismatch(&self, fleet: &str, cluster_id: Option<u64>) -> Option<HandshakeMismatch> {
         if self.magic != MAGIC {
             return Some(HandshakeMismatch::Protocol);
@@ -67,101 +69,101 @@
 /// A request to a voter.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Of consensus, to the voter with this node id: another one in its slot must not respond for it.
+    /// An AppendEntries RPC for the given node id. Another node in the same slot must not respond to it.
     AppendEntries(u64, AppendEntriesRequest<TypeConfig>),
-    /// Of consensus, to the voter with this node id.
+    /// A RequestVote RPC for the given node id.
     Vote(u64, VoteRequest<u64>),
-    /// Of consensus, to the voter with this node id.
+    /// An InstallSnapshot RPC for the given node id.
     InstallSnapshot(u64, InstallSnapshotRequest<TypeConfig>),
-    /// Whether the voter would vote for one whose log ends at this term and index.
+    /// Asks for a pre-vote for the sender, whose log ends at the given term and index.
     PreVote {
-        /// The term of the last entry.
+        /// The term of the sender's last log entry.
         term: u64,
-        /// The index of the last entry.
+        /// The index of the sender's last log entry.
         index: u64,
     },
-    /// To the state machine of the leader.
+    /// A request to the state machine, which only the leader handles.
     StateMachine(Vec<u8>),
-    /// The voter's status.
+    /// Asks for the status of the receiving voter.
     Status,
-    /// Adopt this identity, and take part in the consensus from now on.
+    /// Stores an identity in the receiver's data folder, after which the receiver starts to run as a voter.
     WriteIdentity(VoterIdentity),
-    /// Bootstrap the fleet from the receiving voter.
+    /// Bootstraps the fleet. The receiving voter coordinates the bootstrap.
     Bootstrap,
-    /// Give the voter at a slot that lost its disk a new node id.
+    /// Readmits the voter at a slot, which lost its disk, under a new node id. Only the leader does this.
     Readmit(VoterSlot),
-    /// Remove the voter at a slot.
+    /// Removes the voter at a slot from the cluster. Only the leader does this.
     Remove(VoterSlot),
 }
 
 /// The response to a [`PeerRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// Of consensus.
+    /// The response to an AppendEntries RPC.
     AppendEntries(AppendEntriesResponse<u64>),
-    /// Of consensus.
+    /// The response to a RequestVote RPC.
     Vote(VoteResponse<u64>),
-    /// Of consensus.
+    /// The response to an InstallSnapshot RPC.
     InstallSnapshot(InstallSnapshotResponse<u64>),
-    /// Whether the pre-vote is granted.
+    /// Whether the receiver grants the pre-vote.
     PreVote(bool),
-    /// Of the state machine.
+    /// The serialized response of the state machine.
     StateMachine(Vec<u8>),
-    /// This voter is not the leader; the one at that slot may be.
+    /// The responding voter is not the leader. The value is the slot of the presumed leader, if one is known.
     NotLeader(Option<VoterSlot>),
-    /// The voter's status.
+    /// The status of the responding voter.
     Status(Box<VoterStatus>),
-    /// Done.
+    /// The requested operation was carried out.
     Done,
-    /// It was not done, and why.
+    /// The requested operation was rejected or failed, for the given reason.
     Rejected(String),
 }
 
-/// The indices of a voter's log.
+/// The indices of the last stored and the last applied entry in a voter's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogIndices {
-    /// Of the last entry.
+    /// The index of the last log entry, or 0 if the log is empty.
     pub last: u64,
-    /// Of the last entry that was applied to the state machine.
+    /// The index of the last entry applied to the state machine, or 0 if none was applied.
     pub applied: u64,
 }
 
-/// Bytes over the connections of a voter.
+/// Bytes that a member has transferred over its connections, without the handshakes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficTotals {
-    /// Bytes read.
+    /// Number of bytes read.
     pub read: u64,
-    /// Bytes written.
+    /// Number of bytes written.
     pub written: u64,
 }
 
 /// The status of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VoterStatus {
-    /// Its name.
+    /// The voter's member name.
     pub member: String,
-    /// Its slot.
+    /// The voter's slot, or 0 for a member that is not a voter.
     pub slot: VoterSlot,
-    /// Its node id; none while its folder has no identity.
+    /// The voter's node id, or `None` while the data folder has no identity.
     pub node_id: Option<u64>,
-    /// `leader`, `follower`, `candidate`, `learner`, `blank` (no identity) or `broken` (its disk failed).
+    /// `leader`, `follower`, `candidate`, `learner`, `shutdown`, `blank` (no identity) or `broken` (no open store).
     pub role: String,
-    /// The current term.
+    /// The current Raft term.
     pub term: u64,
-    /// The leader's node id.
+    /// The node id of the current leader, if the voter knows one.
     pub leader: Option<u64>,
-    /// The state of its disk, in words.
+    /// The state of the voter's disk in words: `good`, or the text of the last error.
     pub disk: String,
-    /// Whether its disk takes writes.
+    /// Whether the store is open and no write has failed.
     pub disk_ok: bool,
-    /// Its log.
+    /// The indices of the last stored and the last applied log entry.
     pub log: LogIndices,
-    /// Writes since it opened its disk.
+    /// Number of writes to the store since the voter opened it. Each write is one fsynced transaction.
     pub writes: u64,
-    /// Node ids of all voters.
+    /// The node ids of all voters in the membership that the voter knows.
     pub voters: Vec<u64>,
-    /// Milliseconds since a majority acknowledged it, if it leads.
+    /// Milliseconds since a majority last acknowledged this voter as leader. `None` if it is not the leader.
     pub quorum_ms: Option<u64>,
-    /// Its traffic.
+    /// The bytes read and written over the voter's connections.
     pub traffic: TrafficTotals,
 }
--- a/crates/consensus/src/connection/server.rs
+++ b/crates/consensus/src/connection/server.rs
@@ -1,9 +1,9 @@
-//! The responding side of connections.
+//! The server side of connections, which accepts them and responds to requests.
 
 use super::client::TrafficCounters;
 use super::{
-    read, write, ConnectionError, Handshake, HandshakeMismatch, PeerRequest, PeerResponse,
-    FRAME_TIMEOUT, MAX_FRAME_BYTES, MAX_HANDSHAKE_BYTES,
+    read_frame, write_frame, ConnectionError, Handshake, HandshakeMismatch, PeerRequest,
+    PeerResponse, FRAME_TIMEOUT, MAX_FRAME_BYTES, MAX_HANDSHAKE_BYTES,
 };
 use std::future::Future;
 use std::sync::Arc;
@@ -12,15 +12,17 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// Open connections at most: each member has one or two, each voter some more.
+/// Maximum number of open connections. Each member opens one or two to a voter, and each other voter a few more.
 pub const MAX_CONNECTIONS: usize = 2000;
-/// A connection without a request for this time is closed.
+/// Time without a request after which the server closes a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause after a failed accept, as when the process is out of file descriptors.
+/// Delay after a failed accept, for example when the process has no free file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections and responds to their requests, for ever. `mismatch` checks handshakes, `respond` handles
-/// requests.
+/// Accepts connections and responds to their requests, until the task is cancelled.
+///
+/// `mismatch` returns the reason for rejecting a handshake, if there is one. `respond` handles a request.
+/// Closes a new connection at once if [`MAX_CONNECTIONS`] are open.
 pub async fn serve<M, R, F>(
     listener: TcpListener,
     mismatch: M,
@@ -45,7 +47,7 @@
         let respond = respond.clone();
         tokio::spawn(async move {
             match serve_connection(stream, mismatch, &traffic, respond).await {
-                // Peers come and go.
+                // Connections end with I/O errors in normal operation, when peers stop or restart.
                 Ok(()) | Err(ConnectionError::Io(_)) => {}
                 Err(error) => {
                     tracing::warn!(target: "fleet", %from, %error, "connection rejected");
@@ -56,6 +58,7 @@
     }
 }
 
+/// Performs the handshake, then responds to requests until the connection is closed or idle for [`IDLE_TIMEOUT`].
 async fn serve_connection<R, F>(
     mut stream: TcpStream,
     mismatch: impl Fn(&Handshake) -> Option<HandshakeMismatch>,
@@ -69,28 +72,29 @@
     stream.set_nodelay(true)?;
     accept_handshake(&mut stream, mismatch).await?;
     loop {
-        let request = read::<PeerRequest>(&mut stream, MAX_FRAME_BYTES);
+        let request = read_frame::<PeerRequest>(&mut stream, MAX_FRAME_BYTES);
         let Ok(request) = timeout(IDLE_TIMEOUT, request).await else {
             return Ok(());
         };
         let (request, bytes) = request?;
         traffic.add_read(bytes);
-        let bytes = write(&mut stream, &respond(request).await).await?;
+        let bytes = write_frame(&mut stream, &respond(request).await).await?;
         traffic.add_written(bytes);
     }
 }
 
+/// Reads the handshake of a new connection and sends back whether it is accepted or why it is rejected.
 async fn accept_handshake(
     stream: &mut TcpStream,
     mismatch: impl Fn(&Handshake) -> Option<HandshakeMismatch>,
 ) -> Result<(), ConnectionError> {
-    let handshake = timeout(FRAME_TIMEOUT, read(stream, MAX_HANDSHAKE_BYTES)).await;
+    let handshake = timeout(FRAME_TIMEOUT, read_frame(stream, MAX_HANDSHAKE_BYTES)).await;
     let (handshake, _): (Handshake, _) = handshake.map_err(|_| ConnectionError::Timeout)??;
     let Some(mismatch) = mismatch(&handshake) else {
-        write(stream, &Ok::<(), String>(())).await?;
+        write_frame(stream, &Ok::<(), String>(())).await?;
         return Ok(());
     };
-    write(stream, &Err::<(), String>(mismatch.to_string())).await?;
+    write_frame(stream, &Err::<(), String>(mismatch.to_string())).await?;
     let reason = format!("{} {mismatch}", handshake.member);
     Err(ConnectionError::HandshakeRejected(reason))
 }
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -1,4 +1,4 @@
-//! The interface to the disk: real files, or what a test puts in their place.
+//! The interface between the store and the file system, which tests replace by simulated disks.
 
 pub use redb::StorageBackend;
 use std::fs::File;
@@ -6,25 +6,28 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// The disk that holds a data folder. Errors are passed on unchanged; the store gives them their meaning.
+/// The file system that stores a data folder. Methods return I/O errors unchanged; the store classifies them.
 pub trait Disk: Send + Sync + 'static {
-    /// Opens a file for the store, empty if `create` is set. `None` if it does not exist.
+    /// Opens a file for reading and writing.
+    ///
+    /// With `create`, a missing file is created and an existing file is truncated.
+    /// Without `create`, the result is `None` if the file does not exist.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// The error of the file system if the file can't be opened.
     fn open(&self, path: &Path, create: bool) -> io::Result<Option<Box<dyn StorageBackend>>>;
 
-    /// Replaces one file by another durably: the folder's entry is synced too.
+    /// Renames `from` to `to`, replacing an existing file. The rename is durable: the parent folder is synced too.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// The error of the file system if the rename or the sync of the parent folder fails.
     fn replace(&self, from: &Path, to: &Path) -> io::Result<()>;
 }
 
-/// A disk that parts of the program share.
+/// A reference-counted [`Disk`], shared between the parts of a process.
 pub type SharedDisk = Arc<dyn Disk>;
 
-/// The file system.
+/// The [`Disk`] of production: files of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FileDisk;
 
@@ -51,7 +54,7 @@
     }
 }
 
-/// A boxed backend: redb takes its backend by value.
+/// Wraps a boxed storage backend, because redb requires a sized type that implements [`StorageBackend`].
 #[derive(Debug)]
 pub(crate) struct BoxedBackend(pub Box<dyn StorageBackend>);
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,32 +1,31 @@
-//! The replicated log of a fleet.
+//! The replicated log of a fleet, built on openraft (Raft consensus) and redb (embedded database).
 //!
-//! Three or five *voters* keep one log of commands; all other members send their requests to the leader among them.
+//! Three or five members are *voters*: they replicate one log of commands with Raft.
+//! All other members send their requests to the leader of the voters.
 //!
-//! # What it promises
+//! # Guarantees
 //!
-//! - A committed command is applied by all voters in the same order. It survives a crash of any minority, a full disk
-//!   and a failed fsync.
-//! - A response to a request ([`StateMachine::handle_request`]) is linearizable: it comes from a voter that a majority
-//!   confirmed as leader after the request arrived, on a state that holds all that was committed before.
+//! - All voters apply the committed commands in the same order.
+//! - A committed command survives the crash of any minority of voters, a full disk and a failed fsync.
+//! - A response to a request ([`StateMachine::handle_request`]) is linearizable. After the request arrived, a majority
+//!   confirmed the responding voter as leader, and its state includes every command that was committed before.
 //!
-//! # What it does not promise
+//! # Limits
 //!
-//! It is not available without a majority of voters. It knows no policy and no lease: those are commands and state of
-//! a [`StateMachine`].
+//! - No command is committed and no request is handled without a majority of voters.
+//! - The crate does not interpret commands: policies and leases are part of the caller's [`StateMachine`].
 //!
-//! # Where to start
+//! # Modules
 //!
-//! Consensus is openraft's, the database redb's. This crate adds:
-//!
-//! - [`node`]: a member's part, and what a voter does while its disk fails. Start at [`ConsensusNode`].
-//! - [`pre_vote`]: when a voter stands for election.
-//! - [`store`]: vote, log, snapshot and identity of a voter on its [`disk`].
-//! - [`connection`]: requests and responses between members.
+//! - [`node`]: runs a member as a client of the leader and, if configured, as a voter. Start at [`ConsensusNode`].
+//! - [`pre_vote`]: decides when a voter starts an election.
+//! - [`store`]: stores the vote, log, snapshot and identity of a voter on its [`disk`].
+//! - [`connection`]: transports requests and responses between members over TCP.
 //!
 //! ```
 //! use beamgap_consensus::{HandledRequest, RestoreError, StateMachine};
 //!
-//! /// Counts the commands that were committed.
+//! /// A state machine that counts the committed commands.
 //! #[derive(Default)]
 //! struct Counter(u8);
 //!
--- a/crates/consensus/src/log_entry.rs
+++ b/crates/consensus/src/log_entry.rs
@@ -1,15 +1,15 @@
-//! The log's entries, in openraft's terms.
+//! The types of log entries, as openraft requires them.
 
 use openraft::{BasicNode, Entry};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
-/// A command of the state machine, as the log holds it.
+/// A serialized command of the state machine, which is the payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command(pub Vec<u8>);
 
 openraft::declare_raft_types!(
-    /// The type parameters of openraft.
+    /// The types that openraft is instantiated with.
     pub TypeConfig:
         D = Command,
         R = (),
--- a/crates/consensus/src/mutex.rs
+++ b/crates/consensus/src/mutex.rs
@@ -1,8 +1,8 @@
-//! Locks that outlive a panic of another thread.
+//! Mutex locking that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a thread has panicked while it held the lock.
+/// Locks a mutex, even if the mutex is poisoned because another thread panicked while holding it.
 pub(crate) fn lock<T: ?Sized>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/consensus/src/pre_vote.rs
+++ b/crates/consensus/src/pre_vote.rs
@@ -1,44 +1,50 @@
-//! The pre-vote: when a voter stands for election.
+//! The pre-vote, which decides when a voter starts an election.
 //!
-//! A voter that hears no leader first asks the others whether they hear one, and stands only if a majority does not.
-//! So a voter that was partitioned and comes back does not depose a leader. This is the PreVote extension of Ongaro,
-//! "Consensus: Bridging Theory and Practice" (2014), section 9.6. Pure: events in, actions out. Times are in
-//! milliseconds.
+//! A voter that receives no heartbeats first asks the other voters whether they have a leader.
+//! It starts an election only if a majority of voters, itself included, has none.
+//! A voter that returns from a network partition therefore does not depose a working leader.
+//! This is the PreVote extension of Raft; see Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 9.6.
+//!
+//! The module does no I/O: the caller passes in events and times, and carries out the returned actions.
+//! All times are in milliseconds.
 
-/// Shortest time without a heartbeat after which a voter asks for pre-votes.
+/// Minimum election timeout, in milliseconds: the time without a heartbeat after which a voter requests pre-votes.
 const MIN_ELECTION_TIMEOUT_MS: f64 = 700.0;
-/// Random addition to the election timeout, so that two voters rarely stand at once.
+/// Maximum random addition to the election timeout, in milliseconds. It makes simultaneous candidates unlikely.
 const ELECTION_TIMEOUT_SPREAD_MS: f64 = 600.0;
-/// Time for the other voters to respond.
+/// Minimum time between two rounds of pre-votes, in milliseconds, in which the other voters can respond.
 const PRE_VOTE_ROUND_MS: f64 = 250.0;
 
-/// Interval of a leader's heartbeats.
+/// Interval between the heartbeats of a leader, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 120;
-/// A voter that received a heartbeat within this time has a leader, and grants no pre-vote.
+/// Time in milliseconds after a heartbeat during which a voter assumes that the leader works and grants no pre-vote.
 pub const LEADER_TIMEOUT_MS: f64 = MIN_ELECTION_TIMEOUT_MS;
 
-/// What a voter is to do.
+/// An action that the caller must carry out for the voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreVoteAction {
-    /// Request pre-votes of all other voters in this round.
+    /// Request pre-votes from all other voters. The value is the number of the round.
     RequestPreVotes(u64),
-    /// Start an election.
+    /// Start an election for the next term.
     StartElection,
 }
 
-/// One voter's pre-vote.
+/// The pre-vote state of one voter.
 #[derive(Clone, Debug)]
 pub struct PreVote {
     other_voters: usize,
     random_state: u64,
     last_heartbeat: f64,
+    /// Time in milliseconds at which the election timeout expires.
     next_round_at: f64,
+    /// Number of the latest round of pre-votes, from 1.
     round: u64,
-    granted: usize,
+    /// Number of pre-votes that other voters granted in the latest round.
+    grant_count: usize,
 }
 
 impl PreVote {
-    /// A voter among `other_voters` others; `seed` feeds its timeouts.
+    /// Creates the state of a voter that has `other_voters` peers. `seed` determines the random election timeouts.
     pub fn new(now: f64, other_voters: usize, seed: u64) -> PreVote {
         let mut pre_vote = PreVote {
             other_voters,
@@ -46,13 +52,13 @@
             last_heartbeat: now - LEADER_TIMEOUT_MS,
             next_round_at: 0.0,
             round: 0,
-            granted: 0,
+            grant_count: 0,
         };
         pre_vote.restart_timeout(now);
         pre_vote
     }
 
-    /// Draws the next election timeout.
+    /// Restarts the election timeout with a new random length.
     fn restart_timeout(&mut self, now: f64) {
         self.random_state = self
             .random_state
@@ -62,25 +68,27 @@
         self.next_round_at = now + MIN_ELECTION_TIMEOUT_MS + ELECTION_TIMEOUT_SPREAD_MS * fraction;
     }
 
-    /// A heartbeat came from a leader, or this voter leads and a majority follows it.
+    /// Records that the leader sent a heartbeat or, at the leader, that a majority acknowledged its leadership.
     pub fn heartbeat_received(&mut self, now: f64) {
         self.last_heartbeat = now;
-        self.granted = 0;
+        self.grant_count = 0;
         self.restart_timeout(now);
     }
 
-    /// Whether a heartbeat came within [`LEADER_TIMEOUT_MS`].
+    /// Returns whether the last heartbeat is less than [`LEADER_TIMEOUT_MS`] ago.
     pub fn has_leader(&self, now: f64) -> bool {
         now - self.last_heartbeat < LEADER_TIMEOUT_MS
     }
 
-    /// Called periodically.
+    /// Starts a new round of pre-votes if the election timeout has expired. Must be called periodically.
+    ///
+    /// A voter without peers starts an election at once, since it is a majority by itself.
     pub fn tick(&mut self, now: f64) -> Option<PreVoteAction> {
         if now < self.next_round_at {
             return None;
         }
         self.round += 1;
-        self.granted = 0;
+        self.grant_count = 0;
         self.restart_timeout(now);
         self.next_round_at = self.next_round_at.max(now + PRE_VOTE_ROUND_MS);
         if self.other_voters == 0 {
@@ -90,7 +98,10 @@
         }
     }
 
-    /// Another voter responded in a round. Starts the election once, when a majority has granted it.
+    /// Processes another voter's response to the pre-vote request of `round`.
+    ///
+    /// Returns [`PreVoteAction::StartElection`] once per round, when a majority of voters has granted the pre-vote.
+    /// Ignores responses of earlier rounds, and all responses while this voter has a leader.
     pub fn pre_vote_received(
         &mut self,
         now: f64,
@@ -100,9 +111,9 @@
         if round != self.round || !granted || self.has_leader(now) {
             return None;
         }
-        self.granted += 1;
-        // Together with its own vote these are a majority of all voters.
+        self.grant_count += 1;
+        // Together with this voter itself, `needed` grants are a majority of all voters.
         let needed = self.other_voters.div_ceil(2);
-        (self.granted == needed).then_some(PreVoteAction::StartElection)
+        (self.grant_count == needed).then_some(PreVoteAction::StartElection)
     }
 }
--- a/crates/consensus/src/raft/applied_state.rs
+++ b/crates/consensus/src/raft/applied_state.rs
@@ -1,4 +1,4 @@
-//! openraft's state machine: a [`StateMachine`] in memory, its last snapshot on the store.
+//! The state machine of openraft: a [`StateMachine`] in memory, whose last snapshot is in the store.
 
 use super::{decode, encode, read_error, write_error, NodeId, RaftStorageError};
 use crate::log_entry::{Command, TypeConfig};
@@ -14,12 +14,12 @@
 use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
-/// The named value that holds the snapshot.
+/// Key of the stored value for the last snapshot.
 const SNAPSHOT_KEY: &str = "snapshot";
 
 type Membership = StoredMembership<NodeId, BasicNode>;
 
-/// Why the stored state can't be used.
+/// Why the last snapshot can't be loaded from the store.
 #[derive(Debug, Error)]
 pub(crate) enum OpenError {
     #[error(transparent)]
@@ -30,7 +30,7 @@
     Restore(#[from] RestoreError),
 }
 
-/// A snapshot as the store holds it.
+/// A snapshot in its stored form.
 #[derive(Serialize, Deserialize)]
 struct StoredSnapshot {
     meta: SnapshotMeta<NodeId, BasicNode>,
@@ -38,6 +38,7 @@
 }
 
 impl StoredSnapshot {
+    /// Writes the snapshot to the store durably, in place of the previous snapshot.
     fn save(&self, store: &SharedStore) -> Result<(), RaftStorageError> {
         let batch = Batch {
             meta: vec![(SNAPSHOT_KEY, encode(self)?)],
@@ -54,7 +55,7 @@
     }
 }
 
-/// The state that the applied entries gave.
+/// The state machine, together with the position in the log and the membership that it has reached.
 pub(crate) struct AppliedState {
     store: SharedStore,
     state_machine: Arc<Mutex<dyn StateMachine>>,
@@ -63,10 +64,10 @@
 }
 
 impl AppliedState {
-    /// Resets the state machine to the last snapshot.
+    /// Resets the state machine, and restores the last snapshot if the store has one.
     ///
     /// # Errors
-    /// If the store is broken, or the snapshot can't be read.
+    /// If the store is broken, or the snapshot can't be decoded.
     pub fn open(
         store: SharedStore,
         state_machine: Arc<Mutex<dyn StateMachine>>,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Saves a snapshot of the state as it was when the snapshot was requested.
+/// Writes a snapshot that was taken when the builder was created. Can be used once.
 pub(crate) struct SnapshotBuilder {
     store: SharedStore,
     snapshot: Option<StoredSnapshot>,
@@ -100,7 +101,7 @@
 impl RaftSnapshotBuilder<TypeConfig> for SnapshotBuilder {
     async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, RaftStorageError> {
         let Some(snapshot) = self.snapshot.take() else {
-            let error = std::io::Error::other("a snapshot is built once");
+            let error = std::io::Error::other("the snapshot builder was used already");
             return Err(StorageIOError::read(&error).into());
         };
         snapshot.save(&self.store)?;
--- a/crates/consensus/src/raft/log_storage.rs
+++ b/crates/consensus/src/raft/log_storage.rs
@@ -1,4 +1,4 @@
-//! openraft's log and vote on the store.
+//! The log and vote storage of openraft, on top of the store.
 
 use super::{decode, encode, read_error, write_error, NodeId, RaftStorageError};
 use crate::log_entry::TypeConfig;
@@ -10,12 +10,12 @@
 use std::fmt::Debug;
 use std::ops::RangeBounds;
 
-/// The named value that holds the vote.
+/// Key of the stored value for the latest vote.
 const VOTE_KEY: &str = "vote";
-/// The named value that holds the id of the last entry that was purged.
+/// Key of the stored value for the id of the last purged log entry.
 const PURGED_KEY: &str = "purged";
 
-/// The log and the vote of a voter.
+/// The durable log and vote of a voter.
 #[derive(Clone, Debug)]
 pub(crate) struct LogStorage(pub SharedStore);
 
--- a/crates/consensus/src/raft/mod.rs
+++ b/crates/consensus/src/raft/mod.rs
@@ -1,7 +1,10 @@
-//! The interfaces that openraft asks for: its log on the [store](crate::store), its state machine on a
-//! [`StateMachine`](crate::StateMachine), its network on [connections](crate::connection).
+//! Implementations of the storage and network traits of openraft.
+//!
+//! - The log and the vote are stored in the [store](crate::store).
+//! - The state machine delegates to a [`StateMachine`](crate::StateMachine).
+//! - The network uses [connections](crate::connection) between members.
 
-#![allow(clippy::result_large_err)] // openraft's error types, in its traits' signatures
+#![allow(clippy::result_large_err)] // openraft's traits prescribe its large error types
 
 mod applied_state;
 mod log_storage;
@@ -16,7 +19,7 @@
 use openraft::{StorageError, StorageIOError};
 use serde::{de::DeserializeOwned, Serialize};
 
-/// openraft with this crate's types.
+/// openraft instantiated with the types of this crate.
 pub(crate) type Raft = openraft::Raft<TypeConfig>;
 type NodeId = u64;
 type RaftStorageError = StorageError<NodeId>;
--- a/crates/consensus/src/raft/network.rs
+++ b/crates/consensus/src/raft/network.rs
@@ -1,4 +1,4 @@
-//! openraft's network: one connection to each other voter.
+//! The network of openraft, with one connection to each other voter.
 
 use super::NodeId;
 use crate::connection::client::{Connection, TrafficCounters};
@@ -21,24 +21,24 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Pause before a voter that could not be reached is tried again.
+/// Delay before openraft sends to an unreachable voter again.
 const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Connects to the other voters.
+/// Creates the connections to the other voters.
 #[derive(Clone)]
 pub(crate) struct PeerNetwork {
-    /// The handshake of this voter.
+    /// The handshake that this voter sends on each connection.
     pub handshake: Handshake,
-    /// Counts the bytes.
+    /// Counters of the bytes read and written on the connections.
     pub traffic: Arc<TrafficCounters>,
-    /// The voters' addresses by slot: those of the settings, not those in the log.
+    /// The voters' addresses by slot. They come from the settings; the addresses in the membership log are not used.
     pub addresses: BTreeMap<VoterSlot, SocketAddr>,
 }
 
-/// Why a voter counts as unreachable.
+/// Why a voter is reported to openraft as unreachable.
 #[derive(Debug, Error)]
 enum PeerError {
-    #[error("fleet.decider {0} is not in the file")]
+    #[error("decider {0} is not in the settings")]
     UnknownSlot(VoterSlot),
     #[error("{0}")]
     Rejected(String),
@@ -46,8 +46,9 @@
     Connection(ConnectionError),
 }
 
+/// The error for a response whose type does not match the request.
 #[derive(Debug, Error)]
-#[error("an answer to another question")]
+#[error("the response does not match the request")]
 struct UnexpectedResponse;
 
 impl RaftNetworkFactory<TypeConfig> for PeerNetwork {
@@ -64,42 +65,44 @@
     }
 }
 
-/// Another voter.
+/// openraft's client for one other voter.
 pub(crate) struct Peer {
     target: NodeId,
-    /// None if the settings have no address for its slot.
+    /// The connection to the voter, or `None` if the settings have no address for the voter's slot.
     connection: Option<Connection>,
 }
 
 type RpcResult<T, E = RaftError<NodeId>> = Result<T, RPCError<NodeId, BasicNode, E>>;
 
 impl Peer {
+    /// Sends a request and converts connection errors and rejections to errors of openraft.
     async fn call<E: Error>(
         &mut self,
         request: PeerRequest,
         action: RPCTypes,
         option: &RPCOption,
     ) -> RpcResult<PeerResponse, E> {
-        let deadline = option.hard_ttl();
-        // openraft pauses before it tries an unreachable voter again.
+        let max_wait = option.hard_ttl();
+        // After `Unreachable`, openraft waits for the delay of `backoff` before it sends to the voter again.
         let unreachable = |error: PeerError| RPCError::Unreachable(Unreachable::new(&error));
         let Some(connection) = self.connection.as_mut() else {
             return Err(unreachable(PeerError::UnknownSlot(slot_of(self.target))));
         };
-        match connection.request(&request, deadline).await {
+        match connection.request(&request, max_wait).await {
             Ok(PeerResponse::Rejected(reason)) => Err(unreachable(PeerError::Rejected(reason))),
             Ok(response) => Ok(response),
             Err(ConnectionError::Timeout) => Err(RPCError::Timeout(Timeout {
                 action,
                 id: self.target,
                 target: self.target,
-                timeout: deadline,
+                timeout: max_wait,
             })),
             Err(error) => Err(unreachable(PeerError::Connection(error))),
         }
     }
 }
 
+/// Returns the error for a response whose type does not match the request.
 fn unexpected<T, E: Error>() -> RpcResult<T, E> {
     Err(RPCError::Network(NetworkError::new(&UnexpectedResponse)))
 }
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -3,46 +3,47 @@
 use std::error::Error;
 use thiserror::Error;
 
-/// A snapshot that this program can't read.
+/// The error of a state machine that can't decode a snapshot.
 #[derive(Debug, Error)]
-#[error("a snapshot of another form: update this program")]
+#[error("unsupported snapshot format: update this program")]
 pub struct RestoreError(#[source] Box<dyn Error + Send + Sync>);
 
 impl RestoreError {
-    /// Wraps what the decoder reported.
+    /// Wraps the error that the snapshot's decoder returned.
     pub fn new(source: impl Into<Box<dyn Error + Send + Sync>>) -> RestoreError {
         RestoreError(source.into())
     }
 }
 
-/// What came of a request.
+/// The result of a request to the state machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HandledRequest {
-    /// The response to whoever sent the request.
+    /// The serialized response, which is sent to the member that made the request.
     pub response: Vec<u8>,
-    /// Commands to be committed. The response does not wait for them.
+    /// Commands that the leader appends to the log. The response is sent without waiting for their commit.
     pub commands: Vec<Vec<u8>>,
 }
 
-/// A replicated state machine, and what its leader does. Commands and requests are opaque bytes to the consensus.
+/// A replicated state machine: applies committed commands at every voter, and handles requests at the leader.
 ///
-/// `now` is in milliseconds of [`Settings::clock`](crate::Settings::clock).
+/// Commands, requests and responses are opaque bytes to this crate.
+/// `now` is the time in milliseconds of [`Settings::clock`](crate::Settings::clock).
 pub trait StateMachine: Send + 'static {
-    /// Returns to the initial state. A snapshot or the first command follows.
+    /// Resets to the initial state. Called when a voter opens its store; a snapshot or the first command follows.
     fn reset(&mut self);
-    /// Applies a committed command. Must have the same effect at all voters.
+    /// Applies a committed command. Must be deterministic, so that all voters reach the same state.
     fn apply(&mut self, command: &[u8]);
-    /// The whole state, for [`restore`](StateMachine::restore).
+    /// Serializes the whole state for a later [`restore`](StateMachine::restore).
     fn snapshot(&self) -> Vec<u8>;
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the whole state by the state in a snapshot.
     ///
     /// # Errors
-    /// If the snapshot can't be read. The state is then as it was.
+    /// If the snapshot can't be decoded. The state is left unchanged in this case.
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError>;
-    /// Reports whether this voter is the leader. Called repeatedly, not only on a change.
+    /// Tells the state machine whether this voter is the leader. Called on every tick, not only on a change.
     fn set_leadership(&mut self, now: f64, is_leader: bool);
-    /// Handles a request, as a leader that a majority has confirmed.
+    /// Handles a request at the leader, after a majority of voters has confirmed its leadership.
     fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest;
-    /// Called periodically at the leader. Returns commands to be committed.
+    /// Called periodically at the leader. Returns commands that the leader appends to the log.
     fn tick(&mut self, now: f64) -> Vec<Vec<u8>>;
 }
--- a/crates/consensus/src/store/error.rs
+++ b/crates/consensus/src/store/error.rs
@@ -1,4 +1,4 @@
-//! Why a store can't be used.
+//! The errors of the store.
 
 use super::{VoterIdentity, FORMAT_VERSION};
 use std::io;
@@ -6,20 +6,20 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// What the disk or the database reported. Kept by a broken store, which reports it on each further use.
+/// An error of the disk or the database. A broken store returns its first failure on each further use.
 #[derive(Clone, Debug, Error)]
 pub enum DiskFailure {
-    /// Of the file system.
+    /// An error of the file system.
     #[error(transparent)]
     Io(Arc<io::Error>),
-    /// Of the database.
+    /// An error of the redb database, which may have an I/O error as its cause.
     #[error(transparent)]
     Database(Arc<redb::Error>),
-    /// A value has no stored form.
+    /// A value could not be serialized.
     #[error(transparent)]
     Encoding(#[from] postcard::Error),
-    /// The disk did not create the new database file.
-    #[error("the new file is not there")]
+    /// [`Disk::open`](crate::disk::Disk::open) returned no file although it was asked to create one.
+    #[error("the new database file was not created")]
     NewFileMissing,
 }
 
@@ -41,7 +41,9 @@
     }
 }
 
-/// Texts of the errors that mean a lack of space: ENOSPC, EFBIG (a file-size limit) and EDQUOT (a quota).
+/// Substrings of error messages that mean a lack of disk space.
+///
+/// The error numbers are those of Linux: 28 is ENOSPC, 27 is EFBIG (file size limit), 122 is EDQUOT (disk quota).
 const DISK_FULL_TEXTS: [&str; 5] = [
     "os error 28",
     "os error 27",
@@ -51,65 +53,70 @@
 ];
 
 impl DiskFailure {
-    /// Whether the disk has no space left. Recognized by the text, as the database hands on the cause as text alone.
+    /// Returns whether the disk has no space left.
+    ///
+    /// Searches the error message, because the database passes on the cause of an error only as text.
     pub fn is_disk_full(&self) -> bool {
         let text = self.to_string();
         DISK_FULL_TEXTS.iter().any(|full| text.contains(full))
     }
 }
 
-/// Why a store can't be used. Each message says what the operator can do.
+/// Why a store can't be used. Each message names the data folder and says what the operator can do.
 #[derive(Clone, Debug, Error)]
 pub enum StoreError {
-    /// Another process has the folder.
+    /// Another process has locked the folder.
     #[error(
-        "fleet.folder {}: another process holds it; end that, or give each its own",
+        "fleet.folder {}: another process uses it; stop that process, or give each its own folder",
         .0.display()
     )]
     Locked(PathBuf),
-    /// The folder has another format.
+    /// The folder has a format version that this program does not support.
     #[error(
-        "fleet.folder {}: is of form {found}, this program reads form {FORMAT_VERSION}; use the program that wrote it",
+        "fleet.folder {}: has format {found}, this program reads {FORMAT_VERSION}; use the program that wrote it",
         folder.display()
     )]
     UnsupportedFormat {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
-        /// Its format version.
+        /// The format version of the folder, or 0 if it can't be read.
         found: u32,
     },
-    /// The folder is another fleet's, or another slot's.
+    /// The folder has the identity of another fleet, cluster or node id.
     #[error(
-        "fleet.folder {}: belongs to fleet {}, id {}, founding {:x}; give this decider its own folder",
+        "fleet.folder {}: belongs to fleet {}, id {}, cluster {:x}; give this decider its own folder",
         folder.display(), found.fleet, found.node_id, found.cluster_id
     )]
-    OtherIdentity {
-        /// The folder.
+    IdentityMismatch {
+        /// The data folder.
         folder: PathBuf,
-        /// Whose it is.
+        /// The identity that the folder has.
         found: VoterIdentity,
     },
     /// The disk has no space left.
-    #[error("fleet.folder {}: no room ({source}); free some, it goes on by itself", folder.display())]
+    #[error(
+        "fleet.folder {}: no room ({source}); free some space, the decider then resumes by itself",
+        folder.display()
+    )]
     DiskFull {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
-        /// What the disk reported.
+        /// The failure that the disk reported.
         source: DiskFailure,
     },
-    /// The disk failed in another way.
-    #[error("fleet.folder {}: the disk failed ({source}); it is tried again", folder.display())]
+    /// The disk failed for a reason other than a lack of space.
+    #[error("fleet.folder {}: the disk failed ({source}); opening it is retried", folder.display())]
     DiskFailed {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
-        /// What the disk reported.
+        /// The failure that the disk reported.
         source: DiskFailure,
     },
 }
 
 impl StoreError {
-    /// The error of a folder whose disk reported a failure.
-    pub(super) fn of_disk(folder: PathBuf, source: DiskFailure) -> StoreError {
+    /// Classifies a disk failure as a lack of space or another failure.
+    pub(super) fn from_disk_failure(folder: PathBuf, source: DiskFailure) -> StoreError {
         if source.is_disk_full() {
             StoreError::DiskFull { folder, source }
         } else {
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -1,12 +1,15 @@
-//! A voter's disk: its vote, its log, its last snapshot, and its identity in the cluster.
+//! The durable state of a voter: its vote, log, last snapshot and identity, in one redb database file.
 //!
-//! **One meaning of failure.** Whatever write fails (no space, EIO, a short write, fsync), the store is *broken* from
-//! then on: nothing that was not acknowledged counts, and nothing more is read or written. It recovers by being opened
-//! anew, which copies all that can be read into a new file, syncs that, and replaces the old one. What a failed fsync
-//! left in the page cache is not trusted to be on the disk; see Rebello et al., "Can Applications Recover from fsync
-//! Failures?" (USENIX ATC 2020).
+//! # Disk failures
+//!
+//! After a failed write of any kind (no space, EIO, a short write, a failed fsync), the store is *broken*.
+//! A broken store rejects all reads and writes, and the write that failed is not acknowledged.
+//!
+//! Opening the folder again recovers the store: it copies all readable data into a new file, syncs that file, and
+//! replaces the old file by it. The copy is necessary because a failed fsync can leave data in the page cache that
+//! never reaches the disk; see Rebello et al., "Can Applications Recover from fsync Failures?" (USENIX ATC 2020).
 
-#![allow(clippy::result_large_err)] // redb's own error type
+#![allow(clippy::result_large_err)] // redb's error type is large
 
 mod error;
 mod tables;
@@ -22,40 +25,43 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// The format of the data folder. A folder of another one is refused.
+/// Version of the data folder's format. The store rejects a folder that has another version.
 pub const FORMAT_VERSION: u32 = 1;
 const DATABASE_FILE: &str = "council.redb";
 const NEW_DATABASE_FILE: &str = "council.redb.new";
 const LOCK_FILE: &str = "lock";
-/// The named value that holds the voter's identity.
+/// Key of the stored value for the voter's identity.
 const IDENTITY_KEY: &str = "marker";
-/// With the injected bug of unsynced writes, each write of this number is synced, and all before the first.
-const SYNC_EVERY: u64 = 8;
-/// Size of the database cache. The log is short and read once.
+/// With the injected bug of unsynced writes, the store still syncs this many writes after it was opened, and later one
+/// write in this many. This imitates an operating system that writes back its page cache now and then.
+const INJECTED_BUG_SYNC_INTERVAL: u64 = 8;
+/// Size of the database cache in bytes. A small cache suffices because the log is short and each entry is read once.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// Which voter of which cluster a data folder belongs to. A voter without one neither votes nor keeps a log: if it lost
-/// its disk, it has forgotten how it voted.
+/// The identity of a voter, which is stored in its data folder.
+///
+/// A voter whose folder has no identity neither votes nor stores log entries. If it lost its disk, it no longer knows
+/// how it voted, and a second vote in the same term could elect two leaders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterIdentity {
     /// The fleet's name.
     pub fleet: String,
-    /// A number drawn when the fleet was bootstrapped.
+    /// Number that was generated when the fleet was bootstrapped. It distinguishes fleets that have the same name.
     pub cluster_id: u64,
-    /// The node id in the consensus.
+    /// The voter's Raft node id.
     pub node_id: u64,
 }
 
-/// What is written in one durable transaction.
+/// Changes that are written in one atomic and durable transaction. Removals are applied before insertions.
 #[derive(Default)]
 pub struct Batch {
-    /// Log entries by index.
+    /// Log entries to insert, with their indices.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Removes the log from this index on.
+    /// Removes all log entries with this index or a higher one.
     pub truncate_from: Option<u64>,
-    /// Removes the log up to and including this index.
+    /// Removes all log entries with this index or a lower one.
     pub purge_to: Option<u64>,
-    /// Named values.
+    /// Values other than log entries to insert or replace, with their keys.
     pub meta: Vec<(&'static str, Vec<u8>)>,
 }
 
@@ -63,15 +69,17 @@
 pub struct Store {
     folder: PathBuf,
     db: Database,
-    /// The failure that broke it.
+    /// The first failed write, after which the store is broken.
     failure: Option<DiskFailure>,
+    /// Whether each write is synced. False only with the injected bug of unsynced writes.
     sync: bool,
+    /// Number of successful writes since the store was opened.
     writes: u64,
-    /// Held as long as the store is open.
+    /// The locked lock file. The lock is released when the store is dropped.
     _lock: File,
 }
 
-/// A store that parts of a voter share.
+/// A reference-counted store, shared between the parts of a voter.
 pub type SharedStore = Arc<Mutex<Store>>;
 
 impl fmt::Debug for Store {
@@ -83,9 +91,10 @@
     }
 }
 
-/// Takes the lock file of a folder.
+/// Creates the folder if it does not exist, and locks its lock file so that no other process opens the store.
 fn lock_folder(folder: &Path) -> Result<File, StoreError> {
-    let failed = |error: std::io::Error| StoreError::of_disk(folder.to_owned(), error.into());
+    let failed =
+        |error: std::io::Error| StoreError::from_disk_failure(folder.to_owned(), error.into());
     std::fs::create_dir_all(folder).map_err(failed)?;
     let mut options = File::options();
     options.create(true).truncate(false).write(true);
@@ -97,13 +106,16 @@
     }
 }
 
+/// Opens a database file, or initializes it if it is empty.
 fn open_database(backend: Box<dyn StorageBackend>) -> Result<Database, DiskFailure> {
     let mut builder = Database::builder();
     builder.set_cache_size(CACHE_BYTES);
     Ok(builder.create_with_backend(BoxedBackend(backend))?)
 }
 
-/// Copies a folder's database into a new file that replaces it. Returns whether there was anything to copy.
+/// Copies a folder's database into a new file and replaces the old file by it.
+///
+/// Returns the new database, and whether there was anything to copy.
 fn rewrite_database(folder: &Path, disk: &SharedDisk) -> Result<(Database, bool), DiskFailure> {
     let file = folder.join(DATABASE_FILE);
     let new_file = folder.join(NEW_DATABASE_FILE);
@@ -117,14 +129,16 @@
 }
 
 impl Store {
-    /// Opens a folder, creates it if it does not exist, and rewrites all that it holds.
+    /// Opens the store in a folder, which is created if it does not exist, and copies its data into a new file.
+    ///
+    /// `sync` is `true` except with the injected bug of unsynced writes.
     ///
     /// # Errors
-    /// If another process has the folder, it has another format, or the disk fails.
+    /// If another process has locked the folder, the folder has another format version, or the disk fails.
     pub fn open(folder: &Path, disk: &SharedDisk, sync: bool) -> Result<Store, StoreError> {
         let lock = lock_folder(folder)?;
         let (db, copied) = rewrite_database(folder, disk)
-            .map_err(|failure| StoreError::of_disk(folder.to_owned(), failure))?;
+            .map_err(|failure| StoreError::from_disk_failure(folder.to_owned(), failure))?;
         let store = Store {
             folder: folder.to_owned(),
             db,
@@ -139,6 +153,7 @@
         Ok(store)
     }
 
+    /// Checks that the folder has the format version of this program.
     fn check_format(&self) -> Result<(), StoreError> {
         let bytes = self.get(tables::FORMAT_KEY)?.unwrap_or_default();
         let found: u32 = postcard::from_bytes(&bytes).unwrap_or(0);
@@ -151,25 +166,27 @@
         })
     }
 
-    /// The folder.
+    /// Returns the data folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Number of writes since it was opened.
+    /// Returns the number of successful writes since the store was opened.
     pub fn writes(&self) -> u64 {
         self.writes
     }
 
-    /// Whether no write has failed since it was opened.
+    /// Returns whether no write has failed since the store was opened.
     pub fn is_healthy(&self) -> bool {
         self.failure.is_none()
     }
 
+    /// Converts a failure to an error that names this folder.
     fn error(&self, failure: impl Into<DiskFailure>) -> StoreError {
-        StoreError::of_disk(self.folder.clone(), failure.into())
+        StoreError::from_disk_failure(self.folder.clone(), failure.into())
     }
 
+    /// Returns an error if a failed write has broken the store.
     fn check_healthy(&self) -> Result<(), StoreError> {
         match &self.failure {
             Some(failure) => Err(self.error(failure.clone())),
@@ -177,15 +194,16 @@
         }
     }
 
-    /// Writes a batch. When this returns, the batch is on the disk.
+    /// Writes a batch in one transaction. The batch is durable when this returns without error.
     ///
     /// # Errors
-    /// If the disk fails; the store is broken then.
+    /// If the store is broken, or if the disk fails, which breaks the store.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         self.check_healthy()?;
-        // With the injected bug some writes are synced, as by an operating system that writes back now and then.
-        let synced_in_any_case = self.writes < SYNC_EVERY || self.writes.is_multiple_of(SYNC_EVERY);
-        match tables::write(&self.db, batch, self.sync || synced_in_any_case) {
+        // With the injected bug some writes are still synced, as by an operating system that writes back now and then.
+        let synced_despite_bug = self.writes < INJECTED_BUG_SYNC_INTERVAL
+            || self.writes.is_multiple_of(INJECTED_BUG_SYNC_INTERVAL);
+        match tables::write(&self.db, batch, self.sync || synced_despite_bug) {
             Ok(()) => {
                 self.writes += 1;
                 Ok(())
@@ -198,50 +216,50 @@
         }
     }
 
-    /// A named value.
+    /// Returns the value of a key, other than log entries.
     ///
     /// # Errors
-    /// If the store is broken or can't be read.
+    /// If the store is broken, or the database can't be read.
     pub fn get(&self, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
         self.check_healthy()?;
         tables::read_meta(&self.db, name).map_err(|error| self.error(error))
     }
 
-    /// The log entries of a range, in order.
+    /// Returns the serialized log entries of a range of indices, in ascending order.
     ///
     /// # Errors
-    /// If the store is broken or can't be read.
+    /// If the store is broken, or the database can't be read.
     pub fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Vec<u8>>, StoreError> {
         self.check_healthy()?;
         tables::read_entries(&self.db, range).map_err(|error| self.error(error))
     }
 
-    /// The last log entry.
+    /// Returns the serialized log entry with the highest index.
     ///
     /// # Errors
-    /// If the store is broken or can't be read.
+    /// If the store is broken, or the database can't be read.
     pub fn last_entry(&self) -> Result<Option<Vec<u8>>, StoreError> {
         self.check_healthy()?;
         tables::read_last_entry(&self.db).map_err(|error| self.error(error))
     }
 
-    /// The voter's identity; none while the folder belongs to no cluster.
+    /// Returns the voter's identity, or `None` if the folder has no identity that can be decoded.
     ///
     /// # Errors
-    /// If the store is broken or can't be read.
+    /// If the store is broken, or the database can't be read.
     pub fn identity(&self) -> Result<Option<VoterIdentity>, StoreError> {
         let bytes = self.get(IDENTITY_KEY)?;
         Ok(bytes.and_then(|bytes| postcard::from_bytes(&bytes).ok()))
     }
 
-    /// Gives the folder an identity. One that it has is never replaced.
+    /// Stores the voter's identity. Does nothing if the folder has the same identity already.
     ///
     /// # Errors
-    /// If it has another identity, or the disk fails.
+    /// If the folder has another identity, which is never replaced, or if the store is broken or the disk fails.
     pub fn write_identity(&mut self, identity: &VoterIdentity) -> Result<(), StoreError> {
         match self.identity()? {
             Some(found) if found == *identity => Ok(()),
-            Some(found) => Err(StoreError::OtherIdentity {
+            Some(found) => Err(StoreError::IdentityMismatch {
                 folder: self.folder.clone(),
                 found,
             }),
--- a/crates/consensus/src/store/tables.rs
+++ b/crates/consensus/src/store/tables.rs
@@ -1,17 +1,17 @@
-//! The tables of the database file, and their transactions.
+//! The tables of the database file, and the transactions that read and write them.
 
 use super::{Batch, DiskFailure, FORMAT_VERSION};
 use redb::{Database, Durability, ReadableTable, TableDefinition};
 use std::ops::RangeBounds;
 
-/// Log entries by index.
+/// Table of the serialized log entries by log index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Named values: format, identity, vote, snapshot.
+/// Table of all other values by key: format version, identity, vote, last purged log id, and snapshot.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The named value that holds the format version.
+/// Key of the format version of the data folder.
 pub(super) const FORMAT_KEY: &str = "form";
 
-/// Writes a batch in one transaction.
+/// Writes a batch in one transaction. Without `sync`, the commit is atomic but not durable.
 pub(super) fn write(db: &Database, batch: &Batch, sync: bool) -> Result<(), redb::Error> {
     let mut transaction = db.begin_write()?;
     let durability = if sync {
@@ -40,14 +40,14 @@
     Ok(())
 }
 
-/// A named value.
+/// Returns the value of a key in the `meta` table.
 pub(super) fn read_meta(db: &Database, name: &str) -> Result<Option<Vec<u8>>, redb::Error> {
     let table = db.begin_read()?.open_table(META)?;
     let value = table.get(name)?;
     Ok(value.map(|value| value.value().to_vec()))
 }
 
-/// The log entries of a range, in order.
+/// Returns the log entries of a range of indices, in ascending order.
 pub(super) fn read_entries(
     db: &Database,
     range: impl RangeBounds<u64>,
@@ -60,22 +60,23 @@
     Ok(entries)
 }
 
-/// The last log entry.
+/// Returns the log entry with the highest index.
 pub(super) fn read_last_entry(db: &Database) -> Result<Option<Vec<u8>>, redb::Error> {
     let table = db.begin_read()?.open_table(LOG)?;
     let last = table.last()?;
     Ok(last.map(|(_, value)| value.value().to_vec()))
 }
 
-/// All that a database file holds.
+/// The complete contents of a database file.
 #[derive(Default)]
 struct Contents {
     entries: Vec<(u64, Vec<u8>)>,
     meta: Vec<(String, Vec<u8>)>,
 }
 
-/// Copies one database file to a fresh one. Returns whether there was anything to copy; if not, the fresh one gets the
-/// current format version.
+/// Copies the contents of a database to a new, empty one. Returns whether there was anything to copy.
+///
+/// If there was nothing to copy, writes the current format version to the new database.
 pub(super) fn copy(from: Option<&Database>, to: &Database) -> Result<bool, DiskFailure> {
     let mut contents = match from {
         Some(from) => read_all(from)?,
@@ -90,6 +91,7 @@
     Ok(has_contents)
 }
 
+/// Reads a whole database. A database without tables has never been written, so its contents are empty.
 fn read_all(db: &Database) -> Result<Contents, redb::Error> {
     let mut contents = Contents::default();
     let transaction = db.begin_read()?;
@@ -113,6 +115,7 @@
     Ok(contents)
 }
 
+/// Writes the contents to a database in one durable transaction.
 fn write_all(db: &Database, contents: &Contents) -> Result<(), redb::Error> {
     let transaction = db.begin_write()?;
     {
