--- a/crates/consensus/src/node/confirmed_requests.rs
+++ b/crates/consensus/src/node/confirmed_requests.rs
@@ -1,5 +1,7 @@
-//! Requests to the state machine. One confirmation by a majority serves all that wait; see Ongaro's thesis, section
-//! 6.4, on linearizable reads.
+//! Handles requests to the state machine after a majority of voters has confirmed this voter as leader.
+//!
+//! All requests that are waiting share one confirmation. This makes responses linearizable; see Ongaro, "Consensus:
+//! Bridging Theory and Practice" (2014), section 6.4, on linearizable reads with a read index.
 
 use super::{Shared, WaitingRequest};
 use crate::connection::PeerResponse;
@@ -14,20 +16,20 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Time for a majority to confirm the leader.
+/// Time limit for a majority of voters to confirm this voter as leader.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for a command to be committed.
+/// Time limit for the commit of one command.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// This voter is not confirmed as leader.
+/// The error of a voter that is not the leader, or that no majority confirmed as leader in time.
 struct NotLeader {
-    /// The slot of the voter that may be.
+    /// The slot of the voter that is the leader according to this voter, if it knows one.
     other: Option<VoterSlot>,
 }
 
 impl Shared {
-    /// Handles requests to the state machine in batches, for ever.
-    pub(super) async fn handle_confirmed(
+    /// Handles requests to the state machine in batches, until the process ends.
+    pub(super) async fn handle_waiting_requests(
         self: Arc<Shared>,
         mut waiting: mpsc::Receiver<WaitingRequest>,
     ) {
@@ -41,7 +43,7 @@
                 Err(not_leader) => {
                     for request in batch {
                         let response = PeerResponse::NotLeader(not_leader.other);
-                        let _ = request.respond.send(response); // The sender may be gone.
+                        let _ = request.respond.send(response); // The receiver is dropped if its connection closed.
                     }
                 }
             }
@@ -54,11 +56,13 @@
             let handled = lock(&self.state_machine).handle_request(now, &request.body);
             self.spawn_commits(raft, handled.commands);
             let response = PeerResponse::StateMachine(handled.response);
-            let _ = request.respond.send(response); // The sender may be gone.
+            let _ = request.respond.send(response); // The receiver is dropped if its connection closed.
         }
     }
 
-    /// Confirms that this voter leads, and has applied all that was committed before the call.
+    /// Waits until a majority confirms this voter as leader and all entries committed before the call are applied.
+    ///
+    /// With the injected bug `unconfirmed_leader`, a leader returns at once.
     async fn confirm_leadership(&self) -> Result<Raft, NotLeader> {
         let raft = self.raft().ok_or(NotLeader { other: None })?;
         let (state, own_id, leader) = {
@@ -81,8 +85,10 @@
         }
     }
 
-    /// Has commands committed, without waiting for them. A command that is lost with its leader is submitted again by
-    /// whoever needs it.
+    /// Proposes commands to openraft without waiting for their commit.
+    ///
+    /// A command can be lost if the leader fails before the commit. There is no retry here: the state machine or a
+    /// member must issue the command again.
     pub(super) fn spawn_commits(&self, raft: &Raft, commands: Vec<Vec<u8>>) {
         for command in commands {
             let raft = raft.clone();
--- a/crates/consensus/src/node/error.rs
+++ b/crates/consensus/src/node/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a member's part in the consensus. Their messages are printed by operators' commands.
+//! Errors of requests to voters, of running a voter, and of membership changes. Operators' commands print the messages.
 
 use crate::connection::ConnectionError;
 use crate::raft::OpenError;
@@ -13,28 +13,28 @@
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// No voter responded in time.
-    #[error("no decider answered")]
+    #[error("no decider responded in time")]
     NoResponse,
-    /// The voters that responded know no leader that a majority confirms.
-    #[error("no decider leads with a majority")]
+    /// No voter that responded was confirmed as leader by a majority.
+    #[error("no decider is confirmed as leader by a majority")]
     NoLeader,
     /// A voter rejected the request.
     #[error("decider {slot}: {reason}")]
     Rejected {
         /// The voter's slot.
         slot: VoterSlot,
-        /// What it said.
+        /// The reason that the voter gave.
         reason: String,
     },
-    /// A voter responded to another request.
-    #[error("decider {0} answered another question")]
+    /// A voter sent a response that does not match the request.
+    #[error("decider {0} sent a response that does not match the request")]
     UnexpectedResponse(VoterSlot),
     /// A voter could not be reached.
     #[error("decider {slot}: {source}")]
     Connection {
         /// The voter's slot.
         slot: VoterSlot,
-        /// Why.
+        /// The error of the connection.
         source: ConnectionError,
     },
 }
@@ -43,14 +43,14 @@
 #[derive(Debug, Error)]
 pub enum VoterRequestError {
     /// The settings have no voter at this slot.
-    #[error("decider {0} is not in the file")]
+    #[error("decider {0} is not in the settings")]
     UnknownSlot(VoterSlot),
     /// The voter could not be reached.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
 }
 
-/// Why a voter does not take part, or no longer does.
+/// Why a voter could not start, or stopped running.
 #[derive(Debug, Error)]
 pub(super) enum VoterError {
     #[error("fleet.folder is missing")]
@@ -63,7 +63,7 @@
         "fleet.folder {}: belongs to decider {} of fleet {}; give this decider its own folder",
         folder.display(), crate::settings::slot_of(found.node_id), found.fleet
     )]
-    OtherIdentity {
+    IdentityMismatch {
         folder: PathBuf,
         found: VoterIdentity,
     },
@@ -78,58 +78,58 @@
 /// Why voters can't be bootstrapped, readmitted or removed.
 #[derive(Debug, Error)]
 pub(super) enum MembershipError {
-    #[error("it is no decider")]
-    NoVoter,
-    #[error("its disk is not open")]
+    #[error("this member is not a decider")]
+    MemberNotAVoter,
+    #[error("this decider's data folder is not open")]
     StoreNotOpen,
     #[error(transparent)]
     Store(#[from] StoreError),
-    #[error("the marker is for another seat or fleet")]
-    OtherIdentity,
+    #[error("the marker names another seat or fleet")]
+    IdentityMismatch,
     #[error("the fleet is founded already")]
     AlreadyBootstrapped,
-    #[error("decider {0} belongs to a founded fleet already")]
+    #[error("decider {0} already belongs to a fleet")]
     VoterAlreadyBootstrapped(VoterSlot),
-    #[error("decider {slot}: {source}; all must be there to found a fleet")]
-    VoterMissing {
+    #[error("decider {slot}: {source}; all deciders must be reachable to found a fleet")]
+    VoterUnreachable {
         slot: VoterSlot,
         source: ConnectionError,
     },
-    #[error("decider {slot}: {source}; found again")]
+    #[error("decider {slot}: {source}; run `beamgap fleet found` again")]
     BootstrapInterrupted {
         slot: VoterSlot,
         source: ConnectionError,
     },
     #[error("decider {slot}: {reason}")]
     Rejected { slot: VoterSlot, reason: String },
-    #[error("decider {0} answered another question")]
+    #[error("decider {0} sent a response that does not match the request")]
     UnexpectedResponse(VoterSlot),
     #[error("decider {slot}: {source}")]
     Connection {
         slot: VoterSlot,
         source: ConnectionError,
     },
-    #[error("the decider did not start in five seconds")]
+    #[error("this decider did not start within five seconds")]
     StartTimedOut,
-    #[error("decider {0} is not in the file")]
+    #[error("decider {0} is not in the settings")]
     UnknownSlot(VoterSlot),
-    #[error("its folder is blank or broken")]
-    NotTakingPart,
-    #[error("its folder is blank")]
+    #[error("this decider does not run: its folder has no marker, or its disk failed")]
+    NotRunning,
+    #[error("this decider's folder has no marker")]
     NoIdentity,
-    #[error("decider {} leads: ask that one", .0.map_or("nobody".to_owned(), |slot| slot.to_string()))]
+    #[error("this decider is not the leader; leader: {}", .0.map_or("nobody".to_owned(), |slot| slot.to_string()))]
     NotLeader(Option<VoterSlot>),
-    #[error("decider {0} leads and can't be removed; end it first, then another leads")]
+    #[error("decider {0} is the leader and can't be removed; stop it first, so that another becomes leader")]
     LeaderNotRemovable(VoterSlot),
-    #[error("decider {0} has no vote")]
+    #[error("decider {0} is not a voter")]
     NotAVoter(VoterSlot),
-    #[error("without decider {0} a single one would be left; readmit another first")]
+    #[error("without decider {0} a single voter would be left; readmit another decider first")]
     TooFewVoters(VoterSlot),
-    #[error("decider {0} has its disk: it is no blank")]
-    HasItsDisk(VoterSlot),
-    #[error("it did not catch up in ten seconds")]
+    #[error("decider {0} is a voter already, under the id in its folder")]
+    AlreadyAVoter(VoterSlot),
+    #[error("the decider did not catch up with the log within ten seconds")]
     CatchUpTimedOut,
-    #[error("the change was not agreed on in ten seconds")]
+    #[error("the change of deciders was not committed within ten seconds")]
     ChangeTimedOut,
     #[error(transparent)]
     Fatal(#[from] Fatal<u64>),
@@ -140,8 +140,8 @@
 }
 
 impl MembershipError {
-    /// The error of a bootstrap that other voters have begun to follow.
-    pub(super) fn while_bootstrapping(self) -> MembershipError {
+    /// Converts a connection error into that of an interrupted bootstrap, which the operator can repeat.
+    pub(super) fn during_bootstrap(self) -> MembershipError {
         match self {
             MembershipError::Connection { slot, source } => {
                 MembershipError::BootstrapInterrupted { slot, source }
--- a/crates/consensus/src/node/membership.rs
+++ b/crates/consensus/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! The voters of a cluster: bootstrapping, readmitting one that lost its disk, removing one.
+//! Changes of a cluster's voters: bootstrap, readmission of a voter that lost its disk, and removal.
 
 use super::error::MembershipError;
 use super::voter::TICK_INTERVAL;
@@ -14,32 +14,35 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Time for a change of voters to be committed, and for a learner to catch up.
+/// Time limit for the commit of a membership change, and separately for a learner to catch up with the log.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a voter to report its status.
+/// Time limit for another voter to report its status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for a voter to write its identity.
+/// Time limit for another voter to store its identity, which includes an fsync.
 const IDENTITY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Ticks that a voter with an identity has to start: five seconds.
-const START_TICKS: usize = 200;
+/// Number of ticks of [`TICK_INTERVAL`] that a voter has to start openraft after it got its identity: five seconds.
+const MAX_START_TICKS: usize = 200;
 
 impl Shared {
-    /// Bootstraps the fleet: every voter of the settings must be there, and blank or of this bootstrap.
+    /// Bootstraps the fleet: gives each voter of the settings its identity and initializes the Raft cluster.
+    ///
+    /// Every voter must be reachable and have an empty log. A bootstrap that failed midway can be repeated: it uses the
+    /// cluster id that this voter has stored already.
     pub(super) async fn bootstrap(&self) -> Result<(), MembershipError> {
-        let own_slot = self.settings.slot.ok_or(MembershipError::NoVoter)?;
+        let own_slot = self.settings.slot.ok_or(MembershipError::MemberNotAVoter)?;
         let own_identity = lock(self.store()?.as_ref()).identity()?;
         if let Some(raft) = self.raft() {
             if raft.is_initialized().await? {
                 return Err(MembershipError::AlreadyBootstrapped);
             }
         }
-        let drawn = self.settings.seed ^ self.now().to_bits().rotate_left(17);
-        let cluster_id = own_identity.map_or(drawn, |identity| identity.cluster_id);
+        let new_cluster_id = self.settings.seed ^ self.now().to_bits().rotate_left(17);
+        let cluster_id = own_identity.map_or(new_cluster_id, |identity| identity.cluster_id);
         let mut members = BTreeMap::new();
         for (slot, address) in &self.addresses {
             members.insert(*slot, BasicNode::new(address));
             if *slot != own_slot {
-                self.check_is_blank(*slot).await?;
+                self.check_log_is_empty(*slot).await?;
             }
         }
         for slot in self.addresses.keys() {
@@ -52,7 +55,7 @@
                 self.write_identity(&identity)?;
             } else {
                 let written = self.write_identity_of(*slot, identity).await;
-                written.map_err(MembershipError::while_bootstrapping)?;
+                written.map_err(MembershipError::during_bootstrap)?;
             }
         }
         let raft = self.wait_for_raft().await?;
@@ -60,8 +63,8 @@
         Ok(())
     }
 
-    /// Checks that the voter at a slot is there and has an empty log.
-    async fn check_is_blank(&self, slot: VoterSlot) -> Result<(), MembershipError> {
+    /// Checks that the voter at a slot is reachable and has an empty log.
+    async fn check_log_is_empty(&self, slot: VoterSlot) -> Result<(), MembershipError> {
         let connection = self.connection(slot);
         let mut connection = connection.ok_or(MembershipError::UnknownSlot(slot))?;
         let request = PeerRequest::Status;
@@ -69,19 +72,19 @@
             Ok(PeerResponse::Status(status)) if status.log == LogIndices::default() => Ok(()),
             Ok(PeerResponse::Status(_)) => Err(MembershipError::VoterAlreadyBootstrapped(slot)),
             Ok(_) => Err(MembershipError::UnexpectedResponse(slot)),
-            Err(source) => Err(MembershipError::VoterMissing { slot, source }),
+            Err(source) => Err(MembershipError::VoterUnreachable { slot, source }),
         }
     }
 
-    /// The open store of this voter.
+    /// Returns the open store of this voter, or an error while the disk fails or no voter runs here.
     fn store(&self) -> Result<SharedStore, MembershipError> {
         let store = lock(&self.voter).store.clone();
         store.ok_or(MembershipError::StoreNotOpen)
     }
 
-    /// Waits until this voter, which has got its identity, has started.
+    /// Waits until this voter, whose identity has been stored, has started openraft.
     async fn wait_for_raft(&self) -> Result<Raft, MembershipError> {
-        for _ in 0..START_TICKS {
+        for _ in 0..MAX_START_TICKS {
             if let Some(raft) = self.raft() {
                 return Ok(raft);
             }
@@ -90,9 +93,9 @@
         Err(MembershipError::StartTimedOut)
     }
 
-    /// This voter's openraft and its metrics, if it leads.
-    fn leading(&self) -> Result<(Raft, RaftMetrics<u64, BasicNode>), MembershipError> {
-        let raft = self.raft().ok_or(MembershipError::NotTakingPart)?;
+    /// Returns openraft and its metrics if this voter is the leader.
+    fn raft_if_leader(&self) -> Result<(Raft, RaftMetrics<u64, BasicNode>), MembershipError> {
+        let raft = self.raft().ok_or(MembershipError::NotRunning)?;
         let metrics = raft.metrics().borrow().clone();
         if metrics.state != ServerState::Leader {
             let leader = metrics.current_leader.map(slot_of);
@@ -101,12 +104,12 @@
         Ok((raft, metrics))
     }
 
-    /// Removes the voter at a slot. It keeps its folder, and can be readmitted.
+    /// Removes the voter at a slot from the cluster. Its data folder is left as it is, and it can be readmitted later.
     pub(super) async fn remove(&self, slot: VoterSlot) -> Result<(), MembershipError> {
         if self.settings.slot == Some(slot) {
             return Err(MembershipError::LeaderNotRemovable(slot));
         }
-        let (raft, metrics) = self.leading()?;
+        let (raft, metrics) = self.raft_if_leader()?;
         let before: BTreeSet<u64> = metrics.membership_config.membership().voter_ids().collect();
         let after: BTreeSet<u64> = before
             .iter()
@@ -122,15 +125,20 @@
         change_voters(&raft, after).await
     }
 
-    /// Gives a voter that lost its disk a new node id in its slot; its old id never votes again. Also admits one whose
-    /// slot had no voter before.
+    /// Readmits a voter that lost its disk, under a new node id in the same slot.
+    ///
+    /// The old node id never votes again, because the votes that it gave are forgotten.
+    /// Also admits a voter at a slot that had no voter before.
     pub(super) async fn readmit(&self, slot: VoterSlot) -> Result<(), MembershipError> {
-        let (raft, metrics) = self.leading()?;
-        let own = lock(self.store()?.as_ref()).identity()?;
-        let own = own.ok_or(MembershipError::NoIdentity)?;
+        let (raft, metrics) = self.raft_if_leader()?;
+        let own_identity = lock(self.store()?.as_ref()).identity()?;
+        let own_identity = own_identity.ok_or(MembershipError::NoIdentity)?;
         let status = self.status_of(slot).await?;
-        let node_id = readmitted_id(slot, &status, &metrics)?;
-        let identity = VoterIdentity { node_id, ..own };
+        let node_id = node_id_for_readmission(slot, &status, &metrics)?;
+        let identity = VoterIdentity {
+            node_id,
+            ..own_identity
+        };
         self.write_identity_of(slot, identity).await?;
         let address = self.addresses.get(&slot);
         let address = address.ok_or(MembershipError::UnknownSlot(slot))?;
@@ -143,6 +151,7 @@
         change_voters(&raft, after).await
     }
 
+    /// Requests the status of the voter at a slot.
     async fn status_of(&self, slot: VoterSlot) -> Result<Box<VoterStatus>, MembershipError> {
         let connection = self.connection(slot);
         let mut connection = connection.ok_or(MembershipError::UnknownSlot(slot))?;
@@ -154,7 +163,7 @@
         }
     }
 
-    /// Gives another voter its identity.
+    /// Sends an identity to the voter at a slot, which stores it and starts to take part in the consensus.
     async fn write_identity_of(
         &self,
         slot: VoterSlot,
@@ -172,8 +181,11 @@
     }
 }
 
-/// The node id that a readmitted voter gets: its own if its disk has one that has no vote, else the next of its slot.
-fn readmitted_id(
+/// Returns the node id for a voter that is to be readmitted.
+///
+/// A voter whose disk stores a node id without a vote is readmitted under this id.
+/// A voter whose disk stores no node id gets the next unused id of its slot.
+fn node_id_for_readmission(
     slot: VoterSlot,
     status: &VoterStatus,
     metrics: &RaftMetrics<u64, BasicNode>,
@@ -181,17 +193,18 @@
     let membership = metrics.membership_config.membership();
     match status.node_id {
         Some(id) if membership.voter_ids().any(|voter| voter == id) => {
-            Err(MembershipError::HasItsDisk(slot))
+            Err(MembershipError::AlreadyAVoter(slot))
         }
         Some(id) => Ok(id),
         None => {
             let known = membership.nodes().map(|(id, _)| *id);
-            let newest = known.filter(|id| slot_of(*id) == slot).max();
-            Ok(newest.unwrap_or(slot) + SLOT_STRIDE)
+            let highest = known.filter(|id| slot_of(*id) == slot).max();
+            Ok(highest.unwrap_or(slot) + SLOT_STRIDE)
         }
     }
 }
 
+/// Replaces the cluster's voters by `voters`, and drops voters that are not among them from the membership.
 async fn change_voters(raft: &Raft, voters: BTreeSet<u64>) -> Result<(), MembershipError> {
     let changed = timeout(CHANGE_TIMEOUT, raft.change_membership(voters, false)).await;
     changed.map_err(|_| MembershipError::ChangeTimedOut)??;
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -1,12 +1,12 @@
-//! A member's part in the consensus, on a thread of its own: as a voter, and as a client of the leader.
+//! A member of the fleet, which runs on its own thread as a client of the leader and, optionally, as a voter.
 //!
-//! - `voter`: opens the disk, takes part, and stands aside while the disk fails.
-//! - `peer_requests`: responses to other members.
-//! - `confirmed_requests`: requests to the state machine that wait for a majority's confirmation.
-//! - `membership`: bootstrapping, readmitting and removing voters.
-//! - [`LeaderClient`]: requests to the leader.
+//! - `voter`: opens the disk, runs openraft, and restarts both after a disk failure.
+//! - `peer_requests`: responds to the requests of other members.
+//! - `confirmed_requests`: handles requests to the state machine after a majority has confirmed the leader.
+//! - `membership`: bootstraps the fleet, and readmits and removes voters.
+//! - [`LeaderClient`]: sends requests to the leader.
 
-#![allow(clippy::result_large_err)] // openraft's error types; none of these calls is frequent
+#![allow(clippy::result_large_err)] // openraft's error types are large; these functions are called rarely
 
 mod confirmed_requests;
 mod error;
@@ -35,18 +35,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// Time for a member's own request, over all voters.
+/// Time limit for a request of this member, including attempts at several voters.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(350);
-/// Requests that wait for the leader to be confirmed, at most.
+/// Maximum number of requests that wait at this voter for the confirmation of its leadership.
 const MAX_WAITING_REQUESTS: usize = 4096;
-/// Requests of this member that have no response yet, at most.
+/// Maximum number of requests of this member that wait to be sent to the leader.
 const MAX_OWN_REQUESTS: usize = 64;
-/// The thread's name.
+/// Name of the thread that runs a member.
 const THREAD_NAME: &str = "consensus";
 
 type SharedStateMachine = Arc<Mutex<dyn StateMachine>>;
 
-/// A request to the leader's state machine.
+/// A request of this member to the leader's state machine.
 struct TaggedRequest {
     tag: u64,
     body: Vec<u8>,
@@ -55,19 +55,19 @@
 /// The outcome of a request that this member submitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaggedResponse {
-    /// The tag that the request was submitted under.
+    /// The tag that the caller passed to [`ConsensusNode::submit`].
     pub tag: u64,
-    /// The leader's response; none if no leader responded in time.
+    /// The leader's response, or `None` if no leader responded in time.
     pub body: Option<Vec<u8>>,
 }
 
-/// A request of any member that waits until this voter is confirmed as leader.
+/// A request of any member that waits at this voter until a majority confirms the voter as leader.
 struct WaitingRequest {
     body: Vec<u8>,
     respond: oneshot::Sender<PeerResponse>,
 }
 
-/// A member's handle on the consensus. The thread behind it runs as long as the process.
+/// The handle of a member. Its thread keeps running until the process ends, even if the handle is dropped.
 pub struct ConsensusNode {
     address: Option<SocketAddr>,
     requests: mpsc::Sender<TaggedRequest>,
@@ -75,31 +75,31 @@
     shared: Arc<Shared>,
 }
 
-/// What the tasks of a member share.
+/// State that is shared between the handle and the tasks of a member.
 struct Shared {
     settings: Settings,
-    /// The voters' addresses by slot; this voter's is the one that it listens on.
+    /// The addresses of all voters by slot. For this voter it is the address of its listener.
     addresses: BTreeMap<VoterSlot, SocketAddr>,
     state_machine: SharedStateMachine,
     voter: Mutex<VoterState>,
     waiting: mpsc::Sender<WaitingRequest>,
-    /// Notified when the folder gets its identity.
+    /// Notified when an identity has been written to the data folder.
     identity_written: Notify,
     traffic: Arc<TrafficCounters>,
 }
 
-/// What a voter has open. All empty at a member that is no voter.
+/// The open resources of a voter. All fields are empty at a member that is not a voter.
 #[derive(Default)]
 struct VoterState {
     store: Option<SharedStore>,
     raft: Option<Raft>,
     pre_vote: Option<PreVote>,
     cluster_id: Option<u64>,
-    /// The state of the disk, in words for the operator.
+    /// The disk's state as shown to the operator: `good`, the text of the last error, or empty before the first open.
     disk: String,
 }
 
-/// The ends of a node's channels that its thread holds.
+/// The ends of the channels that the member's thread uses.
 struct ThreadChannels {
     requests: mpsc::Receiver<TaggedRequest>,
     responses: std_mpsc::SyncSender<TaggedResponse>,
@@ -107,28 +107,29 @@
 }
 
 impl ConsensusNode {
-    /// Takes part in the consensus. A voter listens on `listener`. `wake` is called after each response that
-    /// [`responses`](ConsensusNode::responses) will return.
+    /// Starts the thread of a member. A voter passes the `listener` for connections from other members.
+    ///
+    /// The thread calls `on_response` whenever [`responses`](ConsensusNode::responses) has another response to return.
     ///
     /// # Errors
-    /// If the listener, the runtime or the thread can't be set up.
+    /// If the listener can't be configured, or the async runtime or the thread can't be created.
     pub fn start(
         settings: Settings,
         listener: Option<TcpListener>,
         disk: SharedDisk,
         state_machine: Arc<Mutex<dyn StateMachine>>,
-        wake: impl Fn() + Send + 'static,
+        on_response: impl Fn() + Send + 'static,
     ) -> io::Result<ConsensusNode> {
         let address = listener.as_ref().map(TcpListener::local_addr).transpose()?;
         if let Some(listener) = &listener {
             listener.set_nonblocking(true)?;
         }
-        let (requests, requests_of_member) = mpsc::channel(MAX_OWN_REQUESTS);
-        let (responses_to_member, responses) = std_mpsc::sync_channel(MAX_OWN_REQUESTS * 2);
+        let (requests, request_receiver) = mpsc::channel(MAX_OWN_REQUESTS);
+        let (response_sender, responses) = std_mpsc::sync_channel(MAX_OWN_REQUESTS * 2);
         let (waiting, waiting_requests) = mpsc::channel(MAX_WAITING_REQUESTS);
         let channels = ThreadChannels {
-            requests: requests_of_member,
-            responses: responses_to_member,
+            requests: request_receiver,
+            responses: response_sender,
             waiting: waiting_requests,
         };
         let shared = Arc::new(Shared::new(settings, address, state_machine, waiting));
@@ -136,7 +137,8 @@
             .enable_all()
             .build()?;
         let thread_shared = shared.clone();
-        let run = move || runtime.block_on(run(thread_shared, listener, disk, channels, wake));
+        let run =
+            move || runtime.block_on(run(thread_shared, listener, disk, channels, on_response));
         std::thread::Builder::new()
             .name(THREAD_NAME.into())
             .spawn(run)?;
@@ -148,47 +150,48 @@
         })
     }
 
-    /// The address that it listens on, if it is a voter.
+    /// Returns the address of the listener, or `None` if this member is not a voter.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Submits a request to the leader's state machine. Returns false if too many have no response yet.
+    /// Queues a request to the leader's state machine. Returns `false` if the queue of unsent requests is full.
     pub fn submit(&self, tag: u64, request: Vec<u8>) -> bool {
         let request = TaggedRequest { tag, body: request };
         self.requests.try_send(request).is_ok()
     }
 
-    /// The responses that have come since the last call.
+    /// Returns the responses that arrived since the last call, without waiting for more.
     pub fn responses(&self) -> impl Iterator<Item = TaggedResponse> + '_ {
         self.responses.try_iter()
     }
 
-    /// The status of this voter; mostly empty at a member that is no voter.
+    /// Returns the status of this voter. Most fields are empty at a member that is not a voter.
     pub fn status(&self) -> VoterStatus {
         self.shared.status()
     }
 }
 
-/// The work of a member's thread.
+/// Runs the tasks of a member on its thread.
 async fn run(
     shared: Arc<Shared>,
     listener: Option<TcpListener>,
     disk: SharedDisk,
     channels: ThreadChannels,
-    wake: impl Fn(),
+    on_response: impl Fn(),
 ) {
     if let Some(listener) = listener {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
             return;
         };
         spawn_server(shared.clone(), listener);
-        tokio::spawn(shared.clone().handle_confirmed(channels.waiting));
+        tokio::spawn(shared.clone().handle_waiting_requests(channels.waiting));
         tokio::spawn(shared.clone().run_voter(disk));
     }
-    forward_requests(&shared, channels.requests, channels.responses, wake).await;
+    forward_requests(&shared, channels.requests, channels.responses, on_response).await;
 }
 
+/// Starts the task that accepts connections from other members and responds to their requests.
 fn spawn_server(shared: Arc<Shared>, listener: tokio::net::TcpListener) {
     let traffic = shared.traffic.clone();
     let receiver = shared.clone();
@@ -208,15 +211,16 @@
     shared: &Shared,
     mut requests: mpsc::Receiver<TaggedRequest>,
     responses: std_mpsc::SyncSender<TaggedResponse>,
-    wake: impl Fn(),
+    on_response: impl Fn(),
 ) {
     let traffic = shared.traffic.clone();
     let mut client = LeaderClient::new(&shared.settings, &shared.addresses, traffic);
     while let Some(TaggedRequest { tag, body }) = requests.recv().await {
         let body = client.request(body, REQUEST_TIMEOUT).await.ok();
-        // A full channel means that nobody reads: the request is repeated later, this response would be too old by then.
+        // The response is dropped if the channel is full, because the caller is not reading. The caller sends the
+        // request again later, and this response would be outdated by then.
         if responses.try_send(TaggedResponse { tag, body }).is_ok() {
-            wake();
+            on_response();
         }
     }
 }
@@ -251,7 +255,7 @@
         lock(&self.voter).raft.clone()
     }
 
-    /// A new connection to the voter at a slot; none if the settings have no address for it.
+    /// Creates a connection to the voter at a slot. Returns `None` if the settings have no address for the slot.
     fn connection(&self, slot: VoterSlot) -> Option<Connection> {
         let address = *self.addresses.get(&slot)?;
         let handshake = Handshake::new(&self.settings.fleet, &self.settings.member);
@@ -259,14 +263,14 @@
     }
 }
 
-/// Where a log ends. Of two logs, the one with the greater end is more up to date.
+/// Term and index of the last log entry. A log is more up to date than another if its `LogEnd` is greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogEnd {
     term: u64,
     index: u64,
 }
 
-/// The end of a store's log; none if the store is broken.
+/// Returns the end of a store's log, or `None` if the store is broken.
 async fn log_end(store: &SharedStore) -> Option<LogEnd> {
     let state = LogStorage(store.clone()).get_log_state().await.ok()?;
     let (term, index) = match state.last_log_id {
--- a/crates/consensus/src/node/peer_requests.rs
+++ b/crates/consensus/src/node/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Responses of a voter to other members: openraft's messages, pre-votes, identities, status.
+//! The responses of a voter to other members: Raft RPCs, pre-votes, identities, status and membership changes.
 
 use super::error::MembershipError;
 use super::{log_end, LogEnd, Shared, WaitingRequest};
@@ -12,10 +12,13 @@
 use std::fmt::Display;
 use tokio::sync::oneshot;
 
-const NOT_THIS_NODE: &str = "its folder is blank or broken, or it lost what this id knew";
-const TOO_MANY_REQUESTS: &str = "too many questions wait";
+/// Reason for rejecting a Raft RPC that is addressed to a node id which does not run here.
+const NOT_THIS_NODE: &str =
+    "this node id does not run here: no marker in the folder, a failed disk, or another id in the seat";
+/// Reason for rejecting a request while the queue of waiting requests is full.
+const TOO_MANY_REQUESTS: &str = "too many requests are waiting";
 
-/// The response to an operation: done, or rejected with the reason.
+/// Converts the result of an operation to [`PeerResponse::Done`], or to a rejection with the error text.
 fn done_or_rejected<E: Display>(result: Result<(), E>) -> PeerResponse {
     match result {
         Ok(()) => PeerResponse::Done,
@@ -23,8 +26,8 @@
     }
 }
 
-/// The response of openraft, or a rejection with its error.
-fn or_rejected<T, E: Display>(
+/// Converts a result of openraft to the response that `response` makes of it, or to a rejection with the error text.
+fn response_or_rejected<T, E: Display>(
     result: Result<T, E>,
     response: impl FnOnce(T) -> PeerResponse,
 ) -> PeerResponse {
@@ -35,6 +38,7 @@
 }
 
 impl Shared {
+    /// Handles the request of another member and returns the response.
     pub(super) async fn respond(&self, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::AppendEntries(to, rpc) => match self.raft_with_id(to) {
@@ -42,11 +46,11 @@
                 None => PeerResponse::Rejected(NOT_THIS_NODE.to_owned()),
             },
             PeerRequest::Vote(to, rpc) => match self.raft_with_id(to) {
-                Some(raft) => or_rejected(raft.vote(rpc).await, PeerResponse::Vote),
+                Some(raft) => response_or_rejected(raft.vote(rpc).await, PeerResponse::Vote),
                 None => PeerResponse::Rejected(NOT_THIS_NODE.to_owned()),
             },
             PeerRequest::InstallSnapshot(to, rpc) => match self.raft_with_id(to) {
-                Some(raft) => or_rejected(
+                Some(raft) => response_or_rejected(
                     raft.install_snapshot(rpc).await,
                     PeerResponse::InstallSnapshot,
                 ),
@@ -66,7 +70,7 @@
         }
     }
 
-    /// This voter's openraft, if it has this node id.
+    /// Returns this voter's openraft if it runs under `node_id`.
     fn raft_with_id(&self, node_id: u64) -> Option<Raft> {
         let raft = self.raft()?;
         let is_this_node = raft.metrics().borrow().id == node_id;
@@ -80,15 +84,17 @@
     ) -> PeerResponse {
         let result = raft.append_entries(rpc).await;
         if let Ok(response) = &result {
-            // One that is behind in its term is no leader any more.
+            // `HigherVote` means that the sender's term is outdated: it is not the leader, so this is no heartbeat.
             if !matches!(response, AppendEntriesResponse::HigherVote(_)) {
                 self.heartbeat_received(self.now());
             }
         }
-        or_rejected(result, PeerResponse::AppendEntries)
+        response_or_rejected(result, PeerResponse::AppendEntries)
     }
 
-    /// Whether this voter would vote for one whose log ends there: it has no leader, and no more in its own log.
+    /// Returns whether this voter grants a pre-vote to a voter whose log ends at `candidate`.
+    ///
+    /// The conditions are that this voter has no leader, and that its own log is not more up to date.
     async fn grants_pre_vote(&self, candidate: LogEnd) -> bool {
         let store = {
             let voter = lock(&self.voter);
@@ -101,6 +107,7 @@
         let now = self.now();
         let has_leader = match &lock(&self.voter).pre_vote {
             Some(pre_vote) => pre_vote.has_leader(now),
+            // Before the first tick this voter can't know whether there is a leader, so it grants nothing.
             None => true,
         };
         if has_leader {
@@ -110,7 +117,7 @@
         own.is_some_and(|own| candidate >= own)
     }
 
-    /// Has a request wait for the leader's confirmation, and waits for the response.
+    /// Queues a request until a majority confirms this voter as leader, and waits for the response.
     async fn enqueue(&self, body: Vec<u8>) -> PeerResponse {
         let (respond, response) = oneshot::channel();
         if self
@@ -123,11 +130,11 @@
         response.await.unwrap_or(PeerResponse::NotLeader(None))
     }
 
-    /// Gives this voter's folder an identity.
+    /// Stores an identity in this voter's data folder, and wakes the task that waits for it.
     pub(super) fn write_identity(&self, identity: &VoterIdentity) -> Result<(), MembershipError> {
         let is_own_slot = Some(slot_of(identity.node_id)) == self.settings.slot;
         if identity.fleet != self.settings.fleet || !is_own_slot {
-            return Err(MembershipError::OtherIdentity);
+            return Err(MembershipError::IdentityMismatch);
         }
         let store = lock(&self.voter).store.clone();
         let store = store.ok_or(MembershipError::StoreNotOpen)?;
@@ -136,6 +143,7 @@
         Ok(())
     }
 
+    /// Returns this voter's status: roles `blank` and `broken` mean that openraft does not run.
     pub(super) fn status(&self) -> VoterStatus {
         let (raft, store, disk) = {
             let voter = lock(&self.voter);
@@ -158,13 +166,14 @@
             status.node_id = identity.map(|identity| identity.node_id);
         }
         if let Some(raft) = raft {
-            fill_in_raft(&mut status, &raft);
+            add_raft_status(&mut status, &raft);
         }
         status
     }
 }
 
-fn fill_in_raft(status: &mut VoterStatus, raft: &Raft) {
+/// Adds the fields that openraft's metrics provide to a status.
+fn add_raft_status(status: &mut VoterStatus, raft: &Raft) {
     let metrics = raft.metrics().borrow().clone();
     status.role = format!("{:?}", metrics.state).to_lowercase();
     status.term = metrics.current_term;
--- a/crates/consensus/src/node/voter.rs
+++ b/crates/consensus/src/node/voter.rs
@@ -1,4 +1,4 @@
-//! A voter: opens its disk, takes part in the consensus, and stands for election.
+//! Runs a voter: opens its disk, runs openraft, and starts elections when the pre-vote permits.
 
 use super::error::VoterError;
 use super::{log_end, Shared};
@@ -17,47 +17,50 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Interval at which a voter looks after its part.
+/// Interval between the ticks of a voter, which check the disk, the leadership and the election timeout.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Pause before a disk that failed is opened again, and between looks at an identity.
+/// Delay before a failed disk is opened again, and maximum delay between two checks for an identity.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Time for openraft to shut down. It may hang on a store that is broken.
+/// Time limit for openraft to shut down, because the shutdown can hang when the store is broken.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for another voter to respond to a pre-vote request.
+/// Time limit for another voter to respond to a pre-vote request.
 const PRE_VOTE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pre-votes that were received and not looked at yet, at most.
+/// Maximum number of pre-vote responses that wait for the next tick. Further responses are dropped.
 const MAX_QUEUED_PRE_VOTES: usize = 64;
-/// Log entries between snapshots.
-const SNAPSHOT_INTERVAL: u64 = 500;
-/// Log entries kept behind a snapshot, for voters that lag a little.
-const ENTRIES_KEPT: u64 = 200;
-/// Entries in one append request.
+/// Number of log entries after which openraft takes another snapshot.
+const ENTRIES_BETWEEN_SNAPSHOTS: u64 = 500;
+/// Number of log entries kept although a snapshot covers them, so that a voter that lags a little needs no snapshot.
+const ENTRIES_KEPT_AFTER_SNAPSHOT: u64 = 200;
+/// Maximum number of log entries in one AppendEntries request.
 const MAX_ENTRIES_PER_APPEND: u64 = 100;
-/// Size of a part of a snapshot that is sent, in bytes.
+/// Maximum size of a chunk of a snapshot in one InstallSnapshot request, in bytes.
 const SNAPSHOT_CHUNK_BYTES: u64 = 256 * 1024;
-/// openraft's own election timeouts, in milliseconds. They bound its waits; elections are started by the pre-vote.
+/// Minimum and maximum of openraft's own election timeout, in milliseconds.
+///
+/// The timeout only bounds waits inside openraft, because elections are started by the pre-vote.
 const RAFT_ELECTION_TIMEOUT_MS: (u64, u64) = (300, 500);
 
-/// The state of a healthy disk, in words.
-const DISK_GOOD: &str = "good";
+/// Text for a healthy disk in the status that operators see.
+const HEALTHY_DISK_TEXT: &str = "good";
 
-/// A voter's response to a pre-vote request.
+/// Another voter's response to a pre-vote request of this voter.
 struct PreVoteResponse {
     round: u64,
     granted: bool,
 }
 
-/// A voter that takes part.
+/// A running voter, with its openraft instance and its open store.
 struct RunningVoter {
     raft: Raft,
     store: SharedStore,
     node_id: u64,
-    /// Node ids of the other voters, as last seen.
-    others: BTreeSet<u64>,
+    /// Node ids of the other voters, as of the last tick.
+    other_voters: BTreeSet<u64>,
     pre_votes: mpsc::Receiver<PreVoteResponse>,
     pre_vote_sender: mpsc::Sender<PreVoteResponse>,
 }
 
+/// Returns the validated configuration of openraft.
 fn raft_config(fleet: &str) -> Result<openraft::Config, ConfigError> {
     let config = openraft::Config {
         cluster_name: fleet.to_owned(),
@@ -65,10 +68,10 @@
         election_timeout_min: RAFT_ELECTION_TIMEOUT_MS.0,
         election_timeout_max: RAFT_ELECTION_TIMEOUT_MS.1,
         max_payload_entries: MAX_ENTRIES_PER_APPEND,
-        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL),
-        max_in_snapshot_log_to_keep: ENTRIES_KEPT,
+        snapshot_policy: SnapshotPolicy::LogsSinceLast(ENTRIES_BETWEEN_SNAPSHOTS),
+        max_in_snapshot_log_to_keep: ENTRIES_KEPT_AFTER_SNAPSHOT,
         snapshot_max_chunk_size: SNAPSHOT_CHUNK_BYTES,
-        // Elections are started by the pre-vote.
+        // openraft must not start elections by itself, because the pre-vote decides when to start one.
         enable_elect: false,
         ..openraft::Config::default()
     };
@@ -76,10 +79,10 @@
 }
 
 impl Shared {
-    /// Takes part as a voter, for ever: whenever the disk fails, stands aside and opens it again.
+    /// Runs this voter until the process ends. After each failure, stops openraft and opens the disk again.
     pub(super) async fn run_voter(self: Arc<Shared>, disk: SharedDisk) {
         loop {
-            if let Err(error) = self.open_and_take_part(&disk).await {
+            if let Err(error) = self.open_and_run(&disk).await {
                 tracing::error!(target: "fleet", %error, "voter stands aside");
                 lock(&self.voter).disk = error.to_string();
             }
@@ -92,15 +95,15 @@
                 voter.raft.take()
             };
             if let Some(raft) = raft {
-                // One that hangs in its shutdown holds nothing that counts: its store is broken or closed.
+                // A timeout is harmless: an openraft that hangs can't write, because its store is broken or closed.
                 let _ = timeout(SHUTDOWN_TIMEOUT, raft.shutdown()).await;
             }
             sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Opens the disk, waits for an identity, and takes part until the disk fails.
-    async fn open_and_take_part(&self, disk: &SharedDisk) -> Result<(), VoterError> {
+    /// Opens the disk, waits for an identity, and runs openraft until the disk or openraft fails.
+    async fn open_and_run(&self, disk: &SharedDisk) -> Result<(), VoterError> {
         let settings = &self.settings;
         let folder = settings.data_dir.as_ref().ok_or(VoterError::NoDataDir)?;
         let sync = !settings.injected_bugs.unsynced_writes;
@@ -108,15 +111,16 @@
         {
             let mut voter = lock(&self.voter);
             voter.store = Some(store.clone());
-            voter.disk = DISK_GOOD.to_owned();
+            voter.disk = HEALTHY_DISK_TEXT.to_owned();
         }
         let identity = self.wait_for_identity(&store, folder).await?;
         let mut voter = self.start_raft(store, &identity).await?;
         let slot = slot_of(identity.node_id);
         tracing::info!(target: "fleet", slot, node_id = identity.node_id, "voter takes part");
-        self.take_part(&mut voter).await
+        self.run_ticks(&mut voter).await
     }
 
+    /// Waits until the data folder has an identity, and checks that the identity fits the settings.
     async fn wait_for_identity(
         &self,
         store: &SharedStore,
@@ -130,12 +134,12 @@
             if !lock(store).is_healthy() {
                 return Err(VoterError::DiskFailed);
             }
-            // Looked for again also without a notification.
+            // The identity is checked again after the timeout too, in case a notification was missed.
             let _ = timeout(RETRY_DELAY, self.identity_written.notified()).await;
         };
         let is_own_slot = Some(slot_of(identity.node_id)) == self.settings.slot;
         if identity.fleet != self.settings.fleet || !is_own_slot {
-            return Err(VoterError::OtherIdentity {
+            return Err(VoterError::IdentityMismatch {
                 folder: folder.to_owned(),
                 found: identity,
             });
@@ -143,6 +147,7 @@
         Ok(identity)
     }
 
+    /// Starts openraft on the store, under the node id of `identity`.
     async fn start_raft(
         &self,
         store: SharedStore,
@@ -167,14 +172,14 @@
             raft,
             store,
             node_id: identity.node_id,
-            others: BTreeSet::new(),
+            other_voters: BTreeSet::new(),
             pre_votes,
             pre_vote_sender,
         })
     }
 
-    /// Looks after the voter's part until its disk fails.
-    async fn take_part(&self, voter: &mut RunningVoter) -> Result<(), VoterError> {
+    /// Runs the periodic ticks of a voter until its disk or openraft fails.
+    async fn run_ticks(&self, voter: &mut RunningVoter) -> Result<(), VoterError> {
         loop {
             let now = self.now();
             let metrics = voter.raft.metrics().borrow().clone();
@@ -188,7 +193,7 @@
             lock(&self.state_machine).set_leadership(now, is_leader);
             let mut action = None;
             if is_leader {
-                self.lead(&voter.raft, &metrics, now);
+                self.tick_as_leader(&voter.raft, &metrics, now);
             } else if is_voter {
                 action = self.with_pre_vote(|pre_vote| pre_vote.tick(now));
             }
@@ -198,31 +203,32 @@
                 action = next.or(action);
             }
             if let Some(action) = action.filter(|_| !is_leader) {
-                self.perform(action, voter).await;
+                self.execute(action, voter).await;
             }
             sleep(TICK_INTERVAL).await;
         }
     }
 
-    /// Starts the pre-vote anew when the voters have changed. Returns whether this one has a vote.
+    /// Resets the pre-vote state if the set of voters has changed. Returns whether this node is among the voters.
     fn update_voters(
         &self,
         voter: &mut RunningVoter,
         metrics: &RaftMetrics<u64, BasicNode>,
         now: f64,
     ) -> bool {
-        let mut others: BTreeSet<u64> =
+        let mut other_voters: BTreeSet<u64> =
             metrics.membership_config.membership().voter_ids().collect();
-        let is_voter = others.remove(&voter.node_id);
+        let is_voter = other_voters.remove(&voter.node_id);
         let mut state = lock(&self.voter);
-        if state.pre_vote.is_none() || others != voter.others {
+        if state.pre_vote.is_none() || other_voters != voter.other_voters {
             let seed = self.settings.seed ^ now.to_bits();
-            state.pre_vote = Some(PreVote::new(now, others.len(), seed));
-            voter.others = others;
+            state.pre_vote = Some(PreVote::new(now, other_voters.len(), seed));
+            voter.other_voters = other_voters;
         }
         is_voter
     }
 
+    /// Applies `step` to the pre-vote state, if there is one, and returns the resulting action.
     fn with_pre_vote(
         &self,
         step: impl FnOnce(&mut PreVote) -> Option<PreVoteAction>,
@@ -230,8 +236,11 @@
         lock(&self.voter).pre_vote.as_mut().and_then(step)
     }
 
-    /// The leader's part of a tick.
-    fn lead(&self, raft: &Raft, metrics: &RaftMetrics<u64, BasicNode>, now: f64) {
+    /// Performs the work of a tick that only the leader does.
+    ///
+    /// Restarts the election timeout if a majority acknowledged the leader recently, and proposes the commands that the
+    /// state machine issues on its tick.
+    fn tick_as_leader(&self, raft: &Raft, metrics: &RaftMetrics<u64, BasicNode>, now: f64) {
         let has_quorum = metrics
             .millis_since_quorum_ack
             .is_some_and(|ms| (ms as f64) < LEADER_TIMEOUT_MS);
@@ -242,27 +251,30 @@
         self.spawn_commits(raft, commands);
     }
 
+    /// Records a heartbeat in the pre-vote state, which restarts the election timeout.
     pub(super) fn heartbeat_received(&self, now: f64) {
         if let Some(pre_vote) = lock(&self.voter).pre_vote.as_mut() {
             pre_vote.heartbeat_received(now);
         }
     }
 
-    async fn perform(&self, action: PreVoteAction, voter: &RunningVoter) {
+    /// Carries out an action of the pre-vote.
+    async fn execute(&self, action: PreVoteAction, voter: &RunningVoter) {
         match action {
             PreVoteAction::StartElection => {
-                // If openraft has ended, the next tick sees that.
+                // An error means that openraft has stopped, which the next tick detects.
                 let _ = voter.raft.trigger().elect().await;
             }
             PreVoteAction::RequestPreVotes(round) => self.request_pre_votes(round, voter).await,
         }
     }
 
+    /// Requests pre-votes from the other voters. The responses arrive in the queue that the next tick reads.
     async fn request_pre_votes(&self, round: u64, voter: &RunningVoter) {
         let Some(end) = log_end(&voter.store).await else {
             return;
         };
-        for other in &voter.others {
+        for other in &voter.other_voters {
             let Some(mut connection) = self.connection(slot_of(*other)) else {
                 continue;
             };
@@ -274,7 +286,7 @@
             tokio::spawn(async move {
                 let response = connection.request(&request, PRE_VOTE_TIMEOUT).await;
                 let granted = matches!(response, Ok(PeerResponse::PreVote(true)));
-                // A closed channel means that the voter has stood aside.
+                // The channel is closed if the voter has stopped in the meantime.
                 let _ = responses.try_send(PreVoteResponse { round, granted });
             });
         }
