--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -1,4 +1,5 @@
-//! A voter's disk under failure: no space midway, failed and ignored fsyncs, power cuts, two processes, other formats.
+//! Tests the store on a failing disk (no space, short writes, failed and skipped fsyncs, power cuts), and the rejection
+//! of data folders that are locked or have another format or identity.
 
 use beamgap_consensus::disk::{Disk, FileDisk, SharedDisk};
 use beamgap_consensus::store::{Batch, Store, StoreError, VoterIdentity};
@@ -8,145 +9,160 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// A disk in memory. Writes are durable only after a sync. Can be made to fail from its n-th operation on.
+/// The state of a simulated disk in memory. Writes become durable on a sync. A test can make operations fail.
 #[derive(Debug, Default)]
-struct Inner {
-    files: BTreeMap<PathBuf, Arc<Mutex<Bytes>>>,
+struct DiskState {
+    files: BTreeMap<PathBuf, Arc<Mutex<FileContents>>>,
+    /// Number of writes, resizes, syncs and renames so far.
     operations: u64,
+    /// Number of the first operation that fails, and how this one and all later ones fail.
     fails_from: Option<(u64, Failure)>,
 }
 
+/// The contents of a file, before and after a power cut.
 #[derive(Debug, Default)]
-struct Bytes {
-    now: Vec<u8>,
+struct FileContents {
+    /// The contents that a process reads, including unsynced writes.
+    current: Vec<u8>,
+    /// The contents at the last sync, which are all that is left after a power cut.
     synced: Vec<u8>,
 }
 
+/// How operations of the disk fail. Renames fail with EIO for each kind of failure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Failure {
-    /// ENOSPC on every write.
-    Full,
-    /// Half of a write goes through, then EIO.
-    Short,
-    /// Syncs fail, and what they were to sync is lost with the cache later.
-    Sync,
+    /// Writes and resizes fail with ENOSPC.
+    NoSpace,
+    /// Writes write half of the data and then fail with EIO; resizes fail with ENOSPC.
+    ShortWrite,
+    /// Syncs fail with EIO, so that a later power cut loses the unsynced writes.
+    FailedSync,
 }
 
+/// A simulated disk in memory. Clones share the same files.
 #[derive(Clone, Debug, Default)]
-struct Memory(Arc<Mutex<Inner>>);
+struct MemoryDisk(Arc<Mutex<DiskState>>);
 
+/// An open file of a [`MemoryDisk`].
 #[derive(Debug)]
-struct File {
-    disk: Memory,
-    bytes: Arc<Mutex<Bytes>>,
+struct MemoryFile {
+    disk: MemoryDisk,
+    contents: Arc<Mutex<FileContents>>,
 }
 
-impl Memory {
-    /// Counts an operation; the failure that it meets.
-    fn operation(&self) -> Option<Failure> {
-        let mut inner = self.0.lock().unwrap();
-        inner.operations += 1;
-        inner
+impl MemoryDisk {
+    /// Counts an operation, and returns the failure to simulate for it, if any.
+    fn count_operation(&self) -> Option<Failure> {
+        let mut state = self.0.lock().unwrap();
+        state.operations += 1;
+        state
             .fails_from
-            .filter(|(from, _)| inner.operations >= *from)
+            .filter(|(from, _)| state.operations >= *from)
             .map(|(_, failure)| failure)
     }
 
+    /// Makes operations fail from the n-th one after this call, or repairs the disk if `from` is `None`.
     fn fail_from(&self, from: Option<(u64, Failure)>) {
-        let mut inner = self.0.lock().unwrap();
-        inner.fails_from = from.map(|(n, failure)| (inner.operations + n, failure));
+        let mut state = self.0.lock().unwrap();
+        state.fails_from = from.map(|(n, failure)| (state.operations + n, failure));
     }
 
-    /// The power goes: what was not synced is lost.
-    fn cut(&self) {
-        for bytes in self.0.lock().unwrap().files.values() {
-            let mut bytes = bytes.lock().unwrap();
-            bytes.now = bytes.synced.clone();
+    /// Simulates a power cut, which loses all unsynced writes.
+    fn cut_power(&self) {
+        for contents in self.0.lock().unwrap().files.values() {
+            let mut contents = contents.lock().unwrap();
+            contents.current = contents.synced.clone();
         }
     }
 }
 
-impl Disk for Memory {
-    fn open(&self, path: &Path, new: bool) -> io::Result<Option<Box<dyn StorageBackend>>> {
-        let mut inner = self.0.lock().unwrap();
-        if new {
-            inner.files.insert(path.to_owned(), Arc::default());
+impl Disk for MemoryDisk {
+    fn open(&self, path: &Path, create: bool) -> io::Result<Option<Box<dyn StorageBackend>>> {
+        let mut state = self.0.lock().unwrap();
+        if create {
+            state.files.insert(path.to_owned(), Arc::default());
         }
-        let bytes = inner.files.get(path).cloned();
-        Ok(bytes.map(|bytes| {
-            Box::new(File {
+        let contents = state.files.get(path).cloned();
+        Ok(contents.map(|contents| {
+            Box::new(MemoryFile {
                 disk: self.clone(),
-                bytes,
+                contents,
             }) as Box<dyn StorageBackend>
         }))
     }
 
     fn replace(&self, from: &Path, to: &Path) -> io::Result<()> {
-        if self.operation().is_some() {
+        if self.count_operation().is_some() {
             return Err(io::Error::from_raw_os_error(5));
         }
-        let mut inner = self.0.lock().unwrap();
-        let file = inner.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        inner.files.insert(to.to_owned(), file);
+        let mut state = self.0.lock().unwrap();
+        let file = state.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        state.files.insert(to.to_owned(), file);
         Ok(())
     }
 }
 
-impl StorageBackend for File {
+impl StorageBackend for MemoryFile {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.bytes.lock().unwrap().now.len() as u64)
+        Ok(self.contents.lock().unwrap().current.len() as u64)
     }
     fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        let bytes = self.bytes.lock().unwrap();
-        let part = bytes.now.get(offset as usize..offset as usize + len);
+        let contents = self.contents.lock().unwrap();
+        let part = contents.current.get(offset as usize..offset as usize + len);
         part.map(<[u8]>::to_vec)
             .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
-        if let Some(Failure::Full | Failure::Short) = self.disk.operation() {
+        if let Some(Failure::NoSpace | Failure::ShortWrite) = self.disk.count_operation() {
             return Err(io::Error::from_raw_os_error(28));
         }
-        self.bytes.lock().unwrap().now.resize(len as usize, 0);
+        self.contents
+            .lock()
+            .unwrap()
+            .current
+            .resize(len as usize, 0);
         Ok(())
     }
     fn sync_data(&self, _: bool) -> io::Result<()> {
-        let failure = self.disk.operation();
-        let mut bytes = self.bytes.lock().unwrap();
-        if failure == Some(Failure::Sync) {
+        let failure = self.disk.count_operation();
+        let mut contents = self.contents.lock().unwrap();
+        if failure == Some(Failure::FailedSync) {
             return Err(io::Error::from_raw_os_error(5));
         }
-        bytes.synced = bytes.now.clone();
+        contents.synced = contents.current.clone();
         Ok(())
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let failure = self.disk.operation();
-        let mut bytes = self.bytes.lock().unwrap();
-        let whole = if failure == Some(Failure::Short) {
+        let failure = self.disk.count_operation();
+        let mut contents = self.contents.lock().unwrap();
+        let written = if failure == Some(Failure::ShortWrite) {
             data.len() / 2
         } else {
             data.len()
         };
-        if failure == Some(Failure::Full) {
+        if failure == Some(Failure::NoSpace) {
             return Err(io::Error::from_raw_os_error(28));
         }
-        let end = offset as usize + whole;
-        if bytes.now.len() < end {
-            bytes.now.resize(end, 0);
+        let end = offset as usize + written;
+        if contents.current.len() < end {
+            contents.current.resize(end, 0);
         }
-        bytes.now[offset as usize..end].copy_from_slice(&data[..whole]);
-        if failure == Some(Failure::Short) {
+        contents.current[offset as usize..end].copy_from_slice(&data[..written]);
+        if failure == Some(Failure::ShortWrite) {
             return Err(io::Error::from_raw_os_error(5));
         }
         Ok(())
     }
 }
 
+/// Returns the path of an empty folder for a test.
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("beamgap-store-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
 
+/// Returns a batch with one log entry and a vote that both contain `index`.
 fn batch(index: u64) -> Batch {
     Batch {
         entries: vec![(index, vec![index as u8; 300])],
@@ -155,37 +171,39 @@
     }
 }
 
-/// The indices of a store's log, and its vote.
+/// Returns the indices of the log entries in a store, and the vote. Checks that each entry is complete.
 fn contents(store: &Store) -> (Vec<u64>, u64) {
     let entries = store.entries(..).unwrap();
     assert!(
         entries
             .iter()
             .all(|e| e.len() == 300 && e.iter().all(|b| *b == e[0])),
-        "no entry is partial"
+        "a log entry is partial"
     );
     let vote = store.get("vote").unwrap().map_or(0, |v| u64::from(v[0]));
     (entries.iter().map(|e| u64::from(e[0])).collect(), vote)
 }
 
+// Guards against a store that loses an acknowledged write, or keeps part of a write, when the disk fails.
+// The test makes the disk fail at different operations, cuts the power twice, and opens the store on the repaired disk.
 #[test]
 fn promise_5_after_any_disk_failure_no_acknowledged_write_is_lost_and_none_is_partial() {
     let folder = folder("fails");
-    for failure in [Failure::Full, Failure::Short, Failure::Sync] {
-        for at in (1..60).step_by(3) {
-            let memory = Memory::default();
+    for failure in [Failure::NoSpace, Failure::ShortWrite, Failure::FailedSync] {
+        for failing_operation in (1..60).step_by(3) {
+            let memory = MemoryDisk::default();
             let disk: SharedDisk = Arc::new(memory.clone());
             let mut store = Store::open(&folder, &disk, true).unwrap();
             (1..=3).for_each(|i| store.write(&batch(i)).unwrap());
-            memory.fail_from(Some((at, failure)));
+            memory.fail_from(Some((failing_operation, failure)));
             let mut acknowledged = 3;
             for i in 4..=25 {
                 match store.write(&batch(i)) {
                     Ok(()) => acknowledged = i,
                     Err(e) => {
                         let expected = match failure {
-                            Failure::Full => matches!(e, StoreError::DiskFull { .. }),
-                            Failure::Short | Failure::Sync => {
+                            Failure::NoSpace => matches!(e, StoreError::DiskFull { .. }),
+                            Failure::ShortWrite | Failure::FailedSync => {
                                 matches!(e, StoreError::DiskFailed { .. })
                             }
                         };
@@ -197,28 +215,28 @@
             if acknowledged < 25 {
                 assert!(
                     store.write(&batch(99)).is_err() && store.entries(..).is_err(),
-                    "a broken store does nothing"
+                    "a broken store must reject reads and writes"
                 );
                 assert!(!store.is_healthy());
             }
             drop(store);
-            // The power goes too, while the disk still fails; opening fails or works, and loses nothing.
-            memory.cut();
+            // Power is cut while the disk still fails. The next open may fail or succeed, but must lose nothing.
+            memory.cut_power();
             drop(Store::open(&folder, &disk, true));
-            memory.cut();
+            memory.cut_power();
             memory.fail_from(None);
             let store = Store::open(&folder, &disk, true)
-                .unwrap_or_else(|e| panic!("{failure:?} at {at}: {e}"));
+                .unwrap_or_else(|e| panic!("{failure:?} at operation {failing_operation}: {e}"));
             let (log, vote) = contents(&store);
             let last = log.last().copied().unwrap_or(0);
             assert_eq!(
                 log,
                 (1..=last).collect::<Vec<_>>(),
-                "{failure:?} at {at}: no hole"
+                "{failure:?} at operation {failing_operation}: the log has a hole"
             );
             assert!(
                 last >= acknowledged && last <= acknowledged + 1 && vote == last,
-                "{failure:?} at {at}: {last}, {acknowledged} acknowledged"
+                "{failure:?} at operation {failing_operation}: last entry {last}, {acknowledged} acknowledged"
             );
         }
     }
@@ -227,13 +245,14 @@
 
 #[test]
 fn a_store_that_does_not_sync_loses_acknowledged_writes() {
-    // The injected bug of the fault harness, which syncs the first writes and each eighth: this test must detect it.
-    let (folder, memory) = (folder("unsynced"), Memory::default());
+    // The fault harness can inject this bug: the store syncs only the first eight writes, and then every eighth write.
+    // A power cut must lose acknowledged writes in this case, because the bug would be undetectable otherwise.
+    let (folder, memory) = (folder("unsynced"), MemoryDisk::default());
     let disk: SharedDisk = Arc::new(memory.clone());
     let mut store = Store::open(&folder, &disk, false).unwrap();
     (1..=14).for_each(|i| store.write(&batch(i)).unwrap());
-    memory.cut();
-    std::mem::forget(store); // A process that is killed ends nothing.
+    memory.cut_power();
+    std::mem::forget(store); // A killed process does not close its store, so the store must not be dropped.
     let other = folder.with_extension("other");
     let store = Store::open(&other, &{ memory_at(&memory, &folder, &other) }, true).unwrap();
     assert!(contents(&store).0.len() < 14, "{:?}", contents(&store));
@@ -241,22 +260,23 @@
     std::fs::remove_dir_all(other).unwrap();
 }
 
-/// The same files under another folder, whose lock nobody holds.
-fn memory_at(memory: &Memory, from: &Path, to: &Path) -> SharedDisk {
-    let inner = memory.0.lock().unwrap();
-    let moved = Memory::default();
-    for (path, bytes) in &inner.files {
+/// Returns a disk with the same files in another folder, because the lock of the first folder is still held.
+fn memory_at(memory: &MemoryDisk, from: &Path, to: &Path) -> SharedDisk {
+    let state = memory.0.lock().unwrap();
+    let moved = MemoryDisk::default();
+    for (path, contents) in &state.files {
         let name = path.strip_prefix(from).unwrap();
         moved
             .0
             .lock()
             .unwrap()
             .files
-            .insert(to.join(name), bytes.clone());
+            .insert(to.join(name), contents.clone());
     }
     Arc::new(moved)
 }
 
+// Guards against opening a folder that belongs to another process, voter or format version. Errors must name the cause.
 #[test]
 fn a_second_process_another_format_and_another_identity_are_rejected_with_advice() {
     let folder = folder("refused");
--- a/crates/consensus/tests/wire.rs
+++ b/crates/consensus/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The encoded form of the messages between members: programs of different versions talk to each other.
+//! Tests the exact encoding of the messages between members. The encoding must not change while the format version
+//! stays the same, because members with different versions of the program exchange these messages.
 
 use beamgap_consensus::connection::{
     Handshake, HandshakeMismatch, LogIndices, PeerRequest, PeerResponse, TrafficTotals, VoterStatus,
@@ -65,6 +66,7 @@
     assert_eq!(encoded(&rejected), [8, 1, b'x']);
 }
 
+// Guards against members of another fleet, cluster or message format that connect to a voter.
 #[test]
 fn a_handshake_of_another_fleet_cluster_or_format_is_rejected() {
     let mut handshake = Handshake::new("f", "m");
