--- a/crates/consensus/src/connection/error.rs
+++ b/crates/consensus/src/connection/error.rs
@@ -11,7 +11,7 @@
     /// The peer can't be reached, or the TCP connection broke.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A frame has this length in bytes, which is longer than allowed.
+    /// A frame's message has the given length in bytes, which exceeds the limit.
     #[error("frame of {0} bytes is longer than allowed (at most {MAX_FRAME_BYTES})")]
     FrameTooLong(usize),
     /// A frame can't be decoded or encoded.
--- a/crates/consensus/src/node/error.rs
+++ b/crates/consensus/src/node/error.rs
@@ -75,7 +75,7 @@
     Raft(#[from] Fatal<u64>),
 }
 
-/// Why voters can't be bootstrapped, readmitted or removed.
+/// Why a bootstrap of the fleet, or the readmission or removal of a voter, failed.
 #[derive(Debug, Error)]
 pub(super) enum MembershipError {
     #[error("this member is not a decider")]
--- a/crates/consensus/src/node/voter.rs
+++ b/crates/consensus/src/node/voter.rs
@@ -95,7 +95,7 @@
                 voter.raft.take()
             };
             if let Some(raft) = raft {
-                // A timeout is harmless: an openraft that hangs can't write, because its store is broken or closed.
+                // A timeout is harmless: a hanging instance can't write, because its store is broken or closed.
                 let _ = timeout(SHUTDOWN_TIMEOUT, raft.shutdown()).await;
             }
             sleep(RETRY_DELAY).await;
--- a/crates/consensus/src/raft/applied_state.rs
+++ b/crates/consensus/src/raft/applied_state.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
-/// Key of the stored value for the last snapshot.
+/// Key of the last snapshot in the store.
 const SNAPSHOT_KEY: &str = "snapshot";
 
 type Membership = StoredMembership<NodeId, BasicNode>;
--- a/crates/consensus/src/raft/log_storage.rs
+++ b/crates/consensus/src/raft/log_storage.rs
@@ -10,9 +10,9 @@
 use std::fmt::Debug;
 use std::ops::RangeBounds;
 
-/// Key of the stored value for the latest vote.
+/// Key of the latest vote in the store.
 const VOTE_KEY: &str = "vote";
-/// Key of the stored value for the id of the last purged log entry.
+/// Key of the id of the last purged log entry in the store.
 const PURGED_KEY: &str = "purged";
 
 /// The durable log and vote of a voter.
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -44,7 +44,7 @@
     pub data_dir: Option<PathBuf>,
     /// Seed of the random election timeouts and of the cluster id that a bootstrap creates.
     pub seed: u64,
-    /// The clock for election timeouts and for the calls of the state machine.
+    /// The clock for election timeouts and for the `now` argument of the state machine's methods.
     pub clock: Clock,
     /// Deliberate bugs for tests.
     pub injected_bugs: InjectedBugs,
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -30,7 +30,7 @@
 const DATABASE_FILE: &str = "council.redb";
 const NEW_DATABASE_FILE: &str = "council.redb.new";
 const LOCK_FILE: &str = "lock";
-/// Key of the stored value for the voter's identity.
+/// Key of the voter's identity in the table of values.
 const IDENTITY_KEY: &str = "marker";
 /// With the injected bug of unsynced writes, the store still syncs this many writes after it was opened, and later one
 /// write in this many. This imitates an operating system that writes back its page cache now and then.
--- a/crates/consensus/src/store/tables.rs
+++ b/crates/consensus/src/store/tables.rs
@@ -8,7 +8,7 @@
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 /// Table of all other values by key: format version, identity, vote, last purged log id, and snapshot.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// Key of the format version of the data folder.
+/// Key of the data folder's format version in the table of values.
 pub(super) const FORMAT_KEY: &str = "form";
 
 /// Writes a batch in one transaction. Without `sync`, the commit is atomic but not durable.
--- a/crates/consensus/tests/pre_vote.rs
+++ b/crates/consensus/tests/pre_vote.rs
@@ -38,7 +38,7 @@
     assert_eq!(partitioned.tick(9600.0), None);
 }
 
-// The number of grants needed depends on the number of voters: two other voters of five, none for a single voter.
+// Guards against a wrong majority: of five voters two others must grant a pre-vote, and a single voter needs no grant.
 #[test]
 fn of_five_voters_two_others_must_grant_and_a_single_voter_stands_at_once() {
     let mut voter = PreVote::new(0.0, 4, 1);
