--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -1,9 +1,9 @@
-//! Admission control: which requests a front end admits under the fleet's policy and budgets, and which engines the
-//! decision module is offered.
+//! Admission control: decides which requests a front end admits under the fleet's policy and budgets, and which engines
+//! may receive new requests under the policy.
 //!
-//! - [`AdmissionControl::admit`] decides on one request from memory alone.
-//! - [`AdmissionControl::process`] talks to the consensus leader: it renews the lease to admit requests, the leases of
-//!   tasks and the shares of budgets in one poll.
+//! - [`AdmissionControl::admit`] decides on one request, using only local state.
+//! - [`AdmissionControl::process`] communicates with the leader: one poll renews the admission lease, the task leases
+//!   and the shares of budgets.
 //!
 //! All times are in milliseconds of the member's clock.
 
@@ -37,48 +37,48 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 
-/// What an admitted request is subject to until it ends.
+/// The policy, limits and budget units that apply to an admitted request until it ends.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// The version under which it was admitted.
+    /// The policy version under which the request was admitted.
     pub version: Version,
-    /// The limits of its class.
+    /// Limits that the policy sets for requests of this class.
     pub limits: RequestLimits,
-    /// The policy of that version.
+    /// The policy under which the request was admitted.
     pub policy: Rc<CompiledPolicy>,
-    /// What it holds of the fleet's budgets until it ends.
+    /// Units of the fleet's concurrency budgets that the request occupies until it ends.
     pub held_units: Rc<HeldUnits>,
-    /// Permission for retries, where a budget limits them.
+    /// The fleet's budgets that limit retries of the request; `None` if no budget does.
     pub retry_budget: Option<FleetRetryBudget>,
 }
 
-/// A request that asks to be admitted.
+/// A request for which admission is to be decided.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// Its id.
+    /// ID of the request.
     pub id: &'a str,
-    /// The number of its class.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Its account, if it has one.
+    /// Account of the request, if it has one.
     pub account: Option<&'a str>,
-    /// Requests that are in flight at this front end.
+    /// Number of requests in flight at this front end.
     pub in_flight: usize,
 }
 
-/// What admission control needs to know of the front end that it runs in.
+/// Settings of the front end that admission control needs besides its fleet settings.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalSettings<'a> {
-    /// The node's name, for the log.
+    /// Name of the front end in log events.
     pub node: &'a str,
-    /// The decision module's settings.
+    /// Settings of the decision module, which define the classes and accounts.
     pub module: &'a ModuleSettings,
-    /// Zones of the front end; the first is its own.
+    /// Zones that the front end knows; the first one is the zone it runs in.
     pub zones: &'a [String],
-    /// Differs between front ends.
+    /// A number that differs between front ends; it becomes part of the incarnation.
     pub seed: u64,
 }
 
-/// Requests counted since the start.
+/// Numbers of requests admitted and rejected since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 struct AdmissionCounts {
     admitted: u64,
@@ -99,15 +99,17 @@
     counts: AdmissionCounts,
     log: AdmissionLog,
     test_hooks: TestHooks,
-    /// When the event loop's iteration began; only an injected bug uses it.
+    /// When the current iteration of the event loop began; only an injected bug reads it.
     iteration_started_at: f64,
 }
 
 impl AdmissionControl {
-    /// Takes part in the fleet. `wake` ends the event loop's wait when the leader has answered.
+    /// Joins the fleet and starts the consensus node.
+    ///
+    /// `wake` must interrupt the event loop's wait. It is called when the leader has responded or an action has ended.
     ///
     /// # Errors
-    /// The address for other members can't be listened on, or consensus can't start.
+    /// If a voter can't listen on its address, or the consensus node can't start.
     pub fn start(
         fleet: &FleetSettings,
         local: LocalSettings<'_>,
@@ -145,33 +147,34 @@
         })
     }
 
-    /// The front end shuts down: it gives up what it holds of the fleet's tasks and budgets.
+    /// Begins a graceful shutdown: the front end gives up its task leases and demands no more budget.
     pub fn start_draining(&mut self) {
         self.tasks.start_draining();
         self.budgets.borrow_mut().start_draining();
     }
 
-    /// Where this voter listens for other members; none if it is no voter.
+    /// Returns the address on which a voter accepts connections of other members; `None` if this member is not a voter.
     pub fn listen_address(&self) -> Option<SocketAddr> {
         self.consensus.address()
     }
 
-    /// The member's clock now.
+    /// Reads the member's clock, in milliseconds.
     pub fn now(&self) -> f64 {
         self.test_hooks.member_time(machine_clock())
     }
 
-    /// Why no request is admitted now, if so.
+    /// Returns why no request is admitted at present; `None` while requests are admitted.
     pub fn blocked_reason(&self) -> Option<String> {
         self.member.blocked_reason(self.now())
     }
 
-    /// Admits a request or not.
+    /// Decides whether to admit a request.
     ///
     /// # Errors
-    /// Why it is not admitted, with the time for Retry-After.
+    /// The reason for a rejection, which determines the Retry-After time.
     pub fn admit(&mut self, request: AdmissionRequest<'_>) -> Result<Admitted, RejectReason> {
-        // Read for this request: the process may have been stopped since the loop's iteration began.
+        // The clock is read for each request, because the process may have been suspended since the iteration began and
+        // the admission lease may have expired meanwhile.
         let machine_time = machine_clock();
         let now = if self.test_hooks.policy_bug == InjectedBug::StaleClock {
             self.iteration_started_at
@@ -208,29 +211,36 @@
         }
     }
 
-    /// Takes in news of the engine list, and gives it as the decision module is to have it. `replaces_all` tells that
-    /// the list is complete.
+    /// Records an update of the engine list and returns its entries with their states under the current policy.
+    ///
+    /// Engines that the policy excludes are returned as draining. `replaces_all` means that `engines` is the complete
+    /// list; otherwise it contains only the entries that have changed.
     pub fn engines_listed(&mut self, replaces_all: bool, engines: Vec<EngineEntry>) -> Vec<EngineEntry> {
         self.engines.update(replaces_all, &engines);
-        engines.into_iter().map(|engine| engines::under_policy(&self.policy, engine)).collect()
+        engines.into_iter().map(|engine| engines::apply_policy(&self.policy, engine)).collect()
     }
 
-    /// Most connections that each engine may have from here, if a budget limits them. `used` is the most that one
-    /// engine has; `more_wanted` tells that more could be used.
+    /// Returns how many connections this front end may open to each engine; `None` if no budget limits connections.
+    ///
+    /// `used` is the number of connections to the engine that has the most. If `more_wanted` is set and all permitted
+    /// connections are used, the budget records demand for another one.
     pub fn max_connections_per_engine(&mut self, used: usize, more_wanted: bool) -> Option<usize> {
         let now = self.now();
         let limit = self.budgets.borrow_mut().connection_limit(now, used as u64, more_wanted);
         limit.map(|limit| limit as usize)
     }
 
-    /// This front end's part of the load on engines that warm up, if a budget divides that: one of how many front ends
-    /// it is, and which.
+    /// Returns how a budget divides the load on engines that are warming up: among how many front ends, and the index
+    /// of this front end, from 0. The result is `None` if no budget divides that load.
     pub fn warm_up_share(&self) -> Option<(f64, u64)> {
         self.budgets.borrow().warming_split(self.now())
     }
 }
 
-/// An incarnation unlike that of any other process: no two begin within the same nanosecond under one name.
+/// Generates an incarnation that differs for each process started under this member's name.
+///
+/// It combines the clock, the process ID and the seed. The clock alone tells apart processes that do not start within
+/// the same nanosecond.
 fn new_incarnation(seed: u64) -> u64 {
     machine_clock().to_bits() ^ u64::from(std::process::id()).rotate_left(48) ^ seed
 }
--- a/src/fleet/admission/history.rs
+++ b/src/fleet/admission/history.rs
@@ -1,10 +1,10 @@
-//! The history on standard error that the fault harness reads. The form of its lines is a wire format.
+//! Writes the history that the fault harness parses from standard error. The format of its lines must not change.
 
 use super::{AdmissionRequest, Admitted, RejectReason};
 use crate::fleet::test_hooks::machine_clock;
 use beamgap_policy::rollout::Version;
 
-/// Writes whether a request was admitted.
+/// Writes a line for an admitted or rejected request.
 pub(super) fn write_admission(
     machine_time: f64,
     request: AdmissionRequest<'_>,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Writes that a policy is in use from now on.
+/// Writes a line for the activation of a policy version, with a hash of the policy's text.
 pub(super) fn write_activation(version: Version, policy_text: &str) {
     let multiply_xor = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let hash = policy_text.bytes().fold(0, multiply_xor);
--- a/src/fleet/admission/log.rs
+++ b/src/fleet/admission/log.rs
@@ -1,17 +1,18 @@
-//! Log events of admission control, target `fleet`.
+//! Log events of admission control, all with the target `fleet`.
 
 use beamgap_policy::rollout::Version;
 use std::collections::BTreeMap;
 
-/// Least time between two reports on requests that budgets reject, in milliseconds.
+/// Minimum time between two reports of requests rejected by budgets, in milliseconds. It bounds the log volume when a
+/// budget is exhausted and each request is rejected.
 const BUDGET_REPORT_INTERVAL_MS: f64 = 10_000.0;
 
-/// Writes events, and keeps what was last reported.
+/// Writes log events, and stores the state that was last reported so that only changes are reported.
 #[derive(Debug)]
 pub(super) struct AdmissionLog {
     node: String,
     is_admitting: bool,
-    /// Requests rejected since the last report, by name of the budget.
+    /// Numbers of requests rejected since the last report, by budget name.
     budget_rejections: BTreeMap<String, u64>,
     budgets_reported_at: f64,
 }
@@ -42,7 +43,7 @@
         *self.budget_rejections.entry(budget.to_owned()).or_default() += 1;
     }
 
-    /// Reports requests that budgets have rejected, rarely.
+    /// Reports the requests rejected by each budget, at most once per [`BUDGET_REPORT_INTERVAL_MS`].
     pub(super) fn report_budget_rejections(&mut self, now: f64) {
         if self.budget_rejections.is_empty() || now - self.budgets_reported_at < BUDGET_REPORT_INTERVAL_MS {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Reports that admission has started or stopped, where that has changed.
+    /// Reports when admission starts or stops; does nothing while that state is unchanged.
     pub(super) fn report_state(&mut self, blocked_reason: Option<&str>, version: Version) {
         let is_admitting = blocked_reason.is_none();
         if is_admitting == self.is_admitting {
--- a/src/fleet/admission/polling.rs
+++ b/src/fleet/admission/polling.rs
@@ -1,4 +1,4 @@
-//! The polls by which a front end renews its lease to admit requests, its leases of tasks and its shares of budgets.
+//! Polls to the leader, which renew a front end's admission lease, its task leases and its shares of budgets.
 
 use super::{history, AdmissionControl};
 use crate::fleet::document::parse_and_validate;
@@ -12,20 +12,21 @@
 use beamgap_policy::rules::CompiledPolicy;
 use std::rc::Rc;
 
-/// How long only the policy is asked for after a leader could not read the whole poll, in milliseconds. The leader runs
-/// an older program then; another may lead by the end of this time.
+/// How long polls contain only the policy part after the leader could not decode a full poll, in milliseconds.
+///
+/// Such a leader runs an older program version. The time is limited because a voter with a newer one may take over.
 const POLICY_ONLY_MS: f64 = 5000.0;
-/// Pause between polls while a step of a task waits for the leader, in milliseconds.
+/// Interval between polls while a command for a task waits to be committed, in milliseconds.
 const TASK_POLL_INTERVAL_MS: f64 = 30.0;
-/// Stands for the file's name where a policy is validated that came from the leader.
+/// File name in problem reports about a policy text that came from the leader rather than from a file.
 const POLICY_FILE: &str = "policy";
 
-/// The poll that was sent last.
+/// The state of polling: the last poll sent, and which parts polls contain.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollState {
     sequence: u64,
     sent_at: f64,
-    /// Until then polls are about the policy alone.
+    /// Until this time polls contain only the policy part, because the leader runs an older program version.
     policy_only_until: f64,
 }
 
@@ -36,8 +37,10 @@
 }
 
 impl AdmissionControl {
-    /// Takes in the leader's responses and sends the next poll if it is due. Gives the engines that the decision module
-    /// is to be offered in another state. `in_flight` requests are in flight at this front end.
+    /// Handles the leader's responses, starts actions of tasks, and sends the next poll if it is due.
+    ///
+    /// Returns the engines whose state was changed by the activation of a policy. `in_flight` is the number of requests
+    /// in flight at this front end.
     pub fn process(&mut self, in_flight: usize) -> Vec<EngineEntry> {
         self.iteration_started_at = self.now();
         let responses: Vec<_> = self.consensus.responses().collect();
@@ -57,7 +60,7 @@
         changed_engines
     }
 
-    /// How long until the leader is to be polled again, in milliseconds.
+    /// Returns the time until the next poll is due, in milliseconds; 0 if it is overdue.
     pub fn next_poll_in(&self) -> f64 {
         (self.member.next_poll_at() - self.now()).max(0.0)
     }
@@ -106,7 +109,7 @@
         changed_engines
     }
 
-    /// Has the next poll sent earlier where a task or a budget waits for it.
+    /// Moves the next poll to an earlier time if a task or a budget waits for the leader.
     fn advance_next_poll(&mut self, now: f64) {
         if self.tasks.wants_early_poll(now) {
             self.member.poll_no_later_than(self.poll.sent_at + TASK_POLL_INTERVAL_MS);
@@ -120,7 +123,7 @@
         if now < self.member.next_poll_at() {
             return;
         }
-        // Operators see it in `beamgap fleet status`.
+        // `beamgap fleet status` prints this note.
         let note = format!("admitted={} refused={}", self.counts.admitted, self.counts.rejected);
         let Some(request) = self.member.poll_request(now, &note) else { return };
         let sequence = request.sequence;
@@ -132,7 +135,8 @@
         }
     }
 
-    /// The poll with as much as the leader can read and the policy makes needed.
+    /// Builds the poll message. It omits parts that an older leader could not decode, and the budget part if the policy
+    /// has no budgets.
     fn poll_message(&mut self, now: f64, in_flight: usize, policy: PollRequest) -> FleetRequest {
         if now < self.poll.policy_only_until {
             return FleetRequest::PollPolicy(policy);
@@ -146,7 +150,7 @@
         FleetRequest::PollAll(policy, self.tasks.poll_request(), commands, budgets)
     }
 
-    /// Validates a proposed change; the next poll tells the leader what was found.
+    /// Validates a proposed policy change; the next poll reports the result to the leader.
     fn validate(&mut self, change: &ProposedChange) {
         let problems = match parse_and_validate(POLICY_FILE, &change.policy_text, &self.validation) {
             Ok(_) => Vec::new(),
@@ -160,7 +164,7 @@
         self.member.validated(self.now(), &change.id, errors);
     }
 
-    /// Takes a policy into use. Gives the engines that it offers in another state than the policy before.
+    /// Activates a policy version. Returns the engines whose state differs from that under the previous policy.
     fn activate(&mut self, version: Version, policy_text: &str) -> Vec<EngineEntry> {
         let policy = match parse_and_validate(POLICY_FILE, policy_text, &self.validation) {
             Ok(policy) => policy,
--- a/src/fleet/admission/rejection.rs
+++ b/src/fleet/admission/rejection.rs
@@ -1,33 +1,35 @@
-//! Why a request is not admitted.
+//! The reasons for rejecting a request at admission, with their Retry-After times.
 
 use beamgap_policy::rules::Rejection;
 
-/// Retry-After without a lease, in milliseconds: a new leader is there within a second or two.
+/// Retry-After time while the front end has no admission lease, in milliseconds. A fleet that lost its leader elects a
+/// new one within one or two seconds.
 const NO_LEASE_RETRY_AFTER_MS: f64 = 500.0;
-/// Retry-After where the policy rejects, in milliseconds.
+/// Retry-After time for requests rejected by the policy, in milliseconds.
 const POLICY_RETRY_AFTER_MS: f64 = 1000.0;
-/// Retry-After where a budget is exhausted, in milliseconds: a share may have moved here by then.
+/// Retry-After time for requests rejected by an exhausted budget, in milliseconds. In this time the leader may move a
+/// share of the budget to this front end.
 const BUDGET_RETRY_AFTER_MS: f64 = 500.0;
 
-/// Why a request is not admitted.
+/// The reason for which a request is rejected at admission.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectReason {
-    /// This front end holds no valid lease to admit requests.
+    /// This front end holds no valid admission lease.
     #[error("no lease to admit requests")]
     NoLease,
-    /// The policy does not allow it now.
+    /// A rule of the policy rejects the request.
     #[error("rejected by the policy")]
     Policy(#[from] Rejection),
-    /// A budget of the fleet has nothing left here.
+    /// This front end's share of a fleet budget is exhausted.
     #[error("budget {budget} is exhausted")]
     BudgetExhausted {
-        /// The budget's name.
+        /// Name of the exhausted budget.
         budget: String,
     },
 }
 
 impl RejectReason {
-    /// After how long the client may try again, in milliseconds.
+    /// Returns the time after which the client may retry, in milliseconds.
     pub fn retry_after_ms(&self) -> f64 {
         match self {
             RejectReason::NoLease => NO_LEASE_RETRY_AFTER_MS,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// The reason as one word of the history that the fault harness reads.
+    /// Returns the word for this reason in the history that the fault harness parses.
     pub(super) fn history_word(&self) -> &'static str {
         match self {
             RejectReason::NoLease => "right",
--- a/src/fleet/document.rs
+++ b/src/fleet/document.rs
@@ -1,4 +1,6 @@
-//! A fleet's policy document with all of its blocks: those that `crates/policy` reads, and the budgets.
+//! Parsing, validation and comparison of a fleet's policy documents.
+//!
+//! The `beamgap-budgets` crate reads the `budget` blocks of a document; the `beamgap-policy` crate reads all others.
 
 use beamgap_budgets::reader;
 use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
@@ -8,38 +10,38 @@
 use beamgap_policy::validation::{self, KnownNames};
 use std::collections::BTreeMap;
 
-/// A parsed policy document with its budgets.
+/// A parsed policy document, including its budgets.
 #[derive(Clone, Debug)]
 pub struct FleetPolicy {
-    /// The policy, with the places of all keys.
+    /// The policy, with the position in the document of each key.
     pub parsed: ParsedPolicy,
-    /// The fleet's budgets, by name.
+    /// The budgets that the document defines.
     pub budgets: Vec<BudgetSpec>,
 }
 
-/// What a front end validates a policy against.
+/// The settings of a front end that a policy is validated against.
 #[derive(Clone, Debug, Default)]
 pub struct ValidationContext {
-    /// Names that a policy may use.
+    /// The classes, accounts and zones that a policy may name.
     pub names: KnownNames,
-    /// The longest deadline of each class, in milliseconds, in the order of the classes' names.
+    /// Longest request deadline of each class, in milliseconds, in the order of `names.classes`.
     pub class_deadlines_ms: Vec<f64>,
 }
 
-/// Parses a document.
+/// Parses a policy document. `file` is the file name to use in problem reports.
 ///
 /// # Errors
-/// All problems, each with its place, key and fix.
+/// The problems of the document, each with its position, the key and a suggested fix.
 pub fn parse(file: &str, text: &str) -> Result<FleetPolicy, Vec<Problem>> {
     let parsed = document::parse_with_blocks(file, text, vec![reader::schema()])?;
     let budgets = reader::read(&parsed.document)?;
     Ok(FleetPolicy { parsed, budgets })
 }
 
-/// Parses a document and validates that a front end can use it.
+/// Parses a policy document and checks that a front end with the settings in `context` can use it.
 ///
 /// # Errors
-/// All problems in the order of their places.
+/// The problems found by [`parse`] or, if the document parses, all validation problems sorted by position.
 pub fn parse_and_validate(
     file: &str,
     text: &str,
@@ -70,39 +72,45 @@
     let mut problems = Vec::new();
     problems.extend(unknown("class", &budget.class, &context.names.classes));
     problems.extend(unknown("account", &budget.account, &context.names.accounts));
-    problems.extend(too_short_a_holding_time(file, place, budget, context));
+    problems.extend(max_duration_problem(file, place, budget, context));
     problems
 }
 
-/// A budget of requests in flight must name a holding time of at least the longest deadline: for so long what a dead
-/// front end holds counts.
-fn too_short_a_holding_time(
+/// Reports a budget of requests in flight whose key `longest` is below the longest deadline of a request it limits.
+///
+/// After the death of a front end, the leader counts that front end's units as in use for the duration `longest`. If
+/// this were shorter than the requests' deadlines, units would be granted again while the requests may still run.
+fn max_duration_problem(
     file: &str,
     place: Place,
     budget: &BudgetSpec,
     context: &ValidationContext,
 ) -> Option<Problem> {
-    let Amount::Concurrency { max_duration_ms: longest, .. } = budget.amount else { return None };
+    let Amount::Concurrency { max_duration_ms, .. } = budget.amount else { return None };
     if budget.resource != Resource::OpenRequests {
         return None;
     }
     let applies_to = |class: &String| budget.class.as_ref().is_none_or(|only| only == class);
     let classes = context.names.classes.iter().zip(&context.class_deadlines_ms);
     let deadlines = classes.filter(|(class, _)| applies_to(class)).map(|(_, deadline_ms)| *deadline_ms);
-    let needed = deadlines.fold(0.0, f64::max);
-    if longest >= needed {
+    let longest_deadline_ms = deadlines.fold(0.0, f64::max);
+    if max_duration_ms >= longest_deadline_ms {
         return None;
     }
     Some(Problem {
         file: file.to_owned(),
         place,
         key: format!("budget \"{}\" longest", budget.name),
-        problem: format!("is {longest} ms, and a request here may be out for {needed} ms"),
-        fix: format!("write at least \"{needed} ms\""),
+        problem: format!(
+            "is {max_duration_ms} ms, but a request here may stay in flight for {longest_deadline_ms} ms"
+        ),
+        fix: format!("write at least \"{longest_deadline_ms} ms\""),
     })
 }
 
-/// Two policies compared by what they mean.
+/// Compares two policies, including their budgets, and returns the differences in sorted order.
+///
+/// The parsed settings are compared, so formatting, comments and the order of blocks make no difference.
 pub fn diff(before: &FleetPolicy, after: &FleetPolicy) -> Vec<Difference> {
     let mut differences = diff::diff(&before.parsed.policy, &after.parsed.policy);
     differences.extend(budget_differences(before, after));
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,6 +1,7 @@
-//! The messages of a fleet: requests to the leader's state machine, its responses, and the commands in the log.
+//! Requests to the leader's state machine, its responses, and the commands in the replicated log.
 //!
-//! They are encoded by position: the order of variants and fields is the format on the wire and in the log.
+//! Messages are encoded with postcard, which writes no field names: the order of variants and fields is part of the
+//! format on the wire and in the log.
 
 use beamgap_budgets::message::{
     BudgetStatus, PollRequest as BudgetPollRequest, PollResponse as BudgetPollResponse,
@@ -14,159 +15,161 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The first byte of a task's command in the log. No encoded command of the policy begins with it.
+/// First byte of an encoded task command in the log, which distinguishes it from a policy command.
+///
+/// A policy command begins with the index of its variant, which is always smaller.
 const TASK_COMMAND_TAG: u8 = 0xff;
 
 /// A request to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetRequest {
-    /// A member renews its admission lease.
+    /// A member renews only its admission lease.
     PollPolicy(PolicyPollRequest),
-    /// An operator proposes a change of the policy.
+    /// An operator proposes a policy change.
     Propose(ChangeRequest),
-    /// An operator withdraws the change with this id.
+    /// An operator withdraws the policy change with this ID.
     Withdraw(String),
-    /// The outcome of the change with this id.
+    /// Requests the outcome of the policy change with this ID.
     Outcome(String),
-    /// The fleet's status.
+    /// Requests the fleet's status.
     Status,
-    /// The outcomes of all changes.
+    /// Requests the recorded outcomes of policy changes.
     History,
-    /// The text of a version; of the active one if none is named.
+    /// Requests the text of a policy version, or of the active version if none is given.
     PolicyText(Option<Version>),
-    /// A member renews its admission lease and its task leases, and submits commands for its tasks.
+    /// A member renews its admission lease and task leases and submits commands for its tasks.
     PollPolicyAndTasks(PolicyPollRequest, LeasePollRequest, Vec<TaskCommand>),
     /// An operator submits a command for a task.
     SubmitTaskCommand(TaskCommand),
-    /// An operator ends the renewal of the lease of a task.
+    /// An operator stops the renewal of a task's lease, so that the task moves to another member.
     ReleaseLease(String),
-    /// The status of the task of this name with its history, or of all tasks without theirs.
+    /// Requests the named task with its history or, without a name, all tasks without their histories.
     Tasks(Option<String>),
-    /// As [`FleetRequest::PollPolicyAndTasks`], where the policy in use has budgets.
+    /// Like [`FleetRequest::PollPolicyAndTasks`], and the member also renews its shares of budgets.
     PollAll(PolicyPollRequest, LeasePollRequest, Vec<TaskCommand>, BudgetPollRequest),
-    /// How the budgets are divided.
+    /// Requests how each budget is divided among the members.
     Budgets,
 }
 
 /// A response of the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetResponse {
-    /// To [`FleetRequest::PollPolicy`].
+    /// Response to [`FleetRequest::PollPolicy`].
     Policy(PolicyPollResponse),
-    /// The command was accepted; its outcome has to be requested.
+    /// The command was accepted for the log; its outcome must be requested separately.
     Accepted,
-    /// The outcome of a change.
+    /// Response to [`FleetRequest::Outcome`].
     Outcome(OutcomeReport),
-    /// The fleet's status.
+    /// Response to [`FleetRequest::Status`].
     Status(Box<FleetStatus>),
-    /// Changes, oldest first.
+    /// Response to [`FleetRequest::History`]: policy changes, oldest first.
     History(Vec<ChangeRecord>),
-    /// A version's text, if it is kept.
+    /// Response to [`FleetRequest::PolicyText`]; `None` if the text of that version is no longer stored.
     PolicyText(Option<PolicyText>),
-    /// The request can't be decoded: its sender is another version of the program.
+    /// The leader could not decode the request, because its sender runs another version of the program.
     Unreadable,
-    /// To [`FleetRequest::PollPolicyAndTasks`].
+    /// Response to [`FleetRequest::PollPolicyAndTasks`].
     PolicyAndTasks(PolicyPollResponse, LeasePollResponse),
-    /// Tasks.
+    /// Response to [`FleetRequest::Tasks`].
     Tasks(Vec<TaskStatus>),
-    /// To [`FleetRequest::PollAll`].
+    /// Response to [`FleetRequest::PollAll`].
     All(PolicyPollResponse, LeasePollResponse, BudgetPollResponse),
-    /// How the budgets are divided.
+    /// Response to [`FleetRequest::Budgets`].
     Budgets(Vec<BudgetStatus>),
 }
 
-/// How far a change is.
+/// The outcome of a policy change and how far the active version has spread.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutcomeReport {
-    /// The outcome, if the change is known.
+    /// Outcome of the change; `None` if the leader does not know the change.
     pub outcome: Option<ChangeOutcome>,
-    /// How many members polled lately and do not have the active version yet.
+    /// Number of members that polled within the length of a long lease but do not have the active version yet.
     pub members_behind: usize,
 }
 
-/// A version of the policy.
+/// The text of one policy version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyText {
-    /// Its number.
+    /// The policy version.
     pub version: Version,
-    /// Its text.
+    /// The policy document of this version.
     pub text: String,
 }
 
-/// A task and its lease.
+/// A task and the age of its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// The task as the replicated state holds it.
     pub task: Task,
-    /// Milliseconds since its lease was renewed.
+    /// Milliseconds since the task's lease was last renewed; `None` if this leader knows of no lease.
     pub renewed_ms_ago: Option<f64>,
 }
 
-/// The fleet's status as its leader knows it.
+/// The status of the fleet as known to its leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The active version.
+    /// The active policy version.
     pub version: Version,
-    /// The pending change.
+    /// The policy change in progress, if any.
     pub pending: Option<PendingSummary>,
-    /// The fleet's timings.
+    /// The fleet's timings; `None` before the fleet is bootstrapped.
     pub timings: Option<PolicyTimings>,
-    /// Its members.
+    /// All members of the fleet.
     pub members: Vec<MemberSummary>,
 }
 
-/// A pending change.
+/// A policy change in progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PendingSummary {
-    /// Its id.
+    /// ID of the change.
     pub id: String,
-    /// Who proposed it.
+    /// The operator who proposed the change.
     pub by: String,
-    /// Whether it is committed.
+    /// Whether the change is committed, so that it can no longer be withdrawn.
     pub committed: bool,
 }
 
-/// A member as of its last poll.
+/// The status of a member as of its last poll.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberSummary {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its incarnation.
+    /// Incarnation of the member: identifies one start of its process.
     pub incarnation: u64,
-    /// The version that it has.
+    /// The policy version in use at the member.
     pub version: Option<Version>,
-    /// The admission lease that it held.
+    /// Kind of the member's admission lease.
     pub lease: Option<LeaseKind>,
-    /// Milliseconds since its last poll; none if it has not polled this leader.
+    /// Milliseconds since the member's last poll; `None` if it has not polled this leader.
     pub polled_ms_ago: Option<f64>,
-    /// Why it admits nothing, if so.
+    /// Why the member admits no requests; `None` while it does.
     pub blocked_reason: Option<String>,
-    /// A line for the operator.
+    /// A line that the member reports for operators: its request counters.
     pub note: String,
 }
 
-/// Encodes a message.
+/// Encodes a message with postcard.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // These types always have an encoding; no decoder accepts an empty one.
+    // Encoding these types can't fail. If it did, the empty result would be rejected by every decoder.
     postcard::to_stdvec(message).unwrap_or_default()
 }
 
-/// Decodes a message; none if it is of another version of the program.
+/// Decodes a message. Returns `None` for bytes that another program version encoded in a different format.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// A command in the log.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogCommand {
-    /// To the policy.
+    /// A command that changes the policy or the state of its rollout.
     Policy(PolicyCommand),
-    /// To the tasks.
+    /// A command that changes the tasks, their runs or their leases.
     Task(TaskCommand),
 }
 
 impl LogCommand {
-    /// The encoded form in the log.
+    /// Encodes the command for the log.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             LogCommand::Policy(command) => encode(command),
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Decodes a command; none if a newer program wrote it.
+    /// Decodes a command from the log. Returns `None` for a command that only a newer program version knows.
     pub fn decode(bytes: &[u8]) -> Option<LogCommand> {
         match bytes.split_first() {
             Some((&TASK_COMMAND_TAG, rest)) => decode(rest).map(LogCommand::Task),
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,15 +1,15 @@
-//! The fleet: joins policy, leases and budgets to the consensus and to the serving loop.
+//! Fleet membership: connects the policy, lease, budget and consensus crates to a front end's event loop.
 //!
-//! - [`settings`]: the `fleet` block of the operator's file.
-//! - [`state_machine`]: policy, tasks and budgets as the consensus' state machine.
-//! - [`message`]: requests to the leader, its responses, commands in the log.
-//! - [`admission`]: which requests are admitted, under which version; what the decision module is offered of the list.
-//! - [`document`]: a policy's text with all its parts.
-//! - [`budgets`]: this front end's share of the fleet's budgets.
-//! - [`tasks`]: this front end's task leases, and what it does under them.
+//! - [`settings`]: reads the `fleet` block of the configuration file.
+//! - [`state_machine`]: the replicated state machine of policy, tasks and budgets.
+//! - [`message`]: requests to the leader, its responses, and the commands in the replicated log.
+//! - [`admission`]: admits or rejects requests, and marks the engines that the policy excludes as draining.
+//! - [`document`]: parses, validates and compares policy documents, including their budgets.
+//! - [`budgets`]: enforces this front end's shares of the fleet's budgets.
+//! - [`tasks`]: holds this front end's task leases and runs the steps of these tasks.
 //! - [`test_hooks`], [`test_disk`]: hooks for the fault harness.
 //!
-//! Off without a `fleet` block: no thread, listener, descriptor or file.
+//! Without a `fleet` block nothing here is active: no thread is started and no socket or file is opened.
 
 pub mod admission;
 pub mod budgets;
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -1,6 +1,7 @@
-//! The `fleet` section: which fleet, its voters, this member's part, and the fleet's timings.
+//! Reads the `fleet` block of the configuration file: the fleet's voters and timings, and this member's role.
 //!
-//! Operators know a voter as a decider, its slot as its seat, and an admission lease as a right.
+//! Some keys have other names in the configuration file than in the code: a voter is a `decider`, a voter's slot is its
+//! `seat`, and the length of an admission lease is `right`.
 
 use super::tasks::read as tasks;
 use super::test_hooks::TestHooks;
@@ -15,41 +16,42 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Slots of voters.
+/// Allowed range of a voter's slot number, the key `seat`.
 const SLOT_BOUNDS: Bounds = Bounds { least: 1.0, most: 99.0 };
-/// Length of a change's switch, in milliseconds.
+/// Allowed range of the key `switch_bound`, in milliseconds: the longest time from the first admission under a new
+/// policy version to the last one under the previous version.
 const SWITCH_BOUNDS: Bounds = Bounds { least: 200.0, most: 60_000.0 };
-/// Length of an admission lease, in milliseconds.
+/// Allowed range of the key `right`, the length of an admission lease, in milliseconds.
 const LEASE_BOUNDS: Bounds = Bounds { least: 1_000.0, most: 600_000.0 };
-/// Time for members to validate a change, in milliseconds.
+/// Allowed range of the key `check_time`, which limits how long members validate a policy change, in milliseconds.
 const VALIDATION_BOUNDS: Bounds = Bounds { least: 200.0, most: 60_000.0 };
-/// Drift of clocks, as a fraction.
+/// Allowed range of the key `drift`: by what fraction a member's clock may run faster or slower than real time.
 const DRIFT_BOUNDS: Bounds = Bounds { least: 0.0, most: 0.2 };
 
-/// How a front end takes part in its fleet.
+/// The settings of a front end as a member of its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub name: String,
-    /// This member's name.
+    /// Name of this member.
     pub member: String,
-    /// The voters' addresses by slot.
+    /// Addresses of all voters, by slot.
     pub voters: BTreeMap<VoterSlot, SocketAddr>,
-    /// This member's slot, if it is a voter.
+    /// Slot of this member; `None` if it is not a voter.
     pub slot: Option<VoterSlot>,
-    /// The address that it listens on for other members, if it is a voter.
+    /// Address on which this member accepts connections of other members; `None` if it is not a voter.
     pub listen: Option<SocketAddr>,
-    /// Its data folder, if it is a voter.
+    /// Folder in which a voter stores the replicated log; required for voters.
     pub data_dir: Option<PathBuf>,
-    /// The timings that the fleet gets when it is bootstrapped.
+    /// Timings with which a new fleet is bootstrapped; they do not change the timings of an existing fleet.
     pub timings: PolicyTimings,
-    /// The tasks of the operator's file, for `beamgap task apply`.
+    /// Tasks in the configuration file; `beamgap task apply` sends them to the fleet.
     pub tasks: Vec<TaskSpec>,
-    /// What a test has set.
+    /// Test hooks from the environment variable `BEAMGAP_TRIAL`.
     pub test_hooks: TestHooks,
 }
 
-/// What may stand in the operator's block.
+/// Describes the keys and blocks that a `fleet` block may contain.
 pub fn schema() -> Block {
     let key = |name, setting, shape| Key { name, setting, shape, needed: false };
     let voter = Block {
@@ -81,32 +83,32 @@
     }
 }
 
-fn wrong<T>(key: &str, problem: impl Into<String>) -> ReadResult<T> {
+fn invalid<T>(key: &str, problem: impl Into<String>) -> ReadResult<T> {
     wrong_at(&format!("fleet.{key}"), problem)
 }
 
-/// Reads the section. `node` is the front end's name, which is the member's where the section names none.
+/// Reads the `fleet` block. `node` is the front end's name and the default for the key `member`.
 ///
 /// # Errors
-/// The first setting that is missing or wrong.
+/// The first setting that is missing or invalid.
 pub fn read(
     fleet: &OwnedValue,
     node: &str,
     env: &dyn Fn(&str) -> Option<String>,
 ) -> ReadResult<FleetSettings> {
     let Some(name) = text(fleet, "name").filter(|name| is_valid_name(name)) else {
-        return wrong("name", "is not 1 to 64 letters, digits, dots and dashes");
+        return invalid("name", "is not 1 to 64 letters, digits, dots and dashes");
     };
     let member = text(fleet, "member").unwrap_or(node);
     if !is_valid_name(member) {
-        return wrong("member", format!("is '{member}', not 1 to 64 letters, digits, dots and dashes"));
+        return invalid("member", format!("is '{member}', not 1 to 64 letters, digits, dots and dashes"));
     }
     let voters = read_voters(fleet)?;
     let slot = read_slot(fleet)?;
     let data_dir = text(fleet, "folder").map(PathBuf::from);
     let listen = read_listen(fleet, &voters, slot, data_dir.is_some())?;
     let timings = read_timings(fleet)?;
-    let test_hooks = TestHooks::from_env(env).or_else(|error| wrong("trial", error.to_string()))?;
+    let test_hooks = TestHooks::from_env(env).or_else(|error| invalid("trial", error.to_string()))?;
     Ok(FleetSettings {
         name: name.to_owned(),
         member: member.to_owned(),
@@ -128,17 +130,17 @@
     number_of(fleet, key, &format!("fleet.{key}"), default, bounds)
 }
 
-/// An address that other members reach. Beyond loopback the section must allow it.
+/// Parses an address and port. Addresses other than loopback need `plaintext_beyond_loopback = true`.
 fn read_address(fleet: &OwnedValue, key: &str, text: &str) -> ReadResult<SocketAddr> {
     let Ok(address) = text.parse::<SocketAddr>() else {
-        return wrong(key, format!("is '{text}', not an address with a port"));
+        return invalid(key, format!("is '{text}', not an address with a port"));
     };
     let allows_plaintext = fleet.get("plaintext_beyond_loopback").and_then(|value| value.as_bool());
     if !address.ip().is_loopback() && allows_plaintext != Some(true) {
         let problem =
-            "is beyond loopback, and links are neither secret nor signed in to; use 127.0.0.1, or say \
-                       `plaintext_beyond_loopback = true` if nobody else reaches that network";
-        return wrong(key, problem);
+            "is beyond loopback, and connections between members are neither encrypted nor authenticated; use \
+                       127.0.0.1, or set `plaintext_beyond_loopback = true` if the network is trusted";
+        return invalid(key, problem);
     }
     Ok(address)
 }
@@ -153,15 +155,15 @@
         let slot = slot.filter(|slot| (1..=99).contains(slot) && !voters.contains_key(slot));
         let Some(slot) = slot else {
             let problem = format!("is '{slot_text}', not a number from 1 to 99 that stands once");
-            return wrong(&format!("deciders[{i}].seat"), problem);
+            return invalid(&format!("deciders[{i}].seat"), problem);
         };
         let address = text(voter, "address").unwrap_or_default();
         voters.insert(slot, read_address(fleet, &format!("deciders[{i}].address"), address)?);
     }
     let count = voters.len();
     if !matches!(count, 1 | 3 | 5) {
-        let problem = format!("are {count}; write three or five decider blocks (one for trying out)");
-        return wrong("deciders", problem);
+        let problem = format!("are {count}; write three or five decider blocks, or one for a test setup");
+        return invalid("deciders", problem);
     }
     Ok(voters)
 }
@@ -171,7 +173,9 @@
     Ok((slot > 0).then_some(slot))
 }
 
-/// The address that a voter listens on: its own setting, or that of its slot.
+/// Returns the address that a voter listens on; `None` for members that are not voters.
+///
+/// The key `listen` overrides the address in the voter's own `decider` block.
 fn read_listen(
     fleet: &OwnedValue,
     voters: &BTreeMap<VoterSlot, SocketAddr>,
@@ -181,15 +185,18 @@
     let listen = text(fleet, "listen");
     let Some(slot) = slot else {
         if listen.is_some() {
-            return wrong("listen", "is for deciders; give it a seat, or take this out");
+            return invalid("listen", "is only for deciders; set `seat` or remove `listen`");
         }
         return Ok(None);
     };
     let Some(address) = voters.get(&slot) else {
-        return wrong("seat", format!("is {slot}, which no decider block names"));
+        return invalid("seat", format!("is {slot}, which no decider block names"));
     };
     if !has_data_dir {
-        return wrong("folder", "is missing: a decider keeps what was agreed on; add `folder = \"PATH\"`");
+        return invalid(
+            "folder",
+            "is missing: a decider stores the replicated log there; add `folder = \"PATH\"`",
+        );
     }
     match listen {
         Some(text) => read_address(fleet, "listen", text).map(Some),
@@ -206,7 +213,10 @@
         max_drift: number(fleet, "drift", default.max_drift, DRIFT_BOUNDS)?,
     };
     if timings.lease_ms < 2.0 * timings.switch_bound_ms {
-        return wrong("right_ms", "is under twice the switch_bound: a leader's death would stop the fleet");
+        return invalid(
+            "right_ms",
+            "is under twice the switch_bound: losing the leader would stop admission",
+        );
     }
     Ok(timings)
 }
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -1,7 +1,7 @@
-//! The fleet's replicated state machine: policy and tasks in the log, budgets at the leader.
+//! The fleet's replicated state machine: the policy and the tasks are replicated, the budgets are state of the leader.
 //!
-//! Policy, leases and budgets do not know each other. Here their commands share one log, and their leaders handle the
-//! requests of members and operators together.
+//! The policy, lease and budget crates do not depend on each other. This module puts their commands into one log and
+//! passes the requests of members and operators to the leader component of each.
 
 mod report;
 
@@ -25,13 +25,13 @@
 };
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What stands for the file's name in errors of a policy's text.
+/// File name in errors about a policy text, which comes from the log rather than from a file.
 const POLICY_FILE: &str = "policy";
 
-/// The budgets of one version of the policy.
+/// The parsed budgets of one policy version.
 #[derive(Debug, Default)]
 struct VersionBudgets {
-    /// The version; none if no version was read yet.
+    /// The policy version that `specs` was parsed from; `None` before the first parse and after a reset.
     version: Option<Version>,
     specs: Vec<BudgetSpec>,
 }
@@ -41,7 +41,7 @@
 pub struct FleetStateMachine {
     policy: RolloutState,
     policy_leader: PolicyLeader,
-    /// The timings that a new fleet gets.
+    /// Timings with which a new fleet is bootstrapped.
     initial_timings: PolicyTimings,
     tasks: TaskState,
     lease_leader: LeaseLeader,
@@ -49,7 +49,7 @@
     budget_leader: BudgetLeader,
 }
 
-/// A response, and the commands that follow from the request.
+/// The result of a request: the response to its sender, and the commands to append to the log.
 struct Handled {
     response: FleetResponse,
     commands: Vec<LogCommand>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// What a poll for policy and tasks gives.
+/// The result of a poll for the policy and tasks: both responses, and the commands to append to the log.
 struct PolicyAndTasks {
     policy: PolicyPollResponse,
     leases: LeasePollResponse,
@@ -77,7 +77,10 @@
 }
 
 impl FleetStateMachine {
-    /// An empty one. A new fleet gets `timings`; `seed` differs for each incarnation of the member.
+    /// Creates an empty state machine.
+    ///
+    /// A new fleet is bootstrapped with `timings`. `seed` must differ for each incarnation of the member: it makes the
+    /// epochs of the budget leader unique.
     pub fn new(timings: PolicyTimings, seed: u64, hooks: &TestHooks) -> FleetStateMachine {
         let clock_bounds = ClockBounds { max_drift: timings.max_drift, ..ClockBounds::default() };
         let budget_timings = BudgetTimings::for_lease(timings.lease_ms, timings.max_drift);
@@ -92,24 +95,27 @@
         }
     }
 
-    /// Reads the budgets of the active version, unless they are read already.
-    fn read_budgets(&mut self) {
+    /// Parses the budgets of the active policy version, and sets the budget leader's timings.
+    ///
+    /// Does nothing if the budgets of this version are already parsed.
+    fn refresh_budgets(&mut self) {
         let version = self.policy.version();
         if self.budgets.version == Some(version) {
             return;
         }
-        let read = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
-        let specs = read.map(|read| read.budgets).unwrap_or_default();
+        let parsed = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
+        let specs = parsed.map(|policy| policy.budgets).unwrap_or_default();
         self.budgets = VersionBudgets { version: Some(version), specs };
         let timings = self.policy.timings.unwrap_or(self.initial_timings);
         self.budget_leader.set_timings(BudgetTimings::for_lease(timings.lease_ms, timings.max_drift));
     }
 
-    /// Tells the tasks which of them the active policy forbids.
-    fn forbid_tasks(&mut self) {
-        let read = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
-        let names =
-            read.map(|read| read.parsed.policy.forbidden_tasks.into_iter().collect()).unwrap_or_default();
+    /// Updates which tasks are forbidden, as listed by the active policy.
+    fn update_forbidden_tasks(&mut self) {
+        let parsed = document::parse(POLICY_FILE, self.policy.policy_text()).ok();
+        let names = parsed
+            .map(|policy| policy.parsed.policy.forbidden_tasks.into_iter().collect())
+            .unwrap_or_default();
         self.tasks.apply(&TaskCommand::SetForbidden(names));
     }
 
@@ -128,10 +134,11 @@
     ) -> PolicyAndTasks {
         let own_commands: Vec<TaskCommand> = task_commands
             .into_iter()
-            .filter(|command| self.is_of_own_lease(lease_request, command))
+            .filter(|command| self.member_may_submit(lease_request, command))
             .collect();
         let (policy, commands) = self.policy_leader.handle_poll(now, &self.policy, policy_request);
-        // Only members hold leases. One that is not a member yet learns it from the policy's response.
+        // Only members hold leases. A process that has not joined yet gets an empty lease response, and a policy
+        // response without an admission lease.
         let is_member = lease_request.member == policy_request.member
             && self.policy.members.contains_key(&lease_request.member);
         let leases = if is_member {
@@ -149,7 +156,7 @@
         policy_request: PolicyPollRequest,
         budget_request: &BudgetPollRequest,
     ) -> BudgetPollResponse {
-        self.read_budgets();
+        self.refresh_budgets();
         if budget_request.member != policy_request.member {
             return BudgetPollResponse::default();
         }
@@ -161,8 +168,9 @@
         self.budget_leader.handle_poll(now, &agreed, budget_request)
     }
 
-    /// Whether a command is one that a member may submit: of a lease that it holds.
-    fn is_of_own_lease(&self, request: &LeasePollRequest, command: &TaskCommand) -> bool {
+    /// Returns whether a member may submit this command: members may only begin steps, record outcomes and end leases,
+    /// and only under the fencing token of a lease that they hold.
+    fn member_may_submit(&self, request: &LeasePollRequest, command: &TaskCommand) -> bool {
         let holds = |task: &str, token: FencingToken| {
             let lease = self.tasks.tasks.get(task).and_then(|task| task.lease.as_ref());
             lease.is_some_and(|lease| lease.token == token && lease.holder == request.member)
@@ -183,7 +191,7 @@
     }
 
     fn budget_statuses(&mut self, now: f64) -> Vec<BudgetStatus> {
-        self.read_budgets();
+        self.refresh_budgets();
         self.tick_budgets(now);
         self.budget_leader.status()
     }
@@ -226,7 +234,7 @@
         }
     }
 
-    /// Handles the requests that only look at the state.
+    /// Handles the requests that only read the state.
     fn report(&mut self, now: f64, request: FleetRequest) -> FleetResponse {
         match request {
             FleetRequest::Outcome(id) => FleetResponse::Outcome(self.outcome_report(now, &id)),
@@ -253,16 +261,16 @@
                 let version_before = self.policy.version();
                 self.policy.apply(&command);
                 if self.policy.version() != version_before {
-                    self.forbid_tasks();
+                    self.update_forbidden_tasks();
                 }
             }
             Some(LogCommand::Task(command)) => {
                 self.tasks.apply(&command);
                 if matches!(command, TaskCommand::DefineTasks(_)) {
-                    self.forbid_tasks();
+                    self.update_forbidden_tasks();
                 }
             }
-            // Written by a newer program. This one can't follow, and does not guess.
+            // A newer program version wrote this command. Its effect is unknown here, so the state stays unchanged.
             None => {
                 let bytes = command.len();
                 tracing::error!(target: "fleet", bytes, "unreadable command in the log: update this program");
@@ -271,11 +279,12 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        // Programs from before there were tasks read the policy and ignore the rest.
+        // The policy comes first: program versions without tasks decode it and ignore the remaining bytes.
         [encode(&self.policy), encode(&self.tasks)].concat()
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
+        // Snapshots of program versions without tasks end after the policy.
         let (policy, rest) = postcard::take_from_bytes(snapshot).map_err(RestoreError::new)?;
         let tasks = match rest {
             [] => TaskState::default(),
@@ -313,7 +322,7 @@
         let minute = since_epoch.map(|time| time.as_secs() / 60);
         let policy = self.policy_leader.tick(now, &self.policy);
         let tasks = self.lease_leader.tick(now, minute, &self.tasks);
-        self.read_budgets();
+        self.refresh_budgets();
         self.tick_budgets(now);
         let tasks = tasks.into_iter().map(LogCommand::Task);
         policy_commands(policy).chain(tasks).map(|command| command.encode()).collect()
--- a/src/fleet/state_machine/report.rs
+++ b/src/fleet/state_machine/report.rs
@@ -1,4 +1,4 @@
-//! What the leader reports to operators: members, changes, versions, tasks.
+//! Status reports of the leader for operators: members, policy changes, policy versions and tasks.
 
 use super::FleetStateMachine;
 use crate::fleet::message::{
@@ -15,7 +15,7 @@
         TaskStatus { task: task.clone(), renewed_ms_ago }
     }
 
-    /// The task of this name with its history, or all tasks without theirs.
+    /// Returns the named task with its history or, without a name, all tasks without their histories.
     pub(super) fn task_statuses(&self, now: f64, name: Option<&str>) -> Vec<TaskStatus> {
         let tasks = self.tasks.tasks.values();
         let Some(name) = name else {
@@ -64,7 +64,7 @@
         OutcomeReport { outcome: self.policy.outcome(id), members_behind: self.members_behind(now) }
     }
 
-    /// Members that polled within the length of a long lease, and do not have the active version yet.
+    /// Counts the members that polled within the length of a long lease but do not have the active version yet.
     fn members_behind(&self, now: f64) -> usize {
         let active = Some(self.policy.version());
         let lease_length = self.policy.timings.map_or(0.0, |timings| timings.lease_ms);
