--- a/src/fleet/budgets/bindings.rs
+++ b/src/fleet/budgets/bindings.rs
@@ -1,16 +1,18 @@
-//! Which budgets apply to requests of a class and an account, looked up ahead of admission.
+//! Determines which budgets apply to requests of a class and account.
+//!
+//! This is computed when a policy is activated, so that an admission only looks up the result.
 
 use beamgap_budgets::member::BudgetMember;
 use beamgap_budgets::spec::{BudgetSpec, Resource};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The budgets that apply to a request, by their numbers at the member.
+/// The budgets that apply to a request, as indices into [`BudgetMember::specs`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct Binding {
-    /// Those that apply to its admission.
+    /// Budgets that limit the admission of the request.
     pub(super) admission: Vec<usize>,
-    /// Those that apply to its retries.
+    /// Budgets that limit retries of the request.
     pub(super) retries: Vec<usize>,
 }
 
@@ -23,17 +25,17 @@
     }
 }
 
-/// The bindings of one class.
+/// The budgets that apply to requests of one class, by account.
 #[derive(Debug)]
 pub(super) struct ClassBindings {
-    /// Of accounts that a budget names.
+    /// Bindings for the accounts that a budget names.
     by_account: HashMap<String, Rc<Binding>>,
-    /// Of all others.
+    /// Binding for requests without an account or with an account that no budget names.
     other_accounts: Rc<Binding>,
 }
 
 impl ClassBindings {
-    /// Looks up what applies to a class under the budgets that the member has in use.
+    /// Computes which of the member's current budgets apply to a class.
     pub(super) fn new(member: &BudgetMember, specs: &[BudgetSpec], class: &str) -> ClassBindings {
         let bind = |account: &str| (account.to_owned(), Rc::new(Binding::of(member, class, Some(account))));
         let accounts = specs.iter().filter_map(|spec| spec.account.as_deref());
--- a/src/fleet/budgets/in_use.rs
+++ b/src/fleet/budgets/in_use.rs
@@ -1,14 +1,14 @@
-//! Counts the units of concurrency limits that admitted requests hold.
+//! Counts the units of concurrency limits that admitted requests occupy.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many units of one budget are in use here.
+/// Number of units of one budget that are in use at this front end.
 #[derive(Clone, Debug, Default)]
 pub(super) struct InUseCounter(Rc<Cell<u64>>);
 
 impl InUseCounter {
-    /// Takes a unit until the guard is dropped.
+    /// Counts one unit as in use until the returned guard is dropped. The limit itself is not checked here.
     pub(super) fn acquire(&self) -> UnitGuard {
         self.0.set(self.0.get() + 1);
         UnitGuard { counter: self.clone() }
@@ -19,7 +19,7 @@
     }
 }
 
-/// One unit in use.
+/// Counts one unit of a budget as in use until it is dropped.
 #[derive(Debug)]
 pub(super) struct UnitGuard {
     counter: InUseCounter,
@@ -32,15 +32,15 @@
     }
 }
 
-/// A budget that limits units in use.
+/// A budget that limits the number of units in use at the same time.
 #[derive(Clone, Debug)]
 pub(super) struct ConcurrencyLimit {
     pub(super) counter: InUseCounter,
-    /// Longest time that one unit is in use, in milliseconds.
+    /// Longest time that a request may occupy a unit, in milliseconds.
     pub(super) max_duration_ms: f64,
 }
 
-/// The units that an admitted request holds until this is dropped.
+/// The budget units that an admitted request occupies. Dropping the value releases them.
 #[derive(Debug, Default)]
 pub struct HeldUnits {
     units: Vec<UnitGuard>,
@@ -48,7 +48,7 @@
 }
 
 impl HeldUnits {
-    /// Takes one unit of each limit.
+    /// Occupies one unit of each limit.
     pub(super) fn acquire<'a>(limits: impl Iterator<Item = &'a ConcurrencyLimit>) -> HeldUnits {
         let mut held = HeldUnits::default();
         for limit in limits {
@@ -58,8 +58,9 @@
         held
     }
 
-    /// How many milliseconds after admission everything that the request may have running has ended; nothing if it holds
-    /// no units.
+    /// Returns the time after admission by which all work for the request must have ended, in milliseconds.
+    ///
+    /// This is the longest duration among the concurrency limits that apply to the request, or `None` if none does.
     pub fn max_duration_ms(&self) -> Option<f64> {
         (!self.units.is_empty()).then_some(self.max_duration_ms)
     }
--- a/src/fleet/budgets/mod.rs
+++ b/src/fleet/budgets/mod.rs
@@ -1,5 +1,7 @@
-//! The fleet's budgets in this front end: applies what it holds of them (`crates/budgets`) to admission, to retries and to
-//! connections. An admission looks at memory only.
+//! Applies this front end's shares of the fleet's budgets to admission, retries and connections to engines.
+//!
+//! The shares come from the `beamgap-budgets` crate. Each decision uses only local state and needs no message to the
+//! leader.
 
 mod bindings;
 mod in_use;
@@ -20,49 +22,50 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// A request was rejected because a budget is exhausted here.
+/// The error for a request that is rejected because this front end's share of a budget is exhausted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("budget {budget} is exhausted")]
 pub struct BudgetExhausted {
-    /// The budget's name.
+    /// Name of the exhausted budget.
     pub budget: String,
 }
 
-/// What an admitted request has of the fleet's budgets.
+/// The budget units and retry budgets of an admitted request.
 #[derive(Debug, Default)]
 pub struct AdmittedByBudgets {
-    /// The units that it holds while it is in flight.
+    /// Units of concurrency budgets that the request occupies while it is in flight.
     pub held_units: HeldUnits,
-    /// The budgets that apply to its retries, if there are any.
+    /// The budgets that limit retries of the request; `None` if no budget does.
     pub retry_budget: Option<FleetRetryBudget>,
 }
 
-/// Connections of this front end to engines, as far as budgets limit them.
+/// The use of connections from this front end to engines, where budgets limit them.
 #[derive(Debug, Default)]
 struct Connections {
-    /// The numbers of the budgets that limit them.
-    limits: Vec<usize>,
-    /// Most connections that one engine has.
-    most_used: u64,
+    /// Budgets that limit connections, as indices into [`BudgetMember::specs`].
+    budget_numbers: Vec<usize>,
+    /// Number of connections to the engine that has the most.
+    max_used: u64,
 }
 
-/// The fleet's budgets as this front end applies them.
+/// The fleet's budgets as enforced by this front end.
 #[derive(Debug)]
 pub struct FleetBudgets {
     member: BudgetMember,
     test_hooks: TestHooks,
     classes: Vec<String>,
-    /// Units in use by the name of their budget. They go on counting whatever else a new version changes.
+    /// Numbers of units in use, by budget name. A count above 0 is kept when a new policy version is activated, because
+    /// requests admitted under an earlier version still occupy units.
     counters: BTreeMap<String, InUseCounter>,
-    /// Concurrency limits by the number of their budget.
+    /// Concurrency limits on requests in flight, by budget index; `None` for other budgets.
     limits: Vec<Option<ConcurrencyLimit>>,
     connections: Connections,
-    /// By class.
+    /// The budgets that apply to requests, by class index.
     bindings: Vec<ClassBindings>,
 }
 
 impl FleetBudgets {
-    /// A member that has just started: no budget is in use.
+    /// Creates the state of a member that has just started and has no budgets yet.
     pub fn new(
         name: &str,
         incarnation: u64,
@@ -81,19 +84,19 @@
         }
     }
 
-    /// Whether the policy in use has no budgets.
+    /// Returns whether the active policy has no budgets.
     pub fn is_empty(&self) -> bool {
         self.member.is_empty()
     }
 
-    /// Admits by the budgets of this policy version from now on.
+    /// Replaces the budgets by those of a newly activated policy version.
     pub fn activate(&mut self, now: f64, version: u64, specs: Vec<BudgetSpec>) {
         self.member.activate(now, version, specs);
         let specs: Vec<BudgetSpec> = self.member.specs().cloned().collect();
         let is_in_use = |name: &String| specs.iter().any(|spec| spec.name == *name);
         self.counters.retain(|name, counter| counter.count() > 0 || is_in_use(name));
         self.limits = specs.iter().map(|spec| self.concurrency_limit(spec)).collect();
-        self.connections.limits = self.member.applicable(Resource::Connections, "", None);
+        self.connections.budget_numbers = self.member.applicable(Resource::Connections, "", None);
         let member = &self.member;
         let of_class = |class: &String| ClassBindings::new(member, &specs, class);
         self.bindings = self.classes.iter().map(of_class).collect();
@@ -107,11 +110,13 @@
         Some(ConcurrencyLimit { counter, max_duration_ms: spec.outlives_share_ms() })
     }
 
-    /// Admits a request of a class, given by its number, and of an account.
+    /// Admits a request if no budget that applies to it is exhausted, and takes the request's tokens and units.
+    ///
+    /// `class` is the index of the request's class in the settings.
     ///
     /// # Errors
     ///
-    /// The first budget that is exhausted.
+    /// The first exhausted budget. Nothing is taken from any budget in this case.
     pub fn admit(
         budgets: &Rc<RefCell<FleetBudgets>>,
         now: f64,
@@ -144,22 +149,24 @@
         self.member.try_acquire(now, numbers, in_use)
     }
 
-    /// Connections that this front end may have to each engine, if a budget limits them. `most_used` is the most that one
-    /// engine has; `wants_more` says whether another was wanted.
-    pub fn connection_limit(&mut self, now: f64, most_used: u64, wants_more: bool) -> Option<u64> {
-        self.connections.most_used = most_used;
-        let numbers = self.connections.limits.clone();
+    /// Returns how many connections this front end may have to each engine; `None` if no budget limits connections.
+    ///
+    /// `max_used` is the number of connections to the engine that has the most. `wants_more` reports that another
+    /// connection was wanted.
+    pub fn connection_limit(&mut self, now: f64, max_used: u64, wants_more: bool) -> Option<u64> {
+        self.connections.max_used = max_used;
+        let numbers = self.connections.budget_numbers.clone();
         for number in &numbers {
-            if wants_more && most_used >= self.member.unit_limit(*number, now) {
-                // The rejection counts as demand, which moves shares here.
+            if wants_more && max_used >= self.member.unit_limit(*number, now) {
+                // The failed attempt is recorded as demand, so that the leader may move a larger share here.
                 let _ = self.try_acquire(now, &[*number]);
             }
         }
         numbers.iter().map(|number| self.member.unit_limit(*number, now)).min()
     }
 
-    /// How the load of warming engines is split, if a budget divides it: among how many front ends, and which of them this
-    /// one is.
+    /// Returns how a budget divides the load on engines that are warming up: among how many front ends, and the index
+    /// of this front end, from 0. The result is `None` if no budget divides that load.
     pub fn warming_split(&self, now: f64) -> Option<(f64, u64)> {
         let is_warming = |spec: &BudgetSpec| spec.resource == Resource::WarmingEngines;
         let number = self.member.specs().position(is_warming)?;
@@ -167,36 +174,38 @@
         Some((split.members, split.index))
     }
 
-    /// From now on it demands nothing more.
+    /// Begins a graceful shutdown: the front end demands nothing more, so that the leader moves its shares to others.
     pub fn start_draining(&mut self) {
         self.member.start_draining();
     }
 
-    /// The next request to the leader; `sequence` has to grow.
+    /// Returns the budget part of the next poll to the leader. `sequence` must increase with each poll.
     pub fn poll_request(&mut self, now: f64, sequence: u64) -> PollRequest {
         let in_use = units_in_use(&self.limits, &self.connections);
         self.member.poll_request(now, sequence, in_use)
     }
 
-    /// Handles the leader's response.
+    /// Applies the leader's response, received at `now`. Responses to earlier polls are ignored.
     pub fn handle_response(&mut self, now: f64, response: PollResponse) {
         self.member.handle_response(now, response);
     }
 
-    /// In how many milliseconds after the last response the next poll should follow, if sooner than usual.
+    /// Returns a poll interval in milliseconds if the next poll should be sent earlier than usual.
+    ///
+    /// This is the case while shares are moved between members, and when the demand differs from the last report.
     pub fn wants_early_poll(&self, now: f64) -> Option<f64> {
         self.member.wants_early_poll(now)
     }
 }
 
-/// Units in use by the number of their budget; none of a rate.
+/// Returns a function from a budget's index to the number of its units in use. For rates this number is always 0.
 fn units_in_use<'a>(
     limits: &'a [Option<ConcurrencyLimit>],
     connections: &'a Connections,
 ) -> impl Fn(usize) -> u64 + 'a {
     |number| match limits.get(number).and_then(Option::as_ref) {
         Some(limit) => limit.counter.count(),
-        None if connections.limits.contains(&number) => connections.most_used,
+        None if connections.budget_numbers.contains(&number) => connections.max_used,
         None => 0,
     }
 }
--- a/src/fleet/budgets/retries.rs
+++ b/src/fleet/budgets/retries.rs
@@ -1,4 +1,4 @@
-//! Retries of an admitted request under the fleet's budgets.
+//! Limits the retries of admitted requests by the fleet's retry budgets.
 
 use super::bindings::Binding;
 use super::FleetBudgets;
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The fleet's retry budgets that apply to one admitted request.
+/// The fleet's retry budgets that limit the retries of one admitted request.
 #[derive(Clone, Debug)]
 pub struct FleetRetryBudget {
     pub(super) budgets: Rc<RefCell<FleetBudgets>>,
@@ -14,7 +14,9 @@
 }
 
 impl FleetRetryBudget {
-    /// Whether a retry of the request with this id may be sent now; if so it is counted.
+    /// Takes one retry from each budget that applies. Returns false, and takes nothing, if one of them is exhausted.
+    ///
+    /// `request_id` identifies the request in the history of the fault harness.
     pub fn try_acquire(&self, request_id: &str) -> bool {
         let mut budgets = self.budgets.borrow_mut();
         let machine_time = machine_clock();
--- a/src/fleet/tasks/call.rs
+++ b/src/fleet/tasks/call.rs
@@ -1,7 +1,8 @@
-//! An action: a POST to the task's target, on a thread of its own, bounded in number and time.
+//! Actions of tasks: HTTP POST requests to a task's target, limited in number and duration.
 //!
-//! The target gets `{"task", "run", "step", "token"}` and the header `Lease-Token`. It answers 2xx if the step is done; 409 if
-//! it has seen a newer token, and any other 4xx if it did nothing. All else leaves open whether the step ran.
+//! The request has a JSON body with the fields `run`, `step`, `task` and `token`. The header `Lease-Token` repeats the
+//! fencing token. The target responds with 2xx if the step is done, with 409 if it has seen a newer fencing token, and
+//! with any other 4xx if it did nothing. After any other response it is unknown whether the step ran.
 
 use crate::fleet::test_hooks::{machine_clock, TestHooks};
 use beamgap_consensus::Clock;
@@ -12,24 +13,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest number of actions of a member at once.
+/// Maximum number of actions that a member runs concurrently. Each one occupies a thread.
 const MAX_ACTIONS: usize = 8;
-/// The header that carries the fencing token.
+/// HTTP header with the fencing token.
 const TOKEN_HEADER: &str = "Lease-Token";
 
-/// An action to start.
+/// An action that is ready to start.
 pub struct Action {
-    /// The permit for it.
+    /// The permit from the task's lease; its expiry is checked once more when the action starts.
     pub permit: ActionPermit,
-    /// The address of the target.
+    /// URL of the target.
     pub url: String,
-    /// The number of the run.
+    /// Number of the run that the step belongs to.
     pub run: u64,
-    /// How long it may last, in milliseconds.
+    /// Timeout of the HTTP request, in milliseconds.
     pub timeout_ms: f64,
 }
 
-/// What the target gets. The fields are sent in this order.
+/// JSON body of the request to the target. The fields are serialized in declaration order.
 #[derive(Serialize)]
 struct StepRequest<'a> {
     run: u64,
@@ -38,7 +39,7 @@
     token: FencingToken,
 }
 
-/// What an action's thread needs.
+/// State shared with the threads that run actions.
 #[derive(Clone)]
 struct ActionContext {
     clock: Clock,
@@ -47,7 +48,7 @@
     outcomes: SyncSender<Option<Command>>,
 }
 
-/// Starts actions on threads and collects their outcomes.
+/// Runs each action on its own thread and collects the outcomes.
 pub struct ActionExecutor {
     context: ActionContext,
     outcomes: Receiver<Option<Command>>,
@@ -55,31 +56,31 @@
 }
 
 impl ActionExecutor {
-    /// An executor without actions. `wake` is called when one has ended.
+    /// Creates an executor. `wake` is called whenever an action has ended.
     pub fn new(clock: Clock, hooks: TestHooks, wake: Arc<dyn Fn() + Send + Sync>) -> ActionExecutor {
         let (sender, receiver) = sync_channel(MAX_ACTIONS);
         let context = ActionContext { clock, hooks, wake, outcomes: sender };
         ActionExecutor { context, outcomes: receiver, running: 0 }
     }
 
-    /// Whether another action may be started.
+    /// Returns whether another action may be started without exceeding the limit on concurrent actions.
     pub fn has_room(&self) -> bool {
         self.running < MAX_ACTIONS
     }
 
-    /// The commands that record the outcomes of actions which have ended.
+    /// Removes and returns the commands that record the outcomes of ended actions.
     pub fn take_outcomes(&mut self) -> Vec<Command> {
         let ended: Vec<Option<Command>> = self.outcomes.try_iter().collect();
         self.running -= ended.len();
         ended.into_iter().flatten().collect()
     }
 
-    /// Starts an action on a thread of its own. If there is none, the step stays open until its lease ends.
+    /// Starts an action on a new thread. If the thread can't be created, the step stays open until its lease ends.
     pub fn start(&mut self, action: Action) {
         let context = self.context.clone();
         let work = move || {
             let command = context.perform(action);
-            // Nobody listens if the serving loop has ended.
+            // Sending fails only if the event loop has ended and dropped the receiver.
             let _ = context.outcomes.send(command);
             (context.wake)();
         };
@@ -91,20 +92,19 @@
 }
 
 impl ActionContext {
-    /// Checks the permit, performs the action, and gives the command that records its outcome.
+    /// Checks the permit, performs the action and returns the command that records its outcome.
+    ///
+    /// Returns `None` for a task without steps, whose outcomes are not recorded.
     fn perform(&self, action: Action) -> Option<Command> {
         let task = action.permit.task().to_owned();
         let step = action.permit.step().unwrap_or(0);
-        // The check of the clock comes last: only the action follows.
+        // The expiry check comes directly before the action, to keep the time in which the lease can expire short.
         let permitted: PermittedAction = match action.permit.start((self.clock)()) {
             Ok(permitted) => permitted,
             Err(expired) => return expired.record(),
         };
         let token = permitted.token();
-        self.hooks.between_look_and_action(&format!(
-            "t={:.3} task={task} step={step} token={token}",
-            machine_clock()
-        ));
+        self.hooks.before_action(&format!("t={:.3} task={task} step={step} token={token}", machine_clock()));
         let request = StepRequest { run: action.run, step, task: &task, token };
         let outcome = post(&action.url, action.timeout_ms, &request);
         permitted.record(outcome)
@@ -141,7 +141,8 @@
     }
 }
 
-/// Only errors that come before the request is sent show that the step did not run.
+/// Maps a transport error to an outcome. Only an error raised before the request was sent proves that the step
+/// did not run; after any other error the step may have run.
 fn outcome_of_error(error: &ureq::Error) -> Outcome {
     match error {
         ureq::Error::Io(cause) if cause.kind() == ErrorKind::ConnectionRefused => {
--- a/src/fleet/tasks/mod.rs
+++ b/src/fleet/tasks/mod.rs
@@ -1,8 +1,8 @@
-//! The tasks of the fleet at this member: connects the leases (`crates/leases`) to the serving loop and to the targets
-//! of the actions.
+//! Runs the fleet's tasks at this member: connects the task leases of the `beamgap-leases` crate to the event loop and
+//! to the targets of actions.
 //!
-//! - [`read`]: the `task` blocks of the operator's file.
-//! - [`call`]: an action: a POST to the task's target, on a thread of its own.
+//! - [`read`]: reads the `task` blocks of the configuration file.
+//! - [`call`]: performs actions, which are HTTP POST requests to a task's target.
 
 pub mod call;
 pub mod read;
@@ -16,17 +16,18 @@
 use call::{Action, ActionExecutor};
 use std::sync::Arc;
 
-/// With more requests than this open at the front end, no further step begins: clients' requests go first.
-const MAX_OPEN_REQUESTS: usize = 64;
+/// While more client requests than this are in flight at the front end, no new step of a task begins: client requests
+/// have precedence over tasks.
+const MAX_IN_FLIGHT_TO_BEGIN_STEP: usize = 64;
 
-/// Runs the steps of the tasks that this member holds. All times are of the member's clock, in milliseconds.
+/// Runs the steps of the tasks whose leases this member holds. All times are in milliseconds of the member's clock.
 pub struct TaskRunner {
     holder: LeaseHolder,
     executor: ActionExecutor,
 }
 
 impl TaskRunner {
-    /// The runner of a member that has just started. `wake` is called when an action has ended.
+    /// Creates the runner of a member that holds no leases yet. `wake` is called whenever an action has ended.
     pub fn new(
         member: MemberId,
         zone: &str,
@@ -41,22 +42,22 @@
         }
     }
 
-    /// What is sent to the leader with the next poll.
+    /// Returns the lease part of the next poll to the leader.
     pub fn poll_request(&self) -> PollRequest {
         self.holder.poll_request()
     }
 
-    /// Takes in the response to a request that was sent at `sent_at`.
+    /// Handles the leader's response to a poll sent at `sent_at`; leases are renewed from that time.
     pub fn handle_response(&mut self, sent_at: f64, response: PollResponse) {
         self.holder.handle_response(sent_at, response);
     }
 
-    /// Begins a graceful shutdown: no more leases are taken, and those that are held are given up.
+    /// Begins a graceful shutdown: the member requests no more leases and gives up those that it holds.
     pub fn start_draining(&mut self) {
         self.holder.start_draining();
     }
 
-    /// Takes in the outcomes of actions that have ended, and starts actions that are permitted.
+    /// Collects the outcomes of ended actions and starts the actions of steps that are ready.
     pub fn advance(&mut self, now: f64) {
         for command in self.executor.take_outcomes() {
             self.holder.queue_outcome(Some(command));
@@ -89,13 +90,13 @@
         }
     }
 
-    /// The commands to send with the next poll, while so many requests are open at this front end.
-    pub fn pending_commands(&mut self, now: f64, open_requests: usize) -> Vec<Command> {
-        let is_busy = open_requests > MAX_OPEN_REQUESTS;
+    /// Returns the commands to send with the next poll. No step begins if too many requests are `in_flight`.
+    pub fn pending_commands(&mut self, now: f64, in_flight: usize) -> Vec<Command> {
+        let is_busy = in_flight > MAX_IN_FLIGHT_TO_BEGIN_STEP;
         self.holder.pending_commands(now, is_busy)
     }
 
-    /// Whether the next response is waited for: a step is to begin or to be recorded, or a lease to be given up.
+    /// Returns whether a command waits to be committed: to begin a step, to record an outcome or to give up a lease.
     pub fn wants_early_poll(&self, now: f64) -> bool {
         self.holder.wants_early_poll(now)
     }
--- a/src/fleet/tasks/read.rs
+++ b/src/fleet/tasks/read.rs
@@ -1,19 +1,22 @@
-//! The `task` blocks of the operator's file. They take effect for the whole fleet by `beamgap task apply`.
+//! Reads the `task` blocks of the configuration file. `beamgap task apply` applies them to the whole fleet.
 
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use crate::node::section::ConfigError;
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_leases::{OnUnknownOutcome, Schedule, TaskSpec, MAX_STEPS, MAX_TASKS};
 
-/// What an operator writes to have a task whose target checks no tokens.
-pub const UNFENCED: &str = "two may act if a process stands still";
+/// The value of the key `unfenced` that an operator must write for a task whose target ignores fencing tokens.
+///
+/// With such a target two members may act at the same time: one of them was suspended and resumes after its lease has
+/// expired. The required text makes the operator acknowledge that.
+pub const UNFENCED_ACKNOWLEDGEMENT: &str = "two may act if a process stands still";
 
-/// The window of a daily task whose block has none, in milliseconds.
+/// Default of the key `window`, in milliseconds: how long after its time of day a daily run may still start.
 const DEFAULT_WINDOW_MS: f64 = 3_600_000.0;
-/// Milliseconds of a minute.
+/// Number of milliseconds in a minute.
 const MINUTE_MS: f64 = 60_000.0;
 
-/// What a block may hold.
+/// Describes the keys that a `task` block may contain.
 pub fn schema() -> Block {
     let key = |name, setting, shape| Key { name, setting, shape, needed: false };
     let count = |least, most| Shape::Count { least, most };
@@ -42,11 +45,11 @@
     }
 }
 
-/// Reads all tasks of a `fleet` block.
+/// Reads all `task` blocks of a `fleet` block.
 ///
 /// # Errors
 ///
-/// The first key that can't be used as it is.
+/// The first key with an invalid value.
 pub fn read(fleet: &OwnedValue) -> Result<Vec<TaskSpec>, ConfigError> {
     let blocks = fleet.get("tasks").and_then(|list| list.as_array()).map_or(&[][..], |list| list.as_slice());
     let mut specs: Vec<TaskSpec> = Vec::new();
@@ -54,7 +57,7 @@
         let block = TaskBlock { index, block };
         let spec = block.read()?;
         if specs.iter().any(|other| other.name == spec.name) || specs.len() >= MAX_TASKS {
-            let problem = format!("stands twice, or there are more than {MAX_TASKS} tasks");
+            let problem = format!("is used twice, or there are more than {MAX_TASKS} tasks");
             return Err(block.error("name", problem));
         }
         specs.push(spec);
@@ -62,7 +65,7 @@
     Ok(specs)
 }
 
-/// One `task` block.
+/// One `task` block and its index in the list, which error messages contain.
 struct TaskBlock<'a> {
     index: usize,
     block: &'a OwnedValue,
@@ -81,7 +84,7 @@
         self.block.get(key).and_then(json::number)
     }
 
-    /// Names with commas between them.
+    /// Splits the comma-separated names of a key's value.
     fn names(&self, key: &str) -> Vec<String> {
         let names = self.text(key).unwrap_or_default().split(',').map(str::trim);
         names.filter(|name| !name.is_empty()).map(str::to_owned).collect()
@@ -113,14 +116,14 @@
     fn url(&self) -> Result<&str, ConfigError> {
         let url = self.text("call").unwrap_or_default();
         if !url.starts_with("http://") {
-            return Err(self.error("call", format!("is '{url}'; write an address that begins with http://")));
+            return Err(self.error("call", format!("is '{url}'; write a URL that begins with http://")));
         }
         Ok(url)
     }
 
     fn schedule(&self) -> Result<Schedule, ConfigError> {
         match (self.number("every_ms"), self.text("at")) {
-            (Some(_), Some(_)) => Err(self.error("every", "and `at` exclude each other; keep one")),
+            (Some(_), Some(_)) => Err(self.error("every", "and `at` exclude each other; remove one of them")),
             (Some(interval_ms), None) => Ok(Schedule::Every(interval_ms)),
             (None, None) => Ok(Schedule::OnDemand),
             (None, Some(at)) => self.daily(at),
@@ -147,16 +150,18 @@
     fn requires_fencing(&self) -> Result<bool, ConfigError> {
         match self.text("unfenced") {
             None => Ok(true),
-            Some(UNFENCED) => Ok(false),
+            Some(UNFENCED_ACKNOWLEDGEMENT) => Ok(false),
             Some(other) => {
-                let fix = format!("a target that checks no tokens needs `unfenced = \"{UNFENCED}\"`");
+                let fix = format!(
+                    "a target that checks no tokens needs `unfenced = \"{UNFENCED_ACKNOWLEDGEMENT}\"`"
+                );
                 Err(self.error("unfenced", format!("is '{other}'; {fix}")))
             }
         }
     }
 }
 
-/// The minute of the day of a time like 02:30.
+/// Parses a time of day such as 02:30 and returns the minutes since midnight.
 fn minute_of_day(time: &str) -> Option<u32> {
     let (hours, minutes) = time.split_once(':')?;
     let hours: u32 = hours.parse().ok()?;
--- a/src/fleet/test_disk.rs
+++ b/src/fleet/test_disk.rs
@@ -1,4 +1,7 @@
-//! A disk for tests whose power can be cut: what was not synced is lost with the process, and fsync can be made to fail.
+//! A disk for tests that simulates power failures and failing fsync.
+//!
+//! Writes stay in the memory of the process until they are synced. Killing the process therefore discards the writes
+//! that were not synced, as a power failure would.
 
 use beamgap_consensus::disk::{Disk, FileDisk, StorageBackend};
 use std::io;
@@ -6,12 +9,12 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// While a file of this name is in the voter's data folder, each fsync there fails.
+/// While a file of this name exists in the voter's data folder, each fsync of a file in that folder fails.
 pub const FSYNC_FAILS_FILE: &str = "fsync-fails";
-/// What a disk that fails reports.
+/// The `errno` value for an input/output error, which a failing fsync returns.
 const EIO: i32 = 5;
 
-/// Files that are written to only by fsync.
+/// A disk whose files receive writes only when they are synced.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PowerCutDisk;
 
@@ -29,7 +32,7 @@
     }
 }
 
-/// What the page cache would hold.
+/// The content of a file, including writes that were not synced, and the byte ranges of these writes.
 #[derive(Debug)]
 struct Cache {
     bytes: Vec<u8>,
@@ -39,7 +42,7 @@
 #[derive(Debug)]
 struct CachedFile {
     file: Box<dyn StorageBackend>,
-    /// While this file exists, fsync fails.
+    /// Path of the file whose existence makes fsync fail.
     fsync_fails: PathBuf,
     cache: Mutex<Cache>,
 }
--- a/src/fleet/test_hooks.rs
+++ b/src/fleet/test_hooks.rs
@@ -1,8 +1,15 @@
-//! Hooks for the fault harness, set by the environment variable `BEAMGAP_TRIAL`: a clock that drifts or leaps, a history
-//! of what was admitted, a disk whose power can be cut, injected bugs. Nothing is set in service.
+//! Hooks for the fault harness, set by the environment variable `BEAMGAP_TRIAL`. In production it is not set.
 //!
-//! The variable holds words with commas between: `history`, `rate=1.05`, `offset=5000`, `jump=2000:5000`, `power`,
-//! `leash`, `look=300`, `plant=NAME`.
+//! The variable is a comma-separated list of these words:
+//!
+//! - `history`: writes a history of admission decisions, retries and task actions to standard error.
+//! - `rate=1.05`: speed of the member's clock, relative to the machine's clock.
+//! - `offset=5000`: offset of the member's clock, in milliseconds.
+//! - `jump=2000:5000`: after 2,000 ms the member's clock jumps forward by 5,000 ms.
+//! - `power`: simulates a power failure at the end of the process, by discarding writes that were not synced.
+//! - `leash`: the process exits when its standard input is closed.
+//! - `look=300`: pause between the last clock check of a task's lease and the action, in milliseconds.
+//! - `plant=NAME`: injects the bug of this name.
 
 use super::test_disk::PowerCutDisk;
 use beamgap_budgets::InjectedBug as BudgetBug;
@@ -15,51 +22,51 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The environment variable.
+/// Name of the environment variable that sets the hooks.
 pub const TEST_HOOKS_VARIABLE: &str = "BEAMGAP_TRIAL";
 
-/// A word of the variable that can't be used.
+/// An invalid word in the environment variable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TestHooksError {
-    /// A word needs a number.
+    /// A word that needs a number has none, or an invalid one.
     #[error("{TEST_HOOKS_VARIABLE}: `{0}` has no number")]
     NoNumber(String),
-    /// A word is not known.
+    /// A word, or the name of an injected bug, is unknown.
     #[error("{TEST_HOOKS_VARIABLE}: `{0}` is not known")]
     UnknownWord(String),
 }
 
-/// A leap of the clock.
+/// A jump of the member's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockJump {
-    /// At this reading of the machine's clock, in milliseconds.
+    /// Time of the jump on the machine's clock, in milliseconds.
     pub at_ms: f64,
-    /// By this much, in milliseconds.
+    /// How far the member's clock jumps forward, in milliseconds; negative for a jump back.
     pub by_ms: f64,
 }
 
-/// What a test has set; the default is service.
+/// The hooks that a test has set. The default, without any hook, is for production.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TestHooks {
-    /// Speed of the member's clock, as a multiple of the machine's.
+    /// Speed of the member's clock relative to the machine's clock.
     pub clock_rate: f64,
-    /// How far the member's clock is ahead, in milliseconds.
+    /// Constant offset that is added to the member's clock, in milliseconds.
     pub clock_offset_ms: f64,
-    /// A leap of the member's clock.
+    /// One jump of the member's clock.
     pub clock_jump: Option<ClockJump>,
-    /// Whether what was not synced is lost with the process.
+    /// Whether writes that were not synced are lost when the process ends, as in a power failure.
     pub power_cut_disk: bool,
-    /// Whether the process ends when its standard input does.
-    pub exit_with_stdin: bool,
-    /// Pause between a task's look at the clock and its action, in milliseconds.
+    /// Whether the process exits when its standard input is closed.
+    pub exit_on_stdin_close: bool,
+    /// Pause between the last clock check of a task's lease and the action, in milliseconds.
     pub pause_before_action_ms: f64,
-    /// Whether a history is written to standard error.
+    /// Whether a history of admission decisions, retries and task actions is written to standard error.
     pub write_history: bool,
-    /// A bug in the policy's part.
+    /// Bug injected into the policy rollout, the consensus or admission.
     pub policy_bug: PolicyBug,
-    /// A bug in the leases.
+    /// Bug injected into the task leases.
     pub lease_bug: LeaseBug,
-    /// A bug in the budgets.
+    /// Bug injected into the budgets.
     pub budget_bug: BudgetBug,
 }
 
@@ -70,7 +77,7 @@
             clock_offset_ms: 0.0,
             clock_jump: None,
             power_cut_disk: false,
-            exit_with_stdin: false,
+            exit_on_stdin_close: false,
             pause_before_action_ms: 0.0,
             write_history: false,
             policy_bug: PolicyBug::None,
@@ -80,17 +87,18 @@
     }
 }
 
-/// The machine's monotonic clock that counts suspension, in milliseconds. All processes of a machine share it.
+/// Reads the machine's monotonic clock, in milliseconds. All processes on the machine share this clock, which also
+/// advances while the machine is suspended (`CLOCK_BOOTTIME`).
 pub fn machine_clock() -> f64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
 }
 
 impl TestHooks {
-    /// Parses the variable's text.
+    /// Parses the value of the environment variable.
     ///
     /// # Errors
-    /// If a word is not known, or lacks its number.
+    /// If a word is unknown, or its number is missing or invalid.
     pub fn parse(text: &str) -> Result<TestHooks, TestHooksError> {
         let mut hooks = TestHooks::default();
         for word in text.split(',').filter(|word| !word.is_empty()) {
@@ -99,10 +107,10 @@
         Ok(hooks)
     }
 
-    /// Reads the variable from an environment.
+    /// Reads the hooks from the environment; `env` returns the value of a variable.
     ///
     /// # Errors
-    /// As [`TestHooks::parse`].
+    /// The errors of [`TestHooks::parse`].
     pub fn from_env(env: &dyn Fn(&str) -> Option<String>) -> Result<TestHooks, TestHooksError> {
         match env(TEST_HOOKS_VARIABLE) {
             Some(text) => TestHooks::parse(&text),
@@ -115,7 +123,7 @@
         match word.split_once('=') {
             None if word == "history" => self.write_history = true,
             None if word == "power" => self.power_cut_disk = true,
-            None if word == "leash" => self.exit_with_stdin = true,
+            None if word == "leash" => self.exit_on_stdin_close = true,
             Some(("look", text)) => self.pause_before_action_ms = number(text)?,
             Some(("rate", text)) => self.clock_rate = number(text)?,
             Some(("offset", text)) => self.clock_offset_ms = number(text)?,
@@ -130,7 +138,7 @@
         Ok(())
     }
 
-    /// Injects the bug of this name. Returns whether there is one.
+    /// Injects the bug of this name. Returns false if the name is unknown.
     fn inject(&mut self, name: &str) -> bool {
         match name {
             "early-activation" => self.policy_bug = PolicyBug::EarlyActivation,
@@ -153,20 +161,20 @@
         true
     }
 
-    /// The member's clock at a reading of the machine's, both in milliseconds.
+    /// Converts a reading of the machine's clock to the member's clock, both in milliseconds.
     pub fn member_time(&self, machine_ms: f64) -> f64 {
         let jumped = self.clock_jump.filter(|jump| machine_ms >= jump.at_ms);
-        let leap = jumped.map_or(0.0, |jump| jump.by_ms);
-        machine_ms * self.clock_rate + self.clock_offset_ms + leap
+        let jump_ms = jumped.map_or(0.0, |jump| jump.by_ms);
+        machine_ms * self.clock_rate + self.clock_offset_ms + jump_ms
     }
 
-    /// The member's clock.
+    /// Returns the member's clock, which reads in milliseconds.
     pub fn clock(&self) -> Clock {
         let hooks = *self;
         Arc::new(move || hooks.member_time(machine_clock()))
     }
 
-    /// The voter's disk.
+    /// Returns the disk that a voter stores its data on: the file system, or a disk that simulates power failures.
     pub fn disk(&self) -> SharedDisk {
         if self.power_cut_disk {
             Arc::new(PowerCutDisk)
@@ -175,29 +183,34 @@
         }
     }
 
-    /// Called between a look at the clock and the action that rests on it, where a process may be suspended.
-    pub fn between_look_and_action(&self, what: &str) {
+    /// Runs between the last clock check of a task's lease and the action: writes `details` to the history and pauses.
+    ///
+    /// If the process is suspended at this point, the action may start after the lease has expired. The pause gives a
+    /// test time to suspend the process, and so to check that the target rejects the expired lease's fencing token.
+    pub fn before_action(&self, details: &str) {
         if self.write_history {
-            eprintln!("history look {what}");
+            eprintln!("history look {details}");
         }
         if self.pause_before_action_ms > 0.0 {
             std::thread::sleep(Duration::from_secs_f64(self.pause_before_action_ms / 1000.0));
         }
     }
 
-    /// Has the process end with its standard input, if that is set: when whoever started it is gone.
+    /// Starts a thread that exits the process when its standard input is closed, if the hook is set.
+    ///
+    /// Closed standard input means that the parent process has ended, so that no test leaves processes behind.
     pub fn watch_stdin(&self) {
-        if !self.exit_with_stdin {
+        if !self.exit_on_stdin_close {
             return;
         }
         std::thread::spawn(|| {
-            // Whether by end of file or by an error, whoever started the process is gone.
+            // The parent process has ended, whether the copy stops at the end of file or with an error.
             let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
             std::process::exit(1);
         });
     }
 
-    /// The injected bugs of the consensus.
+    /// Returns the bugs to inject into the consensus.
     pub fn consensus_bugs(&self) -> InjectedBugs {
         InjectedBugs {
             unconfirmed_leader: self.policy_bug == PolicyBug::UnconfirmedLeader,
--- a/tests/test_hooks.rs
+++ b/tests/test_hooks.rs
@@ -1,4 +1,5 @@
-//! The words of the fault harness' environment variable.
+//! Tests the parsing of `BEAMGAP_TRIAL`, the environment variable that sets the hooks of the fault harness, and the
+//! effect of the hooks on the member's clock.
 
 use beamgap::fleet::test_hooks::{machine_clock, ClockJump, TestHooks, TestHooksError};
 use beamgap_budgets::InjectedBug as BudgetBug;
@@ -12,7 +13,7 @@
         clock_rate: 1.05,
         clock_offset_ms: -50_000.0,
         power_cut_disk: true,
-        exit_with_stdin: true,
+        exit_on_stdin_close: true,
         pause_before_action_ms: 300.0,
         write_history: true,
         ..TestHooks::default()
