--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -216,7 +216,7 @@
             return;
         };
         let engine = attempt.engine;
-        let was_troubled = self.requests[sequence].troubled;
+        let had_run_short_of_memory = self.requests[sequence].ran_short_of_memory;
         self.health
             .zones
             .zone_mut(&self.engines[engine].entry.zone)
@@ -231,7 +231,7 @@
         }
         match progress {
             Progress::Spilling(_) | Progress::WaitsForMemory => {
-                if !was_troubled {
+                if !had_run_short_of_memory {
                     self.record_memory_shortage(sequence, engine);
                 }
             }
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -124,18 +124,18 @@
         was_estimated: bool,
     ) {
         let request = &self.requests[sequence];
-        let troubled = request.troubled;
+        let ran_short_of_memory = request.ran_short_of_memory;
         let overran = memory_mb > MEMORY_OVERRUN * request.memory_mb;
         if let Some(features) = request.features {
             // The label compares the need with the memory that was free when the query was judged.
             // If the query was flagged and therefore waited, it may not have run short of memory
             // although the prediction was right.
             let label = f64::from(u8::from(
-                troubled || memory_mb > request.free_memory_then_mb,
+                ran_short_of_memory || memory_mb > request.free_memory_at_flagging_mb,
             ));
             self.flagging.model.learn(&features, label);
         }
-        if was_estimated && overran && !troubled {
+        if was_estimated && overran && !ran_short_of_memory {
             self.record_memory_shortage(sequence, engine);
         }
     }
--- a/crates/decisions/src/decide/flagging.rs
+++ b/crates/decisions/src/decide/flagging.rs
@@ -2,20 +2,21 @@
 //!
 //! The method is SAFELoad ("SAFELoad: Efficient Admission Control Framework for Identifying
 //! Memory-Overloading Queries in Cloud Data Warehouses"). It has three steps: a prefilter for
-//! harmless queries, a confidence from a model and from a list of missed queries, and a quota from
-//! which the price of each flag is deducted.
+//! harmless queries, a confidence from a model and from a list of recent false negatives (queries
+//! that ran short of memory without a flag), and a quota from which the price of each flag is
+//! deducted.
 
 use super::Gateway;
+use crate::state::memory_shortage_model::{entropy, FalseNegatives, MemoryShortageModel, FEATURES};
 use crate::state::request::TrackedRequest;
-use crate::state::trouble_model::{entropy, MissList, TroubleModel, FEATURES};
 
 /// Weight of the prediction's entropy in the price of a flag (gamma in SAFELoad); uncertain
 /// predictions cost more.
 const ENTROPY_WEIGHT: f64 = 1.0;
 
-/// Discount on the price of a flag for each missed query since the last quota refill (beta in
+/// Discount on the price of a flag for each false negative since the last quota refill (beta in
 /// SAFELoad).
-const MISS_DISCOUNT: f64 = 0.5;
+const FALSE_NEGATIVE_DISCOUNT: f64 = 0.5;
 
 /// Lower bound on the price of a flag (Cmin in SAFELoad).
 const MIN_PRICE: f64 = 0.1;
@@ -23,11 +24,11 @@
 /// Minimum predicted probability of running short of memory at which a query is flagged.
 const FLAG_CONFIDENCE: f64 = 0.5;
 
-/// Model and miss list of the flagging method. The quota is stored with each engine.
+/// Model and list of false negatives of the flagging method. The quota is stored with each engine.
 #[derive(Default)]
 pub(super) struct FlaggingState {
-    pub(super) model: TroubleModel,
-    misses: MissList,
+    pub(super) model: MemoryShortageModel,
+    false_negatives: FalseNegatives,
 }
 
 impl Gateway {
@@ -50,7 +51,7 @@
         }
         let request = self.requests.get_mut(sequence);
         request.features = Some(features);
-        request.free_memory_then_mb = free_memory_mb;
+        request.free_memory_at_flagging_mb = free_memory_mb;
         request.flagged = Some(accepted);
     }
 
@@ -58,7 +59,7 @@
     /// of memory on the engine in the previous or the current window.
     fn passes_prefilter(&self, request: &TrackedRequest, preferred: usize) -> bool {
         let quota = &self.engines[preferred].flag_quota;
-        self.is_small(request) || quota.last_trouble + quota.trouble < 1.0
+        self.is_small(request) || quota.last_shortages + quota.shortages < 1.0
     }
 
     /// Step 2, the prediction: returns the probability that the query runs short of memory. It is 1
@@ -71,8 +72,8 @@
     ) -> f64 {
         if self
             .flagging
-            .misses
-            .contains(&request.miss_key(), self.clock.now)
+            .false_negatives
+            .contains(&request.query_kind(), self.clock.now)
         {
             1.0
         } else {
@@ -89,38 +90,39 @@
         let size = (request.memory_mb / engine.memory_mb * 4.0).min(2.0);
         let fit = (request.memory_mb / free_mb).min(2.0);
         let in_use = 1.0 - (free_mb / engine.memory_mb).min(1.0);
-        let trouble = (engine.flag_quota.last_trouble / 5.0).min(1.0);
-        [1.0, size, fit, in_use, trouble]
+        let shortages = (engine.flag_quota.last_shortages / 5.0).min(1.0);
+        [1.0, size, fit, in_use, shortages]
     }
 
     /// Step 3, the quota: the price of a flag is max(1 + gamma H(p) - beta FNC, Cmin), where H(p)
-    /// is the entropy of the prediction and FNC the number of missed queries (false negatives).
+    /// is the entropy of the prediction and FNC the number of false negatives.
     fn flag_price(&self, engine: usize, confidence: f64) -> f64 {
-        let misses = self.engines[engine].flag_quota.misses;
-        (1.0 + ENTROPY_WEIGHT * entropy(confidence) - MISS_DISCOUNT * misses).max(MIN_PRICE)
+        let false_negatives = self.engines[engine].flag_quota.false_negatives;
+        (1.0 + ENTROPY_WEIGHT * entropy(confidence) - FALSE_NEGATIVE_DISCOUNT * false_negatives)
+            .max(MIN_PRICE)
     }
 
     /// Refills the flagging quota of each engine at the start of a quota window and drops expired
-    /// entries of the miss list.
+    /// entries of the list of false negatives.
     pub(super) fn refill_flag_quotas(&mut self) {
         for engine in self.engines.iter_mut() {
             engine.flag_quota.refill();
         }
-        self.flagging.misses.expire(self.clock.now);
+        self.flagging.false_negatives.expire(self.clock.now);
     }
 
     /// Records that a query ran short of memory on an engine. If the query was not flagged, it
-    /// counts as a miss and joins the miss list.
+    /// counts as a false negative and joins the list of false negatives.
     pub(super) fn record_memory_shortage(&mut self, sequence: u64, engine: usize) {
         let request = self.requests.get_mut(sequence);
-        request.troubled = true;
+        request.ran_short_of_memory = true;
         let was_flagged = request.flagged == Some(true);
-        let key = request.miss_key();
+        let kind = request.query_kind();
         let quota = &mut self.engines[engine].flag_quota;
-        quota.count_trouble();
+        quota.count_shortage();
         if !was_flagged {
-            quota.misses += 1.0;
-            self.flagging.misses.add(key, self.clock.now);
+            quota.false_negatives += 1.0;
+            self.flagging.false_negatives.add(kind, self.clock.now);
         }
     }
 }
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -70,20 +70,20 @@
 pub struct FlagQuota {
     pub quota: f64,
     /// Number of queries since the last refill that ran short of memory but were not flagged.
-    pub misses: f64,
+    pub false_negatives: f64,
     /// Number of all queries since the last refill that ran short of memory.
-    pub trouble: f64,
+    pub shortages: f64,
     /// Number of queries that ran short of memory in the previous window of the quota.
-    pub last_trouble: f64,
+    pub last_shortages: f64,
 }
 
 impl Default for FlagQuota {
     fn default() -> FlagQuota {
         FlagQuota {
             quota: 1.0,
-            misses: 0.0,
-            trouble: 0.0,
-            last_trouble: 0.0,
+            false_negatives: 0.0,
+            shortages: 0.0,
+            last_shortages: 0.0,
         }
     }
 }
@@ -92,16 +92,16 @@
     /// Starts a new window of the quota. The new quota is the number of queries that ran short of
     /// memory in the window that ends, plus 1.
     pub fn refill(&mut self) {
-        self.quota = self.trouble + 1.0;
-        self.last_trouble = self.trouble;
-        self.trouble = 0.0;
-        self.misses = 0.0;
+        self.quota = self.shortages + 1.0;
+        self.last_shortages = self.shortages;
+        self.shortages = 0.0;
+        self.false_negatives = 0.0;
     }
 
     /// Counts a query that ran short of memory and adds 1 to the quota, because several heavy
     /// queries in a row would use up a quota sized by the previous window.
-    pub fn count_trouble(&mut self) {
-        self.trouble += 1.0;
+    pub fn count_shortage(&mut self) {
+        self.shortages += 1.0;
         self.quota += 1.0;
     }
 }
--- a/crates/decisions/src/state/trouble_model.rs
+++ b/crates/decisions/src/state/memory_shortage_model.rs
@@ -7,12 +7,12 @@
 /// Length of the feature vector of the model.
 pub const FEATURES: usize = 5;
 
-/// Maximum number of entries in [`MissList`], which bounds the memory that the list uses.
-const MAX_MISSES: usize = 256;
+/// Maximum number of entries in [`FalseNegatives`], which bounds the memory that the list uses.
+const MAX_FALSE_NEGATIVES: usize = 256;
 
-/// Age at which an entry of [`MissList`] expires. Tables and query plans change over time, so old
-/// entries say little about new queries.
-const MAX_MISS_AGE: Micros = Micros::from_millis(60_000);
+/// Age at which an entry of [`FalseNegatives`] expires. Tables and query plans change over time, so
+/// old entries say little about new queries.
+const MAX_FALSE_NEGATIVE_AGE: Micros = Micros::from_millis(60_000);
 
 /// Learning rate of the model's gradient descent.
 const LEARNING_RATE: f64 = 0.15;
@@ -21,9 +21,9 @@
 /// predicted probability of a memory shortage.
 const INITIAL_WEIGHTS: [f64; FEATURES] = [-2.0, 1.0, 2.0, 1.0, 1.0];
 
-/// Kind of query, as a key of [`MissList`].
+/// Kind of query, as a key of [`FalseNegatives`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MissKey {
+pub struct QueryKind {
     /// Index of the query's class in the settings.
     pub class: usize,
     /// Table group of the query.
@@ -36,53 +36,54 @@
 /// Kinds of query that recently ran short of memory without having been flagged, with the time of
 /// the last case of each kind.
 #[derive(Default)]
-pub struct MissList(BTreeMap<MissKey, Micros>);
+pub struct FalseNegatives(BTreeMap<QueryKind, Micros>);
 
-impl MissList {
+impl FalseNegatives {
     /// Returns whether a query of this kind recently ran short of memory without having been
     /// flagged as likely to do so.
-    pub fn contains(&self, key: &MissKey, now: Micros) -> bool {
+    pub fn contains(&self, kind: &QueryKind, now: Micros) -> bool {
         self.0
-            .get(key)
-            .is_some_and(|at| now.since(*at) < MAX_MISS_AGE)
+            .get(kind)
+            .is_some_and(|at| now.since(*at) < MAX_FALSE_NEGATIVE_AGE)
     }
 
     /// Adds a kind of query. If the list then has too many entries, the kind whose last case is the
     /// oldest is removed.
-    pub fn add(&mut self, key: MissKey, now: Micros) {
-        self.0.insert(key, now);
-        if self.0.len() > MAX_MISSES {
+    pub fn add(&mut self, kind: QueryKind, now: Micros) {
+        self.0.insert(kind, now);
+        if self.0.len() > MAX_FALSE_NEGATIVES {
             let oldest = self
                 .0
                 .iter()
                 .min_by_key(|(_, at)| **at)
-                .map(|(key, _)| *key);
-            if let Some(key) = oldest {
-                self.0.remove(&key);
+                .map(|(kind, _)| *kind);
+            if let Some(kind) = oldest {
+                self.0.remove(&kind);
             }
         }
     }
 
     /// Removes expired entries.
     pub fn expire(&mut self, now: Micros) {
-        self.0.retain(|_, at| now.since(*at) < MAX_MISS_AGE);
+        self.0
+            .retain(|_, at| now.since(*at) < MAX_FALSE_NEGATIVE_AGE);
     }
 }
 
 /// Logistic regression model that is trained online.
-pub struct TroubleModel {
+pub struct MemoryShortageModel {
     weights: [f64; FEATURES],
 }
 
-impl Default for TroubleModel {
-    fn default() -> TroubleModel {
-        TroubleModel {
+impl Default for MemoryShortageModel {
+    fn default() -> MemoryShortageModel {
+        MemoryShortageModel {
             weights: INITIAL_WEIGHTS,
         }
     }
 }
 
-impl TroubleModel {
+impl MemoryShortageModel {
     /// Returns the predicted probability, from 0 to 1, that a query runs short of memory.
     pub fn predict(&self, features: &[f64; FEATURES]) -> f64 {
         let z: f64 = features
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -1,7 +1,7 @@
 //! An open request and its attempts.
 
 use super::hash::hash_text;
-use super::trouble_model::{MissKey, FEATURES};
+use super::memory_shortage_model::{QueryKind, FEATURES};
 use crate::{Attempt, Micros, Outcome, Progress, Request};
 
 /// An attempt of a request to be served by one engine.
@@ -86,9 +86,9 @@
     /// Input of the model that predicts memory shortages; `None` if the model was not used.
     pub features: Option<[f64; FEATURES]>,
     /// Free memory of the preferred engine when flagging was decided, in megabytes.
-    pub free_memory_then_mb: f64,
+    pub free_memory_at_flagging_mb: f64,
     /// Whether the query ran short of memory.
-    pub troubled: bool,
+    pub ran_short_of_memory: bool,
     /// Expected work, as run time on a single thread in milliseconds.
     pub work_ms: f64,
     /// Expected memory, in megabytes.
@@ -106,7 +106,7 @@
             hash,
             arrived: now,
             deadline,
-            free_memory_then_mb: f64::INFINITY,
+            free_memory_at_flagging_mb: f64::INFINITY,
             ..TrackedRequest::default()
         }
     }
@@ -162,11 +162,11 @@
         cancelled
     }
 
-    /// Returns the query's key in `MissList`: its class, its table group and its memory estimate,
-    /// rounded to a power of two.
-    pub fn miss_key(&self) -> MissKey {
+    /// Returns the kind of the query, which is its key in `FalseNegatives`: its class, its table
+    /// group and its memory estimate, rounded to a power of two.
+    pub fn query_kind(&self) -> QueryKind {
         let estimate = self.request.memory_hint_mb.filter(|mb| *mb > 0.0);
-        MissKey {
+        QueryKind {
             class: self.request.class.0,
             group: self.request.table_group,
             bucket: estimate.map_or(-1, |mb| mb.log2().round() as i32),
