--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -115,7 +115,7 @@
         }
         if self.class(request).holds_tables {
             self.engines
-                .hold_group(index, request.request.table_group, request.deadline);
+                .lock_group(index, request.request.table_group, request.deadline);
         }
     }
 
@@ -197,7 +197,7 @@
         let request = &self.requests[sequence];
         if self.class(request).holds_tables {
             self.engines
-                .release_group(index, request.request.table_group);
+                .unlock_group(index, request.request.table_group);
         }
         let threads = self.threads(request);
         self.engines[index].attempt_ended(threads, memory_mb);
@@ -238,7 +238,7 @@
             Progress::WaitsForHolder => {
                 let group = self.requests[sequence].request.table_group;
                 let until = self.clock.now.plus(OBSERVED_LOCK_TTL);
-                self.engines.observe_held_group(engine, group, until);
+                self.engines.observe_group_lock(engine, group, until);
             }
             Progress::ShareDone(share) => {
                 if !attempt.stalled {
--- a/crates/decisions/src/decide/dispatch.rs
+++ b/crates/decisions/src/decide/dispatch.rs
@@ -62,7 +62,8 @@
         let mut candidates = ranked;
         candidates.retain(|engine| self.is_usable(sequence, *engine));
         if self.class(request).holds_tables {
-            candidates.retain(|engine| !self.engines.holds_group(*engine, group, self.clock.now));
+            candidates
+                .retain(|engine| !self.engines.is_group_locked(*engine, group, self.clock.now));
         }
         candidates
     }
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -212,7 +212,7 @@
             });
         }
         self.keys.expire(now);
-        self.engines.expire_held_groups(now);
+        self.engines.expire_group_locks(now);
         self.expire_retry_counts();
         self.finish_overdue(actions);
         self.retry_lagging(actions);
--- a/crates/decisions/src/decide/routing.rs
+++ b/crates/decisions/src/decide/routing.rs
@@ -153,9 +153,10 @@
             (false, true, distance)
         };
         let is_blocked_by_locks = class.waits_for_holder || class.holds_tables;
-        let is_held = is_blocked_by_locks && self.engines.holds_group(index, group, self.clock.now);
+        let is_locked =
+            is_blocked_by_locks && self.engines.is_group_locked(index, group, self.clock.now);
         RankedEngine {
-            avoided: avoided || is_held || request.was_sent_to(index),
+            avoided: avoided || is_locked || request.was_sent_to(index),
             unplanned,
             distance,
             engine: index,
--- a/crates/decisions/src/state/engine_table.rs
+++ b/crates/decisions/src/state/engine_table.rs
@@ -105,30 +105,30 @@
     }
 
     /// Returns whether a table group is assumed to be locked on an engine.
-    pub fn holds_group(&self, engine: usize, group: u64, now: Micros) -> bool {
+    pub fn is_group_locked(&self, engine: usize, group: u64, now: Micros) -> bool {
         self.locked_groups
             .get(&(engine, group))
             .is_some_and(|until| *until > now)
     }
 
     /// Records that an attempt of this gateway locks a table group, until `until` at the latest.
-    pub fn hold_group(&mut self, engine: usize, group: u64, until: Micros) {
+    pub fn lock_group(&mut self, engine: usize, group: u64, until: Micros) {
         self.locked_groups.insert((engine, group), until);
     }
 
     /// Records that another query was found to lock a table group. `until` applies only if no lock
     /// on that group is recorded yet.
-    pub fn observe_held_group(&mut self, engine: usize, group: u64, until: Micros) {
+    pub fn observe_group_lock(&mut self, engine: usize, group: u64, until: Micros) {
         self.locked_groups.entry((engine, group)).or_insert(until);
     }
 
     /// Removes the lock on a table group after this gateway's attempt that held it has ended.
-    pub fn release_group(&mut self, engine: usize, group: u64) {
+    pub fn unlock_group(&mut self, engine: usize, group: u64) {
         self.locked_groups.remove(&(engine, group));
     }
 
     /// Removes expired locks on table groups.
-    pub fn expire_held_groups(&mut self, now: Micros) {
+    pub fn expire_group_locks(&mut self, now: Micros) {
         self.locked_groups.retain(|_, until| *until > now);
     }
 }
