--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -106,7 +106,7 @@
         let work_ms = self.cautious_work_ms(request);
         let engine = &mut self.engines[index];
         engine.attempt_sent(threads, memory_mb);
-        if engine.started.is_some() || engine.health.connect_failures_in_row > 0 {
+        if engine.started.is_some() || engine.health.consecutive_connect_failures > 0 {
             let span = self
                 .settings
                 .slow_start
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -59,7 +59,7 @@
 #[derive(Default)]
 pub(super) struct FleetHealth {
     /// Counts of good and bad observations of all engines.
-    signs: Tally,
+    observations: Tally,
     pub(super) zones: Zones,
     /// Latest send time among all attempts that were served.
     pub(super) newest_served_attempt: Micros,
@@ -96,13 +96,13 @@
     fn engine_served(&mut self, index: usize, silence_counted: bool) {
         let now = self.clock.now;
         let engine = &mut self.engines[index];
-        if engine.health.connect_failures_in_row >= CONNECT_FAILURES_TO_EJECT {
+        if engine.health.consecutive_connect_failures >= CONNECT_FAILURES_TO_EJECT {
             // The engine refused connections before and now serves requests: it has restarted and
             // is warming up.
             engine.started = Some(now);
         }
-        engine.health.connect_failures_in_row = 0;
-        engine.health.resets_in_row = 0;
+        engine.health.consecutive_connect_failures = 0;
+        engine.health.consecutive_resets = 0;
         if !silence_counted {
             self.record_good_observation(index);
         }
@@ -112,10 +112,10 @@
     /// applies once it accepts connections again.
     fn connect_failed(&mut self, index: usize, actions: &mut Vec<Action>) {
         let engine = &mut self.engines[index];
-        engine.health.connect_failures_in_row += 1;
+        engine.health.consecutive_connect_failures += 1;
         engine.started = Some(self.clock.now);
         self.record_bad_observation(index, EjectionReason::ConnectionsFail, actions);
-        if self.engines[index].health.connect_failures_in_row >= CONNECT_FAILURES_TO_EJECT {
+        if self.engines[index].health.consecutive_connect_failures >= CONNECT_FAILURES_TO_EJECT {
             self.eject(index, EjectionReason::ConnectionsFail, true, actions);
         }
     }
@@ -124,8 +124,8 @@
     /// in a row without a served attempt indicate a fault.
     fn connection_reset(&mut self, index: usize, actions: &mut Vec<Action>) {
         let health = &mut self.engines[index].health;
-        health.resets_in_row += 1;
-        if health.resets_in_row >= MIN_RESETS_TO_COUNT {
+        health.consecutive_resets += 1;
+        if health.consecutive_resets >= MIN_RESETS_TO_COUNT {
             self.record_bad_observation(index, EjectionReason::ConnectionsBreak, actions);
         }
     }
@@ -171,13 +171,13 @@
         let share = self.bad_share_of_others(index);
         let own_observations = self.engines[index]
             .health
-            .signs
+            .observations
             .at(now, OBSERVATION_HALF_LIFE_MS)
             .0;
         self.add_evidence(index, ((1.0 + share) / (2.0 * share)).ln(), true);
         let health = &self.engines[index].health;
         let is_enough =
-            health.suspicion > EJECTION_THRESHOLD + (1.0 + own_observations * share).ln();
+            health.fault_log_odds > EJECTION_THRESHOLD + (1.0 + own_observations * share).ln();
         if health.health == Health::HalfOpen || is_enough {
             self.eject(index, reason, false, actions);
         }
@@ -189,7 +189,7 @@
         let health = &mut self.engines[index].health;
         if health.health == Health::HalfOpen {
             health.health = Health::Healthy;
-            health.suspicion = 0.0;
+            health.fault_log_odds = 0.0;
             health.ejections = health.ejections.saturating_sub(1);
         }
     }
@@ -197,9 +197,9 @@
     /// Share of bad observations among those of the other engines. It is the baseline for judging
     /// an engine, so that a problem common to the whole fleet ejects no engine.
     fn bad_share_of_others(&self, index: usize) -> f64 {
-        let own = &self.engines[index].health.signs;
-        let signs = &self.health.signs;
-        let share = signs.share_without(
+        let own = &self.engines[index].health.observations;
+        let observations = &self.health.observations;
+        let share = observations.share_without(
             own,
             self.clock.now,
             OBSERVATION_HALF_LIFE_MS,
@@ -214,11 +214,18 @@
     fn add_evidence(&mut self, index: usize, log_odds: f64, bad: bool) {
         let now = self.clock.now;
         let health = &mut self.engines[index].health;
-        let kept = remaining(now.since(health.suspicion_updated), EVIDENCE_HALF_LIFE_MS);
-        health.suspicion = (health.suspicion * kept + log_odds).max(-EJECTION_THRESHOLD);
-        health.suspicion_updated = now;
-        health.signs.count(now, bad, OBSERVATION_HALF_LIFE_MS);
-        self.health.signs.count(now, bad, OBSERVATION_HALF_LIFE_MS);
+        let kept = remaining(
+            now.since(health.fault_log_odds_updated),
+            EVIDENCE_HALF_LIFE_MS,
+        );
+        health.fault_log_odds = (health.fault_log_odds * kept + log_odds).max(-EJECTION_THRESHOLD);
+        health.fault_log_odds_updated = now;
+        health
+            .observations
+            .count(now, bad, OBSERVATION_HALF_LIFE_MS);
+        self.health
+            .observations
+            .count(now, bad, OBSERVATION_HALF_LIFE_MS);
     }
 
     /// Ejects an engine for a time that doubles with each ejection. Unless the fault is certain,
@@ -245,7 +252,7 @@
             let engine = engine.entry.engine.clone();
             actions.push(Action::Log(LogEvent::EngineEjected {
                 engine,
-                rest: duration,
+                duration,
                 reason,
             }));
         }
--- a/crates/decisions/src/log_event.rs
+++ b/crates/decisions/src/log_event.rs
@@ -36,7 +36,7 @@
         /// The ejected engine.
         engine: EngineId,
         /// How long the engine stays ejected.
-        rest: Micros,
+        duration: Micros,
         /// Why the engine was ejected.
         reason: EjectionReason,
     },
@@ -47,11 +47,11 @@
         match self {
             LogEvent::EngineEjected {
                 engine,
-                rest,
+                duration,
                 reason,
             } => {
-                let rest_ms = rest.0 / 1000;
-                write!(f, "eject {} for {rest_ms} ms: {reason}", engine.0)
+                let duration_ms = duration.0 / 1000;
+                write!(f, "eject {} for {duration_ms} ms: {reason}", engine.0)
             }
         }
     }
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -23,15 +23,15 @@
 pub struct EngineHealth {
     pub health: Health,
     /// Decaying tally of good and bad observations about the engine's health.
-    pub signs: Tally,
+    pub observations: Tally,
     /// Accumulated evidence that the engine is faulty, in log odds.
-    pub suspicion: f64,
-    /// When `suspicion` was last updated.
-    pub suspicion_updated: Micros,
+    pub fault_log_odds: f64,
+    /// When `fault_log_odds` was last updated.
+    pub fault_log_odds_updated: Micros,
     /// Number of consecutive failures to connect to the engine.
-    pub connect_failures_in_row: u32,
+    pub consecutive_connect_failures: u32,
     /// Number of consecutive broken connections without a served request in between.
-    pub resets_in_row: u32,
+    pub consecutive_resets: u32,
     /// Number of ejections minus recoveries. Each ejection doubles the next one's duration.
     pub ejections: u32,
 }
@@ -170,8 +170,8 @@
         self.reported.trust = 0.0;
         self.health.health = Health::Healthy;
         self.health.ejections = 0;
-        self.health.connect_failures_in_row = 0;
-        self.health.suspicion = 0.0;
+        self.health.consecutive_connect_failures = 0;
+        self.health.fault_log_odds = 0.0;
     }
 
     /// Returns the last load report, if trust in it is at least `least_trust`.
