--- a/crates/decisions/src/decide/load.rs
+++ b/crates/decisions/src/decide/load.rs
@@ -4,7 +4,7 @@
 use super::{Gateway, WINDOW};
 use crate::state::decay::remaining;
 use crate::state::engine::{Engine, Health};
-use crate::state::observed_load::{update_share_left, SurveyBasis};
+use crate::state::observed_load::{update_share_left, LoadUpdateInputs};
 use crate::Micros;
 
 /// Minimum trust at which a value from a load report is used on its own instead of being blended
@@ -104,7 +104,7 @@
     /// more threads may be waiting for those cores.
     fn threads_of_others(&self, engine: &Engine) -> f64 {
         let kind = &self.kinds[engine.kind];
-        let sampled = kind.threads_of_others(engine, self.gateways()) * engine.warm_share;
+        let sampled = kind.threads_of_others(engine, self.gateways()) * engine.relative_warm_load;
         let Some(reported) = engine.reported_threads_of_others(kind) else {
             return sampled;
         };
@@ -123,14 +123,14 @@
         (self.gateways() - 1.0) / (self.gateways() - 1.0 + REPORT_WEIGHT_GATEWAYS)
     }
 
-    /// Updates the slow-start share, the trust in the load report and the stretch estimate of each
-    /// engine. An engine whose ejection time has passed becomes half-open.
+    /// Updates the relative warm load, the trust in the load report and the stretch estimate of
+    /// each engine. An engine whose ejection time has passed becomes half-open.
     pub(super) fn update_engine_loads(&mut self, elapsed: Micros) {
         let now = self.clock.now;
         for index in 0..self.engines.len() {
             let warmth = self.warmth(&self.engines[index]);
             let engine = &mut self.engines[index];
-            engine.warm_share = warmth.powi(2);
+            engine.relative_warm_load = warmth.powi(2);
             engine.reported.trust *= remaining(elapsed, REPORT_HALF_LIFE_MS);
             if matches!(engine.health.health, Health::Ejected(until) if until <= now) {
                 engine.health.health = Health::HalfOpen;
@@ -151,15 +151,15 @@
             &self.settings,
             self.costs.all(),
         );
-        let basis = SurveyBasis {
-            kept: remaining(elapsed, FLEET_HALF_LIFE_MS),
+        let inputs = LoadUpdateInputs {
+            previous_weight: remaining(elapsed, FLEET_HALF_LIFE_MS),
             gateways: self.gateways(),
             threads_per_core_by_stretch: (self.stretch.mean / self.stretch.best - IDLE_STRETCH)
                 .max(0.0),
         };
         for (kind, observed) in self.kinds.iter_mut().enumerate() {
             let engines = self.engines.listed().filter(|engine| engine.kind == kind);
-            observed.survey(engines, basis);
+            observed.update(engines, inputs);
         }
     }
 
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -216,7 +216,7 @@
         self.expire_retry_counts();
         self.finish_overdue(actions);
         self.retry_lagging(actions);
-        if self.clock.since(self.clock.last_survey) >= LOAD_UPDATE_INTERVAL {
+        if self.clock.since(self.clock.last_load_update) >= LOAD_UPDATE_INTERVAL {
             self.update_load_estimates();
             self.dispatch_waiting(actions);
         }
@@ -238,8 +238,8 @@
     /// Updates all load estimates, then the admitted share; runs at a fixed interval.
     fn update_load_estimates(&mut self) {
         self.costs.update_mean_work();
-        let elapsed = self.clock.since(self.clock.last_survey);
-        self.clock.last_survey = self.clock.now;
+        let elapsed = self.clock.since(self.clock.last_load_update);
+        self.clock.last_load_update = self.clock.now;
         self.update_engine_loads(elapsed);
         self.decay_tenant_counts(elapsed);
         self.update_kind_loads(elapsed);
--- a/crates/decisions/src/state/clock.rs
+++ b/crates/decisions/src/state/clock.rs
@@ -19,7 +19,7 @@
     /// Length of the longest recent stall, reduced at regular intervals to forget old stalls.
     pub longest_stall: Micros,
     /// When the load of all engines was last recomputed.
-    pub last_survey: Micros,
+    pub last_load_update: Micros,
     /// When the quotas for flagging queries as memory-heavy are next refilled.
     pub window_end: Micros,
 }
@@ -40,7 +40,7 @@
     /// for flagging queries as memory-heavy.
     pub fn start(&mut self, window: Micros) {
         self.started_at = Some(self.now);
-        self.last_survey = self.now;
+        self.last_load_update = self.now;
         self.window_end = self.now.plus(window);
     }
 
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -147,8 +147,8 @@
 #[derive(Default)]
 pub struct CostModel {
     classes: Vec<ClassCosts>,
-    /// Mean work of a query over all classes, in milliseconds, as of the last survey (periodic load
-    /// update). It separates light queries from heavy ones.
+    /// Mean work of a query over all classes, in milliseconds, as of the last periodic load
+    /// update. It separates light queries from heavy ones.
     pub mean_work_ms: f64,
 }
 
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -126,8 +126,8 @@
     /// Whether the engine is in the engine list and accepts new work.
     pub listed: bool,
     /// Expected load relative to a fully warm engine, from 0 to 1; below 1 while the engine is
-    /// warming up. Updated by each survey (periodic load update).
-    pub warm_share: f64,
+    /// warming up. Updated by each periodic load update.
+    pub relative_warm_load: f64,
     /// When the engine process last started; `None` if that was long ago.
     pub started: Option<Micros>,
     /// Work that this gateway recently sent to the engine while it was warming up.
@@ -156,7 +156,7 @@
     pub fn new(id: &EngineId) -> Engine {
         Engine {
             hash: hash_text(&id.0),
-            warm_share: 1.0,
+            relative_warm_load: 1.0,
             ..Engine::default()
         }
     }
--- a/crates/decisions/src/state/observed_load.rs
+++ b/crates/decisions/src/state/observed_load.rs
@@ -21,7 +21,7 @@
     cores: f64,
 }
 
-/// Sums over the listed engines of one machine kind, for one survey (periodic load update).
+/// Sums over the listed engines of one machine kind, for one periodic load update.
 #[derive(Default)]
 struct KindTotals {
     engines: f64,
@@ -51,7 +51,7 @@
         let report = &engine.reported.report;
         let trust = engine.reported.trust;
         // An engine that is warming up gets less work, so its cores count for less here.
-        let cores = engine.cores * engine.warm_share;
+        let cores = engine.cores * engine.relative_warm_load;
         self.has_busy_only_report |= report.busy.is_some() && report.in_flight.is_none();
         self.engines += 1.0;
         self.cores += cores;
@@ -68,18 +68,18 @@
     }
 }
 
-/// Inputs of a survey (periodic load update) other than the engines.
+/// Inputs of a periodic load update other than the engines.
 #[derive(Clone, Copy)]
-pub struct SurveyBasis {
+pub struct LoadUpdateInputs {
     /// Weight of earlier observations in the moving averages, from 0 to 1.
-    pub kept: f64,
+    pub previous_weight: f64,
     /// Number of gateways that share the engines.
     pub gateways: f64,
     /// Threads per core of all gateways together, estimated from the stretch of answers.
     pub threads_per_core_by_stretch: f64,
 }
 
-impl SurveyBasis {
+impl LoadUpdateInputs {
     /// Estimates the threads per core of all gateways together from this gateway's load. If this
     /// gateway has few queries, the estimate from the stretch of answers dominates.
     fn threads_per_core(&self, queries: f64, threads: f64, cores: f64) -> f64 {
@@ -109,19 +109,25 @@
 impl ObservedLoad {
     /// Updates the averages with this gateway's load on the engines of this kind, and with recent
     /// load reports from these engines.
-    pub fn survey<'a>(&mut self, engines: impl Iterator<Item = &'a Engine>, basis: SurveyBasis) {
+    pub fn update<'a>(
+        &mut self,
+        engines: impl Iterator<Item = &'a Engine>,
+        inputs: LoadUpdateInputs,
+    ) {
         let totals = KindTotals::of(engines, self);
-        let blend = |before: f64, now: f64| basis.kept * before + (1.0 - basis.kept) * now;
+        let blend = |before: f64, now: f64| {
+            inputs.previous_weight * before + (1.0 - inputs.previous_weight) * now
+        };
         self.queries = blend(self.queries, totals.queries);
         self.threads = blend(self.threads, totals.threads);
         self.memory_mb = blend(self.memory_mb, totals.memory_mb);
         if totals.engines > 0.0 {
-            self.survey_threads(&totals, basis);
+            self.update_threads(&totals, inputs);
         }
     }
 
-    fn survey_threads(&mut self, totals: &KindTotals, basis: SurveyBasis) {
-        let all = basis.threads_per_core(self.queries, self.threads, totals.cores);
+    fn update_threads(&mut self, totals: &KindTotals, inputs: LoadUpdateInputs) {
+        let all = inputs.threads_per_core(self.queries, self.threads, totals.cores);
         let half_engine = totals.cores / totals.engines / 2.0;
         let blended =
             (all * half_engine + totals.reported_threads) / (half_engine + totals.reported_cores);
@@ -136,12 +142,14 @@
         // mainly from lightly loaded engines, which say nothing about the other engines. This
         // gateway's own queries on engines without a recent report are a better sample, because
         // they are about one in `gateways` of all queries on those engines.
-        let blend = |before: f64, now: f64| basis.kept * before + (1.0 - basis.kept) * now;
+        let blend = |before: f64, now: f64| {
+            inputs.previous_weight * before + (1.0 - inputs.previous_weight) * now
+        };
         let unreported = &mut self.unreported;
         unreported.queries = blend(unreported.queries, totals.unreported.queries);
         unreported.threads = blend(unreported.threads, totals.unreported.threads);
         unreported.cores = blend(unreported.cores, totals.unreported.cores);
-        let own = basis.threads_per_core(unreported.queries, unreported.threads, unreported.cores);
+        let own = inputs.threads_per_core(unreported.queries, unreported.threads, unreported.cores);
         self.unreported_threads_per_core =
             (own * unreported.queries + self.threads_per_core) / (unreported.queries + 1.0);
     }
