--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -126,7 +126,7 @@
         let engine = &self.engines[index];
         let threads = self.threads(request);
         let share_by_threads = if self.settings.grants {
-            GRANTED_MEMORY_SHARE * threads * engine.memory_mb / engine.thread_bound.max(threads)
+            GRANTED_MEMORY_SHARE * threads * engine.memory_mb / engine.thread_limit.max(threads)
         } else {
             0.0
         };
--- a/crates/decisions/src/decide/dispatch.rs
+++ b/crates/decisions/src/decide/dispatch.rs
@@ -73,8 +73,8 @@
     /// cores.
     fn choose_engine(&self, request: &TrackedRequest, candidates: Vec<usize>) -> Option<usize> {
         let flagged = request.flagged == Some(true);
-        let may_exceed_bound = self.may_exceed_thread_bound(request);
-        let costly = !may_exceed_bound && self.is_too_costly(request);
+        let may_exceed_limit = self.may_exceed_thread_limit(request);
+        let costly = !may_exceed_limit && self.is_too_costly(request);
         let first_with_room = candidates
             .iter()
             .copied()
@@ -85,11 +85,11 @@
         if choice.is_some() || costly || flagged {
             return choice;
         }
-        self.least_loaded(may_exceed_bound, candidates)
+        self.least_loaded(may_exceed_limit, candidates)
     }
 
     /// Whether a query is light enough to be sent to an engine that has reached its thread limit.
-    fn may_exceed_thread_bound(&self, request: &TrackedRequest) -> bool {
+    fn may_exceed_thread_limit(&self, request: &TrackedRequest) -> bool {
         let class_work_ms = self.costs.class(request.request.class.0).work_ms;
         let is_light_class = 2.0 * class_work_ms <= self.costs.mean_work_ms;
         self.is_small(request) || (is_light_class && self.is_light(request))
@@ -99,7 +99,7 @@
     /// likely to run short of memory, within its free memory.
     fn has_room(&self, request: &TrackedRequest, engine: usize) -> bool {
         let flagged = request.flagged == Some(true);
-        !self.would_exceed_thread_bound(engine, self.threads(request))
+        !self.would_exceed_thread_limit(engine, self.threads(request))
             && (!flagged || self.free_memory_mb(engine) >= request.memory_mb)
     }
 
@@ -109,7 +109,7 @@
     fn least_loaded(&self, is_light: bool, candidates: Vec<usize>) -> Option<usize> {
         let accepts = |engine: usize| {
             self.settings.priorities
-                || self.load(engine) < LIGHT_WORK_OVERCOMMIT * self.engines[engine].thread_bound
+                || self.load(engine) < LIGHT_WORK_OVERCOMMIT * self.engines[engine].thread_limit
         };
         let relative_load = |engine: &usize| self.load(*engine) / self.engines[*engine].cores;
         candidates
@@ -126,7 +126,7 @@
             .report_trusted(MIN_REPORT_TRUST)
             .and_then(|report| report.busy)
         {
-            Some(busy) => busy < BUSY_CAPACITY && load < engine.thread_bound,
+            Some(busy) => busy < BUSY_CAPACITY && load < engine.thread_limit,
             None => load < engine.cores,
         }
     }
--- a/crates/decisions/src/decide/engine_list.rs
+++ b/crates/decisions/src/decide/engine_list.rs
@@ -30,10 +30,10 @@
         let requests = &self.requests;
         let in_use = |engine: usize| requests.values().any(|request| request.was_sent_to(engine));
         let index = known.unwrap_or_else(|| self.engines.insert(&entry.engine, in_use));
-        let thread_bound = self.initial_threads_per_core() * machine.cores;
+        let thread_limit = self.initial_threads_per_core() * machine.cores;
         let engine = &mut self.engines[index];
         if known.is_none() || entry.started > engine.started {
-            engine.restarted(entry.started, thread_bound);
+            engine.restarted(entry.started, thread_limit);
             self.health.zones.zone_mut(&entry.zone).engine_alive();
         }
         engine.cores = machine.cores;
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -160,6 +160,6 @@
             step,
             super::load::ENGINE_HALF_LIFE_MS,
         );
-        self.adjust_thread_bound(engine);
+        self.adjust_thread_limit(engine);
     }
 }
--- a/crates/decisions/src/decide/load.rs
+++ b/crates/decisions/src/decide/load.rs
@@ -67,7 +67,7 @@
 const MAX_THREADS_PER_CORE: f64 = 2.4;
 
 /// Minimum time between two changes of an engine's thread limit.
-const MIN_THREAD_BOUND_INTERVAL: Micros = Micros::from_millis(700);
+const MIN_THREAD_LIMIT_INTERVAL: Micros = Micros::from_millis(700);
 
 impl Gateway {
     /// Free memory of an engine in megabytes. With a fresh load report, it is the reported free
@@ -174,7 +174,7 @@
     /// engine is under pressure. Slow start scales the limit down. A memory queue lowers the limit
     /// further, and by more if many gateways share the engine, since each gateway then causes only
     /// a small part of the load.
-    pub(super) fn would_exceed_thread_bound(&self, index: usize, threads: f64) -> bool {
+    pub(super) fn would_exceed_thread_limit(&self, index: usize, threads: f64) -> bool {
         let engine = &self.engines[index];
         let load = self.load(index);
         let queue_factor = if self.has_queue(engine) {
@@ -182,8 +182,8 @@
         } else {
             1.0
         };
-        let bound = self.warmth(engine) * engine.thread_bound * queue_factor;
-        load + threads > bound.max(threads) && self.is_under_pressure(index, load)
+        let limit = self.warmth(engine) * engine.thread_limit * queue_factor;
+        load + threads > limit.max(threads) && self.is_under_pressure(index, load)
     }
 
     /// Whether queries are waiting for memory on an engine, by a load report or by a recent
@@ -206,27 +206,27 @@
 
     /// Adjusts an engine's thread limit: lowers it by a factor while heavy queries are slowed down,
     /// and raises it in small steps while most of it is in use.
-    pub(super) fn adjust_thread_bound(&mut self, index: usize) {
+    pub(super) fn adjust_thread_limit(&mut self, index: usize) {
         let now = self.clock.now;
         let best = self.stretch.best;
-        let used = self.load(index) / self.engines[index].thread_bound;
+        let used = self.load(index) / self.engines[index].thread_limit;
         let engine = &mut self.engines[index];
-        if now.since(engine.thread_bound_moved) < MIN_THREAD_BOUND_INTERVAL {
+        if now.since(engine.thread_limit_changed) < MIN_THREAD_LIMIT_INTERVAL {
             return;
         }
         let stretch = engine.stretch.blended / best;
-        let bound = if stretch > STRETCH_HIGH && used > 0.4 {
-            engine.thread_bound * 0.85
+        let limit = if stretch > STRETCH_HIGH && used > 0.4 {
+            engine.thread_limit * 0.85
         } else if stretch < STRETCH_LOW && used > 0.7 {
-            engine.thread_bound + 0.1 * engine.cores
+            engine.thread_limit + 0.1 * engine.cores
         } else {
             return;
         };
-        engine.thread_bound = bound.clamp(
+        engine.thread_limit = limit.clamp(
             MIN_THREADS_PER_CORE * engine.cores,
             MAX_THREADS_PER_CORE * engine.cores,
         );
-        engine.thread_bound_moved = now;
+        engine.thread_limit_changed = now;
     }
 
     /// Records that an attempt met a memory queue on an engine; the engine counts as having a queue
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -107,7 +107,7 @@
         let is_better = |engine: usize| {
             !request.was_sent_to(engine)
                 && self.engines[engine].health.health == Health::Healthy
-                && !self.would_exceed_thread_bound(engine, threads)
+                && !self.would_exceed_thread_limit(engine, threads)
         };
         if request.attempts.len() < MAX_QUEUE_MOVES
             && self.ranked_engines(request).into_iter().any(is_better)
@@ -315,7 +315,7 @@
         let with_room = candidates
             .iter()
             .copied()
-            .find(|engine| !self.would_exceed_thread_bound(*engine, threads));
+            .find(|engine| !self.would_exceed_thread_limit(*engine, threads));
         let urgent = is_lost && self.is_light(request);
         let fallback = candidates.first().copied().filter(|_| urgent);
         if let Some(engine) = with_room.or(fallback) {
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -140,8 +140,8 @@
     pub memory_in_use_mb: f64,
     /// Limit on the threads that all gateways together run on the engine. The limit applies only
     /// while the engine shows signs of pressure.
-    pub thread_bound: f64,
-    pub thread_bound_moved: Micros,
+    pub thread_limit: f64,
+    pub thread_limit_changed: Micros,
     pub stretch: Stretch,
     pub reported: ReportedLoad,
     pub health: EngineHealth,
@@ -162,9 +162,9 @@
     }
 
     /// Marks the engine as healthy and discards what was learned about its previous process.
-    pub fn restarted(&mut self, started: Option<Micros>, thread_bound: f64) {
+    pub fn restarted(&mut self, started: Option<Micros>, thread_limit: f64) {
         self.started = started;
-        self.thread_bound = thread_bound;
+        self.thread_limit = thread_limit;
         self.stretch.samples = 0.0;
         self.reported.received_at = None;
         self.reported.trust = 0.0;
