--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -55,12 +55,12 @@
         let expected_ms =
             request.work_ms / threads.max(1.0) * self.engines[index].stretch.blended.max(1.0);
         let is_retry = !request.attempts.is_empty();
-        let repeats_work = request.last_attempt_took_work();
+        let needs_token = request.last_attempt_needs_token();
         self.push_send(request, index, memory_mb, actions);
         self.count_send(sequence, index, memory_mb);
         let attempt = TrackedAttempt::new(index, now, memory_mb, expected_ms);
         self.requests.get_mut(sequence).attempts.push(attempt);
-        if repeats_work {
+        if needs_token {
             self.retries.spend_token();
         }
         if is_retry {
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -43,7 +43,7 @@
     fn estimate_work_ms(&self, request: &TrackedRequest) -> f64 {
         let costs = self.costs.class(request.request.class.0);
         match request.request.work_hint.filter(|hint| hint.0 > 0) {
-            Some(hint) => costs.work_fit.expect(hint.as_millis().ln()).log.exp(),
+            Some(hint) => costs.work_fit.predict(hint.as_millis().ln()).log.exp(),
             None => costs.usual_work_ms(self.class(request)),
         }
     }
@@ -51,7 +51,7 @@
     fn estimate_memory_mb(&self, request: &TrackedRequest) -> f64 {
         let costs = self.costs.class(request.request.class.0);
         if let Some(hint) = request.request.memory_hint_mb.filter(|mb| *mb > 0.0) {
-            let expected = costs.memory_fit.expect(hint.ln());
+            let expected = costs.memory_fit.predict(hint.ln());
             return (expected.log + MEMORY_MARGIN_DEVIATIONS * expected.deviation).exp();
         }
         if costs.memory_mb > 0.0 {
--- a/crates/decisions/src/decide/load.rs
+++ b/crates/decisions/src/decide/load.rs
@@ -2,7 +2,7 @@
 //! how much contention stretches the latency of answers.
 
 use super::{Gateway, WINDOW};
-use crate::state::decay::remaining;
+use crate::state::decay::decay_factor;
 use crate::state::engine::{Engine, Health};
 use crate::state::observed_load::{update_share_left, LoadUpdateInputs};
 use crate::Micros;
@@ -131,13 +131,13 @@
             let warmth = self.warmth(&self.engines[index]);
             let engine = &mut self.engines[index];
             engine.relative_warm_load = warmth.powi(2);
-            engine.reported.trust *= remaining(elapsed, REPORT_HALF_LIFE_MS);
+            engine.reported.trust *= decay_factor(elapsed, REPORT_HALF_LIFE_MS);
             if matches!(engine.health.health, Health::Ejected(until) if until <= now) {
                 engine.health.health = Health::HalfOpen;
             }
             let stretch = &mut engine.stretch;
             let samples =
-                stretch.samples * remaining(now.since(stretch.last_answer), ENGINE_HALF_LIFE_MS);
+                stretch.samples * decay_factor(now.since(stretch.last_answer), ENGINE_HALF_LIFE_MS);
             stretch.blended = (samples * stretch.own + PRIOR_ANSWERS * self.stretch.mean)
                 / (samples + PRIOR_ANSWERS);
         }
@@ -152,7 +152,7 @@
             self.costs.all(),
         );
         let inputs = LoadUpdateInputs {
-            previous_weight: remaining(elapsed, FLEET_HALF_LIFE_MS),
+            previous_weight: decay_factor(elapsed, FLEET_HALF_LIFE_MS),
             gateways: self.gateways(),
             threads_per_core_by_stretch: (self.stretch.mean / self.stretch.best - IDLE_STRETCH)
                 .max(0.0),
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -41,7 +41,7 @@
 use crate::state::admission_state::{AdmissionState, FleetStretch};
 use crate::state::clock::{Backoff, Clock};
 use crate::state::costs::CostModel;
-use crate::state::decay::{remaining, DecayingCounts};
+use crate::state::decay::{decay_factor, DecayingCounts};
 use crate::state::engine_table::EngineTable;
 use crate::state::hash::RandomSource;
 use crate::state::key_queues::KeyQueues;
@@ -203,7 +203,7 @@
         if now >= self.clock.window_end {
             self.start_window();
         }
-        if self.list_backoff.take_due(now) {
+        if self.list_backoff.poll_due(now) {
             let pushed = self.settings.discovery == Discovery::Pushed;
             actions.push(if pushed {
                 Action::FetchList
@@ -225,13 +225,13 @@
     fn start_window(&mut self) {
         self.clock.window_end = self.clock.now.plus(WINDOW);
         self.refill_flag_quotas();
-        self.clock.shrink_longest_stall();
+        self.clock.decay_longest_stall();
         self.placement
             .counts
-            .decay(remaining(WINDOW, GROUP_HALF_LIFE_MS));
+            .decay(decay_factor(WINDOW, GROUP_HALF_LIFE_MS));
         self.admission
             .costs
-            .decay(remaining(WINDOW, COST_HALF_LIFE_MS));
+            .decay(decay_factor(WINDOW, COST_HALF_LIFE_MS));
         self.plan_all_groups();
     }
 
--- a/crates/decisions/src/decide/ordering.rs
+++ b/crates/decisions/src/decide/ordering.rs
@@ -33,8 +33,7 @@
             return true;
         };
         let was_sent = !request.attempts.is_empty();
-        self.keys.is_first(key, sequence)
-            && (was_sent || !self.keys.is_resting(key, self.clock.now))
+        self.keys.is_first(key, sequence) && (was_sent || !self.keys.is_paused(key, self.clock.now))
     }
 
     /// Pauses an ordering key for a fixed time after an attempt that may still be running on its
@@ -46,7 +45,7 @@
         let until = self.clock.now.plus(self.settings.key_rest);
         let request = &self.requests[sequence];
         if let Some(key) = self.ordering_key(request) {
-            self.keys.rest(key, until);
+            self.keys.pause(key, until);
         }
     }
 }
--- a/crates/decisions/src/decide/outlier_ejection.rs
+++ b/crates/decisions/src/decide/outlier_ejection.rs
@@ -3,7 +3,7 @@
 //! at a time until one is served.
 
 use super::Gateway;
-use crate::state::decay::{remaining, Tally};
+use crate::state::decay::{decay_factor, DecayingTally};
 use crate::state::engine::{Engine, Health};
 use crate::state::zones::Zones;
 use crate::{Action, EjectionReason, LogEvent, Micros, Outcome};
@@ -59,7 +59,7 @@
 #[derive(Default)]
 pub(super) struct FleetHealth {
     /// Counts of good and bad observations of all engines.
-    observations: Tally,
+    observations: DecayingTally,
     pub(super) zones: Zones,
     /// Latest send time among all attempts that were served.
     pub(super) newest_served_attempt: Micros,
@@ -199,7 +199,7 @@
     fn bad_share_of_others(&self, index: usize) -> f64 {
         let own = &self.engines[index].health.observations;
         let observations = &self.health.observations;
-        let share = observations.share_without(
+        let share = observations.share_excluding(
             own,
             self.clock.now,
             OBSERVATION_HALF_LIFE_MS,
@@ -214,7 +214,7 @@
     fn add_evidence(&mut self, index: usize, log_odds: f64, bad: bool) {
         let now = self.clock.now;
         let health = &mut self.engines[index].health;
-        let kept = remaining(
+        let kept = decay_factor(
             now.since(health.fault_log_odds_updated),
             EVIDENCE_HALF_LIFE_MS,
         );
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -75,7 +75,7 @@
             .into_iter()
             .any(may_become_usable);
         let is_late = self.clock.now.plus(ANSWER_MARGIN) >= request.deadline;
-        let out_of_tokens = request.last_attempt_took_work() && !self.retries.has_token();
+        let out_of_tokens = request.last_attempt_needs_token() && !self.retries.has_token();
         let request_is_faulty = request.failed_engines().count() >= MAX_FAILED_ENGINES;
         if is_late || out_of_tokens || !has_engine || request_is_faulty {
             self.reject_or_fail(sequence, actions);
--- a/crates/decisions/src/decide/tenant_quota.rs
+++ b/crates/decisions/src/decide/tenant_quota.rs
@@ -1,7 +1,7 @@
 //! Tenant quotas: a request of a tenant over its quota gets a reduced priority weight.
 
 use super::Gateway;
-use crate::state::decay::remaining;
+use crate::state::decay::decay_factor;
 use crate::Micros;
 
 /// Time constant of the average over which a tenant's request rate is calculated, in milliseconds.
@@ -26,7 +26,7 @@
     }
 
     pub(super) fn decay_tenant_counts(&mut self, elapsed: Micros) {
-        self.tenants.decay(remaining(
+        self.tenants.decay(decay_factor(
             elapsed,
             TENANT_RATE_WINDOW_MS * std::f64::consts::LN_2,
         ));
--- a/crates/decisions/src/state/admission_state.rs
+++ b/crates/decisions/src/state/admission_state.rs
@@ -1,13 +1,13 @@
 //! State of admission control under overload.
 
 use super::cost_histogram::CostHistogram;
-use super::decay::Tally;
+use super::decay::DecayingTally;
 
 /// Observed overload, and the share of the requested work that is admitted.
 pub struct AdmissionState {
     /// Decaying tally of requests and of those among them that met overload. Requests with more
     /// work have more weight.
-    pub overload: Tally,
+    pub overload: DecayingTally,
     /// Distribution of the requested work over its cost (work divided by priority weight).
     pub costs: CostHistogram,
     /// Share of the requested work that is admitted, from 0 to 1, the cheapest work first.
@@ -17,7 +17,7 @@
 impl Default for AdmissionState {
     fn default() -> AdmissionState {
         AdmissionState {
-            overload: Tally::default(),
+            overload: DecayingTally::default(),
             costs: CostHistogram::default(),
             admitted_share: 1.0,
         }
--- a/crates/decisions/src/state/clock.rs
+++ b/crates/decisions/src/state/clock.rs
@@ -45,7 +45,7 @@
     }
 
     /// Reduces the recorded longest stall by an eighth.
-    pub fn shrink_longest_stall(&mut self) {
+    pub fn decay_longest_stall(&mut self) {
         self.longest_stall.0 -= self.longest_stall.0 / 8;
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Returns whether a scheduled retry is due. Returns true only once for each scheduled retry.
-    pub fn take_due(&mut self, now: Micros) -> bool {
+    pub fn poll_due(&mut self, now: Micros) -> bool {
         self.retry_at.take_if(|at| *at <= now).is_some()
     }
 }
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -122,7 +122,7 @@
 
     /// Predicts the logarithm of the actual value from `x`, the logarithm of the estimate. The
     /// assumed slope and deviation count as `PRIOR_WEIGHT` samples whose `x` has a variance of 1.
-    pub fn expect(&self, x: f64) -> LogPrediction {
+    pub fn predict(&self, x: f64) -> LogPrediction {
         if self.samples < 1.0 {
             return LogPrediction {
                 log: x,
--- a/crates/decisions/src/state/decay.rs
+++ b/crates/decisions/src/state/decay.rs
@@ -7,22 +7,22 @@
 const MIN_COUNT: f64 = 0.01;
 
 /// Returns the factor by which a decaying sum shrinks during `elapsed`.
-pub fn remaining(elapsed: Micros, half_life_ms: f64) -> f64 {
+pub fn decay_factor(elapsed: Micros, half_life_ms: f64) -> f64 {
     0.5f64.powf(elapsed.as_millis() / half_life_ms)
 }
 
 /// Exponentially decaying weights of all observations and of the bad ones among them.
 #[derive(Clone, Copy, Default)]
-pub struct Tally {
+pub struct DecayingTally {
     all: f64,
     bad: f64,
     updated: Micros,
 }
 
-impl Tally {
+impl DecayingTally {
     /// Returns the weights of all observations and of the bad ones, decayed to `now`.
     pub fn at(&self, now: Micros, half_life_ms: f64) -> (f64, f64) {
-        let factor = remaining(now.since(self.updated), half_life_ms);
+        let factor = decay_factor(now.since(self.updated), half_life_ms);
         (self.all * factor, self.bad * factor)
     }
 
@@ -49,9 +49,9 @@
     /// Returns the share of bad observations without those counted in `own`. To smooth small
     /// counts, further observations with a total weight of `prior_weight` are assumed, of which the
     /// share `prior_share` is bad.
-    pub fn share_without(
+    pub fn share_excluding(
         &self,
-        own: &Tally,
+        own: &DecayingTally,
         now: Micros,
         half_life_ms: f64,
         prior_share: f64,
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -1,6 +1,6 @@
 //! What a gateway knows about one engine: its load, load reports, answer stretch and health.
 
-use super::decay::{remaining, Tally};
+use super::decay::{decay_factor, DecayingTally};
 use super::hash::hash_text;
 use super::observed_load::ObservedLoad;
 use crate::{EngineEntry, EngineId, LoadReport, Micros};
@@ -23,7 +23,7 @@
 pub struct EngineHealth {
     pub health: Health,
     /// Decaying tally of good and bad observations about the engine's health.
-    pub observations: Tally,
+    pub observations: DecayingTally,
     /// Accumulated evidence that the engine is faulty, in log odds.
     pub fault_log_odds: f64,
     /// When `fault_log_odds` was last updated.
@@ -235,7 +235,7 @@
     /// answer; the first answers get a higher weight, so that the average starts as a plain mean.
     pub fn learn_stretch(&mut self, now: Micros, stretch: f64, step: f64, half_life_ms: f64) {
         let elapsed = now.since(self.stretch.last_answer);
-        self.stretch.samples = 1.0 + self.stretch.samples * remaining(elapsed, half_life_ms);
+        self.stretch.samples = 1.0 + self.stretch.samples * decay_factor(elapsed, half_life_ms);
         self.stretch.last_answer = now;
         self.stretch.own += step.max(1.0 / self.stretch.samples) * (stretch - self.stretch.own);
     }
--- a/crates/decisions/src/state/key_queues.rs
+++ b/crates/decisions/src/state/key_queues.rs
@@ -38,12 +38,12 @@
     }
 
     /// Pauses a key until `until`, replacing any earlier pause of the key.
-    pub fn rest(&mut self, key: &Arc<str>, until: Micros) {
+    pub fn pause(&mut self, key: &Arc<str>, until: Micros) {
         self.paused_until.insert(key.clone(), until);
     }
 
     /// Returns whether a key is paused at `now`.
-    pub fn is_resting(&self, key: &Arc<str>, now: Micros) -> bool {
+    pub fn is_paused(&self, key: &Arc<str>, now: Micros) -> bool {
         self.paused_until.get(key).is_some_and(|until| *until > now)
     }
 
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -57,9 +57,10 @@
         );
     }
 
-    /// Returns whether the attempt took work from the engine. Errors, failed connections, unsent
-    /// attempts and cancellations of a waiting query took next to none.
-    fn took_work(&self) -> bool {
+    /// Returns whether a retry after this attempt must spend a token of the bucket in `RetryState`.
+    /// After errors, failed connections, unsent attempts and cancellations of a waiting query it
+    /// need not, since these took next to no work from the engine.
+    fn needs_token(&self) -> bool {
         match self.outcome {
             Some(Outcome::Error | Outcome::ConnectFailed | Outcome::NotSent) => false,
             Some(Outcome::Cancelled) => !self.waits,
@@ -173,9 +174,12 @@
         }
     }
 
-    /// Returns whether the last attempt took work from its engine.
-    pub fn last_attempt_took_work(&self) -> bool {
-        self.attempts.last().is_some_and(TrackedAttempt::took_work)
+    /// Returns whether a retry after the last attempt must spend a token of the bucket in
+    /// `RetryState`. Returns false if there was no attempt yet.
+    pub fn last_attempt_needs_token(&self) -> bool {
+        self.attempts
+            .last()
+            .is_some_and(TrackedAttempt::needs_token)
     }
 
     /// Returns the first attempt that may have run, including attempts in flight.
--- a/crates/decisions/tests/key_queues.rs
+++ b/crates/decisions/tests/key_queues.rs
@@ -11,7 +11,7 @@
         let now = Micros::from_millis(n);
         assert_eq!(keys.join(&key, n), 1);
         keys.leave(&key, n);
-        keys.rest(&key, now.plus(Micros::from_millis(400)));
+        keys.pause(&key, now.plus(Micros::from_millis(400)));
         if n % 25 == 0 {
             keys.expire(now);
         }
