--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -55,12 +55,12 @@
         let expected_ms =
             request.work_ms / threads.max(1.0) * self.engines[index].stretch.blended.max(1.0);
         let is_retry = !request.attempts.is_empty();
-        let repeats_work = request.last_attempt_took_work();
+        let needs_token = request.last_attempt_needs_token();
         self.push_send(request, index, memory_mb, actions);
         self.count_send(sequence, index, memory_mb);
         let attempt = TrackedAttempt::new(index, now, memory_mb, expected_ms);
         self.requests.get_mut(sequence).attempts.push(attempt);
-        if repeats_work {
+        if needs_token {
             self.retries.spend_token();
         }
         if is_retry {
@@ -106,7 +106,7 @@
         let work_ms = self.cautious_work_ms(request);
         let engine = &mut self.engines[index];
         engine.attempt_sent(threads, memory_mb);
-        if engine.started.is_some() || engine.health.connect_failures_in_row > 0 {
+        if engine.started.is_some() || engine.health.consecutive_connect_failures > 0 {
             let span = self
                 .settings
                 .slow_start
@@ -115,7 +115,7 @@
         }
         if self.class(request).holds_tables {
             self.engines
-                .hold_group(index, request.request.table_group, request.deadline);
+                .lock_group(index, request.request.table_group, request.deadline);
         }
     }
 
@@ -126,7 +126,7 @@
         let engine = &self.engines[index];
         let threads = self.threads(request);
         let share_by_threads = if self.settings.grants {
-            GRANTED_MEMORY_SHARE * threads * engine.memory_mb / engine.thread_bound.max(threads)
+            GRANTED_MEMORY_SHARE * threads * engine.memory_mb / engine.thread_limit.max(threads)
         } else {
             0.0
         };
@@ -197,7 +197,7 @@
         let request = &self.requests[sequence];
         if self.class(request).holds_tables {
             self.engines
-                .release_group(index, request.request.table_group);
+                .unlock_group(index, request.request.table_group);
         }
         let threads = self.threads(request);
         self.engines[index].attempt_ended(threads, memory_mb);
@@ -216,7 +216,7 @@
             return;
         };
         let engine = attempt.engine;
-        let was_troubled = self.requests[sequence].troubled;
+        let had_run_short_of_memory = self.requests[sequence].ran_short_of_memory;
         self.health
             .zones
             .zone_mut(&self.engines[engine].entry.zone)
@@ -231,14 +231,14 @@
         }
         match progress {
             Progress::Spilling(_) | Progress::WaitsForMemory => {
-                if !was_troubled {
+                if !had_run_short_of_memory {
                     self.record_memory_shortage(sequence, engine);
                 }
             }
             Progress::WaitsForHolder => {
                 let group = self.requests[sequence].request.table_group;
                 let until = self.clock.now.plus(OBSERVED_LOCK_TTL);
-                self.engines.observe_held_group(engine, group, until);
+                self.engines.observe_group_lock(engine, group, until);
             }
             Progress::ShareDone(share) => {
                 if !attempt.stalled {
--- a/crates/decisions/src/decide/estimates.rs
+++ b/crates/decisions/src/decide/estimates.rs
@@ -43,7 +43,7 @@
     fn estimate_work_ms(&self, request: &TrackedRequest) -> f64 {
         let costs = self.costs.class(request.request.class.0);
         match request.request.work_hint.filter(|hint| hint.0 > 0) {
-            Some(hint) => costs.work_fit.expect(hint.as_millis().ln()).log.exp(),
+            Some(hint) => costs.work_fit.predict(hint.as_millis().ln()).log.exp(),
             None => costs.usual_work_ms(self.class(request)),
         }
     }
@@ -51,7 +51,7 @@
     fn estimate_memory_mb(&self, request: &TrackedRequest) -> f64 {
         let costs = self.costs.class(request.request.class.0);
         if let Some(hint) = request.request.memory_hint_mb.filter(|mb| *mb > 0.0) {
-            let expected = costs.memory_fit.expect(hint.ln());
+            let expected = costs.memory_fit.predict(hint.ln());
             return (expected.log + MEMORY_MARGIN_DEVIATIONS * expected.deviation).exp();
         }
         if costs.memory_mb > 0.0 {
@@ -124,18 +124,18 @@
         was_estimated: bool,
     ) {
         let request = &self.requests[sequence];
-        let troubled = request.troubled;
+        let ran_short_of_memory = request.ran_short_of_memory;
         let overran = memory_mb > MEMORY_OVERRUN * request.memory_mb;
         if let Some(features) = request.features {
             // The label compares the need with the memory that was free when the query was judged.
             // If the query was flagged and therefore waited, it may not have run short of memory
             // although the prediction was right.
             let label = f64::from(u8::from(
-                troubled || memory_mb > request.free_memory_then_mb,
+                ran_short_of_memory || memory_mb > request.free_memory_at_flagging_mb,
             ));
             self.flagging.model.learn(&features, label);
         }
-        if was_estimated && overran && !troubled {
+        if was_estimated && overran && !ran_short_of_memory {
             self.record_memory_shortage(sequence, engine);
         }
     }
@@ -160,6 +160,6 @@
             step,
             super::load::ENGINE_HALF_LIFE_MS,
         );
-        self.adjust_thread_bound(engine);
+        self.adjust_thread_limit(engine);
     }
 }
--- a/crates/decisions/src/decide/load.rs
+++ b/crates/decisions/src/decide/load.rs
@@ -2,9 +2,9 @@
 //! how much contention stretches the latency of answers.
 
 use super::{Gateway, WINDOW};
-use crate::state::decay::remaining;
+use crate::state::decay::decay_factor;
 use crate::state::engine::{Engine, Health};
-use crate::state::observed_load::{update_share_left, SurveyBasis};
+use crate::state::observed_load::{update_share_left, LoadUpdateInputs};
 use crate::Micros;
 
 /// Minimum trust at which a value from a load report is used on its own instead of being blended
@@ -67,7 +67,7 @@
 const MAX_THREADS_PER_CORE: f64 = 2.4;
 
 /// Minimum time between two changes of an engine's thread limit.
-const MIN_THREAD_BOUND_INTERVAL: Micros = Micros::from_millis(700);
+const MIN_THREAD_LIMIT_INTERVAL: Micros = Micros::from_millis(700);
 
 impl Gateway {
     /// Free memory of an engine in megabytes. With a fresh load report, it is the reported free
@@ -104,7 +104,7 @@
     /// more threads may be waiting for those cores.
     fn threads_of_others(&self, engine: &Engine) -> f64 {
         let kind = &self.kinds[engine.kind];
-        let sampled = kind.threads_of_others(engine, self.gateways()) * engine.warm_share;
+        let sampled = kind.threads_of_others(engine, self.gateways()) * engine.relative_warm_load;
         let Some(reported) = engine.reported_threads_of_others(kind) else {
             return sampled;
         };
@@ -123,21 +123,21 @@
         (self.gateways() - 1.0) / (self.gateways() - 1.0 + REPORT_WEIGHT_GATEWAYS)
     }
 
-    /// Updates the slow-start share, the trust in the load report and the stretch estimate of each
-    /// engine. An engine whose ejection time has passed becomes half-open.
+    /// Updates the relative warm load, the trust in the load report and the stretch estimate of
+    /// each engine. An engine whose ejection time has passed becomes half-open.
     pub(super) fn update_engine_loads(&mut self, elapsed: Micros) {
         let now = self.clock.now;
         for index in 0..self.engines.len() {
             let warmth = self.warmth(&self.engines[index]);
             let engine = &mut self.engines[index];
-            engine.warm_share = warmth.powi(2);
-            engine.reported.trust *= remaining(elapsed, REPORT_HALF_LIFE_MS);
+            engine.relative_warm_load = warmth.powi(2);
+            engine.reported.trust *= decay_factor(elapsed, REPORT_HALF_LIFE_MS);
             if matches!(engine.health.health, Health::Ejected(until) if until <= now) {
                 engine.health.health = Health::HalfOpen;
             }
             let stretch = &mut engine.stretch;
             let samples =
-                stretch.samples * remaining(now.since(stretch.last_answer), ENGINE_HALF_LIFE_MS);
+                stretch.samples * decay_factor(now.since(stretch.last_answer), ENGINE_HALF_LIFE_MS);
             stretch.blended = (samples * stretch.own + PRIOR_ANSWERS * self.stretch.mean)
                 / (samples + PRIOR_ANSWERS);
         }
@@ -151,15 +151,15 @@
             &self.settings,
             self.costs.all(),
         );
-        let basis = SurveyBasis {
-            kept: remaining(elapsed, FLEET_HALF_LIFE_MS),
+        let inputs = LoadUpdateInputs {
+            previous_weight: decay_factor(elapsed, FLEET_HALF_LIFE_MS),
             gateways: self.gateways(),
             threads_per_core_by_stretch: (self.stretch.mean / self.stretch.best - IDLE_STRETCH)
                 .max(0.0),
         };
         for (kind, observed) in self.kinds.iter_mut().enumerate() {
             let engines = self.engines.listed().filter(|engine| engine.kind == kind);
-            observed.survey(engines, basis);
+            observed.update(engines, inputs);
         }
     }
 
@@ -174,7 +174,7 @@
     /// engine is under pressure. Slow start scales the limit down. A memory queue lowers the limit
     /// further, and by more if many gateways share the engine, since each gateway then causes only
     /// a small part of the load.
-    pub(super) fn would_exceed_thread_bound(&self, index: usize, threads: f64) -> bool {
+    pub(super) fn would_exceed_thread_limit(&self, index: usize, threads: f64) -> bool {
         let engine = &self.engines[index];
         let load = self.load(index);
         let queue_factor = if self.has_queue(engine) {
@@ -182,8 +182,8 @@
         } else {
             1.0
         };
-        let bound = self.warmth(engine) * engine.thread_bound * queue_factor;
-        load + threads > bound.max(threads) && self.is_under_pressure(index, load)
+        let limit = self.warmth(engine) * engine.thread_limit * queue_factor;
+        load + threads > limit.max(threads) && self.is_under_pressure(index, load)
     }
 
     /// Whether queries are waiting for memory on an engine, by a load report or by a recent
@@ -206,27 +206,27 @@
 
     /// Adjusts an engine's thread limit: lowers it by a factor while heavy queries are slowed down,
     /// and raises it in small steps while most of it is in use.
-    pub(super) fn adjust_thread_bound(&mut self, index: usize) {
+    pub(super) fn adjust_thread_limit(&mut self, index: usize) {
         let now = self.clock.now;
         let best = self.stretch.best;
-        let used = self.load(index) / self.engines[index].thread_bound;
+        let used = self.load(index) / self.engines[index].thread_limit;
         let engine = &mut self.engines[index];
-        if now.since(engine.thread_bound_moved) < MIN_THREAD_BOUND_INTERVAL {
+        if now.since(engine.thread_limit_changed) < MIN_THREAD_LIMIT_INTERVAL {
             return;
         }
         let stretch = engine.stretch.blended / best;
-        let bound = if stretch > STRETCH_HIGH && used > 0.4 {
-            engine.thread_bound * 0.85
+        let limit = if stretch > STRETCH_HIGH && used > 0.4 {
+            engine.thread_limit * 0.85
         } else if stretch < STRETCH_LOW && used > 0.7 {
-            engine.thread_bound + 0.1 * engine.cores
+            engine.thread_limit + 0.1 * engine.cores
         } else {
             return;
         };
-        engine.thread_bound = bound.clamp(
+        engine.thread_limit = limit.clamp(
             MIN_THREADS_PER_CORE * engine.cores,
             MAX_THREADS_PER_CORE * engine.cores,
         );
-        engine.thread_bound_moved = now;
+        engine.thread_limit_changed = now;
     }
 
     /// Records that an attempt met a memory queue on an engine; the engine counts as having a queue
--- a/crates/decisions/src/decide/mod.rs
+++ b/crates/decisions/src/decide/mod.rs
@@ -41,7 +41,7 @@
 use crate::state::admission_state::{AdmissionState, FleetStretch};
 use crate::state::clock::{Backoff, Clock};
 use crate::state::costs::CostModel;
-use crate::state::decay::{remaining, DecayingCounts};
+use crate::state::decay::{decay_factor, DecayingCounts};
 use crate::state::engine_table::EngineTable;
 use crate::state::hash::RandomSource;
 use crate::state::key_queues::KeyQueues;
@@ -203,7 +203,7 @@
         if now >= self.clock.window_end {
             self.start_window();
         }
-        if self.list_backoff.take_due(now) {
+        if self.list_backoff.poll_due(now) {
             let pushed = self.settings.discovery == Discovery::Pushed;
             actions.push(if pushed {
                 Action::FetchList
@@ -212,11 +212,11 @@
             });
         }
         self.keys.expire(now);
-        self.engines.expire_held_groups(now);
+        self.engines.expire_group_locks(now);
         self.expire_retry_counts();
         self.finish_overdue(actions);
         self.retry_lagging(actions);
-        if self.clock.since(self.clock.last_survey) >= LOAD_UPDATE_INTERVAL {
+        if self.clock.since(self.clock.last_load_update) >= LOAD_UPDATE_INTERVAL {
             self.update_load_estimates();
             self.dispatch_waiting(actions);
         }
@@ -225,21 +225,21 @@
     fn start_window(&mut self) {
         self.clock.window_end = self.clock.now.plus(WINDOW);
         self.refill_flag_quotas();
-        self.clock.shrink_longest_stall();
+        self.clock.decay_longest_stall();
         self.placement
             .counts
-            .decay(remaining(WINDOW, GROUP_HALF_LIFE_MS));
+            .decay(decay_factor(WINDOW, GROUP_HALF_LIFE_MS));
         self.admission
             .costs
-            .decay(remaining(WINDOW, COST_HALF_LIFE_MS));
+            .decay(decay_factor(WINDOW, COST_HALF_LIFE_MS));
         self.plan_all_groups();
     }
 
     /// Updates all load estimates, then the admitted share; runs at a fixed interval.
     fn update_load_estimates(&mut self) {
         self.costs.update_mean_work();
-        let elapsed = self.clock.since(self.clock.last_survey);
-        self.clock.last_survey = self.clock.now;
+        let elapsed = self.clock.since(self.clock.last_load_update);
+        self.clock.last_load_update = self.clock.now;
         self.update_engine_loads(elapsed);
         self.decay_tenant_counts(elapsed);
         self.update_kind_loads(elapsed);
--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -75,7 +75,7 @@
             .into_iter()
             .any(may_become_usable);
         let is_late = self.clock.now.plus(ANSWER_MARGIN) >= request.deadline;
-        let out_of_tokens = request.last_attempt_took_work() && !self.retries.has_token();
+        let out_of_tokens = request.last_attempt_needs_token() && !self.retries.has_token();
         let request_is_faulty = request.failed_engines().count() >= MAX_FAILED_ENGINES;
         if is_late || out_of_tokens || !has_engine || request_is_faulty {
             self.reject_or_fail(sequence, actions);
@@ -107,7 +107,7 @@
         let is_better = |engine: usize| {
             !request.was_sent_to(engine)
                 && self.engines[engine].health.health == Health::Healthy
-                && !self.would_exceed_thread_bound(engine, threads)
+                && !self.would_exceed_thread_limit(engine, threads)
         };
         if request.attempts.len() < MAX_QUEUE_MOVES
             && self.ranked_engines(request).into_iter().any(is_better)
@@ -315,7 +315,7 @@
         let with_room = candidates
             .iter()
             .copied()
-            .find(|engine| !self.would_exceed_thread_bound(*engine, threads));
+            .find(|engine| !self.would_exceed_thread_limit(*engine, threads));
         let urgent = is_lost && self.is_light(request);
         let fallback = candidates.first().copied().filter(|_| urgent);
         if let Some(engine) = with_room.or(fallback) {
--- a/crates/decisions/src/state/clock.rs
+++ b/crates/decisions/src/state/clock.rs
@@ -19,7 +19,7 @@
     /// Length of the longest recent stall, reduced at regular intervals to forget old stalls.
     pub longest_stall: Micros,
     /// When the load of all engines was last recomputed.
-    pub last_survey: Micros,
+    pub last_load_update: Micros,
     /// When the quotas for flagging queries as memory-heavy are next refilled.
     pub window_end: Micros,
 }
@@ -40,12 +40,12 @@
     /// for flagging queries as memory-heavy.
     pub fn start(&mut self, window: Micros) {
         self.started_at = Some(self.now);
-        self.last_survey = self.now;
+        self.last_load_update = self.now;
         self.window_end = self.now.plus(window);
     }
 
     /// Reduces the recorded longest stall by an eighth.
-    pub fn shrink_longest_stall(&mut self) {
+    pub fn decay_longest_stall(&mut self) {
         self.longest_stall.0 -= self.longest_stall.0 / 8;
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Returns whether a scheduled retry is due. Returns true only once for each scheduled retry.
-    pub fn take_due(&mut self, now: Micros) -> bool {
+    pub fn poll_due(&mut self, now: Micros) -> bool {
         self.retry_at.take_if(|at| *at <= now).is_some()
     }
 }
--- a/crates/decisions/src/state/costs.rs
+++ b/crates/decisions/src/state/costs.rs
@@ -122,7 +122,7 @@
 
     /// Predicts the logarithm of the actual value from `x`, the logarithm of the estimate. The
     /// assumed slope and deviation count as `PRIOR_WEIGHT` samples whose `x` has a variance of 1.
-    pub fn expect(&self, x: f64) -> LogPrediction {
+    pub fn predict(&self, x: f64) -> LogPrediction {
         if self.samples < 1.0 {
             return LogPrediction {
                 log: x,
@@ -147,8 +147,8 @@
 #[derive(Default)]
 pub struct CostModel {
     classes: Vec<ClassCosts>,
-    /// Mean work of a query over all classes, in milliseconds, as of the last survey (periodic load
-    /// update). It separates light queries from heavy ones.
+    /// Mean work of a query over all classes, in milliseconds, as of the last periodic load
+    /// update. It separates light queries from heavy ones.
     pub mean_work_ms: f64,
 }
 
--- a/crates/decisions/src/state/engine.rs
+++ b/crates/decisions/src/state/engine.rs
@@ -1,6 +1,6 @@
 //! What a gateway knows about one engine: its load, load reports, answer stretch and health.
 
-use super::decay::{remaining, Tally};
+use super::decay::{decay_factor, DecayingTally};
 use super::hash::hash_text;
 use super::observed_load::ObservedLoad;
 use crate::{EngineEntry, EngineId, LoadReport, Micros};
@@ -23,15 +23,15 @@
 pub struct EngineHealth {
     pub health: Health,
     /// Decaying tally of good and bad observations about the engine's health.
-    pub signs: Tally,
+    pub observations: DecayingTally,
     /// Accumulated evidence that the engine is faulty, in log odds.
-    pub suspicion: f64,
-    /// When `suspicion` was last updated.
-    pub suspicion_updated: Micros,
+    pub fault_log_odds: f64,
+    /// When `fault_log_odds` was last updated.
+    pub fault_log_odds_updated: Micros,
     /// Number of consecutive failures to connect to the engine.
-    pub connect_failures_in_row: u32,
+    pub consecutive_connect_failures: u32,
     /// Number of consecutive broken connections without a served request in between.
-    pub resets_in_row: u32,
+    pub consecutive_resets: u32,
     /// Number of ejections minus recoveries. Each ejection doubles the next one's duration.
     pub ejections: u32,
 }
@@ -70,20 +70,20 @@
 pub struct FlagQuota {
     pub quota: f64,
     /// Number of queries since the last refill that ran short of memory but were not flagged.
-    pub misses: f64,
+    pub false_negatives: f64,
     /// Number of all queries since the last refill that ran short of memory.
-    pub trouble: f64,
+    pub shortages: f64,
     /// Number of queries that ran short of memory in the previous window of the quota.
-    pub last_trouble: f64,
+    pub last_shortages: f64,
 }
 
 impl Default for FlagQuota {
     fn default() -> FlagQuota {
         FlagQuota {
             quota: 1.0,
-            misses: 0.0,
-            trouble: 0.0,
-            last_trouble: 0.0,
+            false_negatives: 0.0,
+            shortages: 0.0,
+            last_shortages: 0.0,
         }
     }
 }
@@ -92,16 +92,16 @@
     /// Starts a new window of the quota. The new quota is the number of queries that ran short of
     /// memory in the window that ends, plus 1.
     pub fn refill(&mut self) {
-        self.quota = self.trouble + 1.0;
-        self.last_trouble = self.trouble;
-        self.trouble = 0.0;
-        self.misses = 0.0;
+        self.quota = self.shortages + 1.0;
+        self.last_shortages = self.shortages;
+        self.shortages = 0.0;
+        self.false_negatives = 0.0;
     }
 
     /// Counts a query that ran short of memory and adds 1 to the quota, because several heavy
     /// queries in a row would use up a quota sized by the previous window.
-    pub fn count_trouble(&mut self) {
-        self.trouble += 1.0;
+    pub fn count_shortage(&mut self) {
+        self.shortages += 1.0;
         self.quota += 1.0;
     }
 }
@@ -126,8 +126,8 @@
     /// Whether the engine is in the engine list and accepts new work.
     pub listed: bool,
     /// Expected load relative to a fully warm engine, from 0 to 1; below 1 while the engine is
-    /// warming up. Updated by each survey (periodic load update).
-    pub warm_share: f64,
+    /// warming up. Updated by each periodic load update.
+    pub relative_warm_load: f64,
     /// When the engine process last started; `None` if that was long ago.
     pub started: Option<Micros>,
     /// Work that this gateway recently sent to the engine while it was warming up.
@@ -140,8 +140,8 @@
     pub memory_in_use_mb: f64,
     /// Limit on the threads that all gateways together run on the engine. The limit applies only
     /// while the engine shows signs of pressure.
-    pub thread_bound: f64,
-    pub thread_bound_moved: Micros,
+    pub thread_limit: f64,
+    pub thread_limit_changed: Micros,
     pub stretch: Stretch,
     pub reported: ReportedLoad,
     pub health: EngineHealth,
@@ -156,22 +156,22 @@
     pub fn new(id: &EngineId) -> Engine {
         Engine {
             hash: hash_text(&id.0),
-            warm_share: 1.0,
+            relative_warm_load: 1.0,
             ..Engine::default()
         }
     }
 
     /// Marks the engine as healthy and discards what was learned about its previous process.
-    pub fn restarted(&mut self, started: Option<Micros>, thread_bound: f64) {
+    pub fn restarted(&mut self, started: Option<Micros>, thread_limit: f64) {
         self.started = started;
-        self.thread_bound = thread_bound;
+        self.thread_limit = thread_limit;
         self.stretch.samples = 0.0;
         self.reported.received_at = None;
         self.reported.trust = 0.0;
         self.health.health = Health::Healthy;
         self.health.ejections = 0;
-        self.health.connect_failures_in_row = 0;
-        self.health.suspicion = 0.0;
+        self.health.consecutive_connect_failures = 0;
+        self.health.fault_log_odds = 0.0;
     }
 
     /// Returns the last load report, if trust in it is at least `least_trust`.
@@ -235,7 +235,7 @@
     /// answer; the first answers get a higher weight, so that the average starts as a plain mean.
     pub fn learn_stretch(&mut self, now: Micros, stretch: f64, step: f64, half_life_ms: f64) {
         let elapsed = now.since(self.stretch.last_answer);
-        self.stretch.samples = 1.0 + self.stretch.samples * remaining(elapsed, half_life_ms);
+        self.stretch.samples = 1.0 + self.stretch.samples * decay_factor(elapsed, half_life_ms);
         self.stretch.last_answer = now;
         self.stretch.own += step.max(1.0 / self.stretch.samples) * (stretch - self.stretch.own);
     }
