--- a/crates/policy/src/diff.rs
+++ b/crates/policy/src/diff.rs
@@ -1,4 +1,4 @@
-//! Two policies compared by what they mean: order, spacing, comments and absent defaults make no difference.
+//! Semantic comparison of two policies: order, whitespace, comments and explicitly written defaults are ignored.
 
 use crate::document::{ClassRule, Policy};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,13 +7,13 @@
 /// One difference between two policies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Difference {
-    /// What it is about, such as `class "report"`.
+    /// The block that differs, for example `class "report"`.
     pub about: String,
-    /// The key there; empty where the whole is meant.
+    /// The key that differs within the block; empty if the difference concerns the block as a whole.
     pub key: String,
-    /// What it was.
+    /// The old value, as text for operators.
     pub before: String,
-    /// What it is to be.
+    /// The new value, as text for operators.
     pub after: String,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// All differences, in order of what they are about.
+/// Returns all differences between two policies, sorted by block and key.
 pub fn diff(before: &Policy, after: &Policy) -> Vec<Difference> {
     let mut differences = Differences {
         before,
@@ -53,13 +53,13 @@
 
 impl Differences<'_> {
     fn compare_engines(&mut self) {
-        let word = |excluded: bool| if excluded { "left out" } else { "in use" };
+        let state = |excluded: bool| if excluded { "left out" } else { "in use" };
         for id in union(
             self.before.excluded_engines.iter(),
             self.after.excluded_engines.iter(),
         ) {
-            let before = word(self.before.excluded_engines.contains(id));
-            let after = word(self.after.excluded_engines.contains(id));
+            let before = state(self.before.excluded_engines.contains(id));
+            let after = state(self.after.excluded_engines.contains(id));
             self.add(format!("engine \"{id}\""), "", before, after);
         }
     }
@@ -144,7 +144,7 @@
     }
 }
 
-/// A share as percent, rounded to a thousandth of it; all where there is none.
+/// Formats a share as a percentage with up to three decimal places. An absent share means 100%.
 fn percent(share: Option<&f64>) -> String {
     let share = share.copied().unwrap_or(1.0) * 100.0;
     format!("{}%", (share * 1000.0).round() / 1000.0)
--- a/crates/policy/src/document/mod.rs
+++ b/crates/policy/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The policy as operators write it, and as the fleet replicates it.
+//! The policy document that operators write and the fleet replicates, and its parsed form.
 
 mod parse;
 mod schema;
@@ -8,39 +8,40 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The latest format version of policies that this program reads. A document of a later one is rejected by every
-/// member that is older.
+/// The newest policy format version that this program supports.
+///
+/// A member rejects a document whose format version is newer than its program supports.
 pub const FORMAT_VERSION: u64 = 1;
 
-/// Longest document in bytes: it goes through the replicated log as one entry.
+/// Maximum length of a policy document in bytes. The limit bounds the log entry in which the document is replicated.
 pub const MAX_TEXT_LENGTH: usize = 64 * 1024;
 
-/// What applies to the requests of a class.
+/// Restrictions on the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassRule {
-    /// All of them are rejected.
+    /// Whether all requests of the class are rejected.
     pub rejected: bool,
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request; `None` means no limit.
     pub max_attempts: Option<u32>,
-    /// Most requests that each front end admits in a second.
+    /// Maximum admission rate at each front end, in requests per second; `None` means no limit.
     pub max_rate: Option<f64>,
-    /// Most time that a request has, in milliseconds.
+    /// Maximum duration of a request in milliseconds, counted from when the client sent it; `None` means no limit.
     pub deadline_ms: Option<f64>,
 }
 
-/// A fleet's policy. What is absent is not restricted.
+/// A fleet's policy. Classes, accounts, zones, engines and tasks that it does not name are unrestricted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
-    /// Engines that get no new requests, by id.
+    /// Ids of the engines that receive no new requests.
     pub excluded_engines: BTreeSet<String>,
-    /// Rules by class.
+    /// Restrictions by class name.
     pub classes: BTreeMap<String, ClassRule>,
-    /// By account: the largest part of a front end's requests that may be its own, from 0 to 1.
+    /// Maximum share of a front end's requests that each account may use, from 0 to 1, by account name.
     pub accounts: BTreeMap<String, f64>,
-    /// By zone: the part of its engines that is used, from 0 to 1.
+    /// Fraction of each zone's engines that receive requests, from 0 to 1, by zone name.
     pub zones: BTreeMap<String, f64>,
-    /// Tasks of the fleet that do not run, by name.
+    /// Names of the fleet's tasks that must not run.
     pub forbidden_tasks: BTreeSet<String>,
-    /// Most requests in flight at a front end.
+    /// Maximum number of requests in flight at each front end; `None` means no limit.
     pub max_in_flight: Option<usize>,
 }
--- a/crates/policy/src/document/parse.rs
+++ b/crates/policy/src/document/parse.rs
@@ -1,37 +1,40 @@
-//! Reads a policy document into a [`Policy`].
+//! Parses a policy document into a [`Policy`].
 
 use super::{schema, ClassRule, Policy, FORMAT_VERSION, MAX_TEXT_LENGTH};
 use beamgap_config::schema::Block;
 use beamgap_config::{Document, Place, Problem, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a problem is reported that belongs to no line.
+/// Position reported for problems that concern the file as a whole or whose position is unknown.
 const START_OF_FILE: Place = Place { line: 1, column: 1 };
 
 type Fields = BTreeMap<String, Value>;
 
-/// A policy with the places of its keys.
+/// A policy together with the document that it was parsed from.
 #[derive(Clone, Debug)]
 pub struct ParsedPolicy {
-    /// What it says.
+    /// The parsed policy.
     pub policy: Policy,
-    /// Where each key stands.
+    /// The document, which records the position of each key in the text.
     pub document: Document,
 }
 
 impl ParsedPolicy {
-    /// Where the block with this label stands in a list of blocks; the start of the file if there is none.
+    /// Position of the block in `list` whose `label` has the value `name`; the start of the file if no block matches.
     pub fn place_of_block(&self, list: &str, label: &str, name: &str) -> Place {
-        let named = Value::Text(name.to_owned());
-        let is_meant = |block: &Value| matches!(block, Value::Map(fields) if fields.get(label) == Some(&named));
-        let index = blocks(&self.document, list).iter().position(is_meant);
+        let wanted = Value::Text(name.to_owned());
+        let has_label = |block: &Value| matches!(block, Value::Map(fields) if fields.get(label) == Some(&wanted));
+        let index = blocks(&self.document, list).iter().position(has_label);
         index
             .and_then(|index| self.document.place(&format!("{list}[{index}]")))
             .unwrap_or(START_OF_FILE)
     }
 }
 
-/// The format version that a text claims, without reading the rest: a later one can't be read, but named.
+/// Extracts the format version from the first line that starts with `form`, without parsing the rest of the text.
+///
+/// A document in a newer format may fail to parse; the extracted version allows an error that names that format.
+/// Returns `None` if no such line exists or its value is not an integer.
 pub fn claimed_format_version(text: &str) -> Option<u64> {
     let line = text
         .lines()
@@ -41,18 +44,20 @@
     value.split('#').next()?.trim().parse().ok()
 }
 
-/// Parses a policy.
+/// Parses a policy document. `file` is the file name used in error messages.
 ///
 /// # Errors
-/// All problems of the text in the order of their places, each with its key and its fix.
+/// All problems found in the text, ordered by position. Each has a key and a suggested fix.
 pub fn parse(file: &str, text: &str) -> Result<ParsedPolicy, Vec<Problem>> {
     parse_with_blocks(file, text, Vec::new())
 }
 
-/// Parses a policy that holds further blocks, which other parts of the program read from the document.
+/// Parses a policy document whose schema is extended by `further_blocks`.
+///
+/// The contents of these blocks are not part of [`Policy`]; callers read them from [`ParsedPolicy::document`].
 ///
 /// # Errors
-/// As [`parse`].
+/// The same errors as [`parse`].
 pub fn parse_with_blocks(
     file: &str,
     text: &str,
@@ -81,16 +86,18 @@
         return Ok(());
     }
     let problem = format!("has {} bytes", text.len());
-    let fix = format!("at most {MAX_TEXT_LENGTH} are read");
+    let fix = format!("shorten it to at most {MAX_TEXT_LENGTH} bytes");
     Err(vec![problem_of_file(file, "(file)", problem, fix)])
 }
 
 fn check_format_version(file: &str, text: &str) -> Result<(), Vec<Problem>> {
     match claimed_format_version(text) {
         Some(version) if version > FORMAT_VERSION => {
-            let problem = format!("is {version}; this program reads up to {FORMAT_VERSION}");
-            let fix =
-                "update this front end's program, or write the policy in the older form".to_owned();
+            let problem = format!(
+                "is {version}, but this program supports format versions up to {FORMAT_VERSION}"
+            );
+            let fix = "update this front end's program, or write the policy in an older format"
+                .to_owned();
             Err(vec![problem_of_file(file, "form", problem, fix)])
         }
         _ => Ok(()),
@@ -107,7 +114,7 @@
     }
 }
 
-/// The blocks of a list, empty where there are none.
+/// The blocks of the named list; empty if the document has no such list.
 fn blocks<'a>(document: &'a Document, list: &str) -> &'a [Value] {
     let Value::Map(root) = &document.root else {
         return &[];
@@ -137,8 +144,8 @@
 impl Reader<'_> {
     fn policy(&mut self) -> Policy {
         Policy {
-            excluded_engines: self.flagged("engines", "id", "left_out"),
-            forbidden_tasks: self.flagged("tasks", "name", "forbidden"),
+            excluded_engines: self.labels_with_flag("engines", "id", "left_out"),
+            forbidden_tasks: self.labels_with_flag("tasks", "name", "forbidden"),
             classes: self.classes(),
             accounts: self.shares("accounts", "share"),
             zones: self.shares("zones", "weight"),
@@ -146,8 +153,8 @@
         }
     }
 
-    fn flagged(&mut self, list: &str, label: &str, key: &str) -> BTreeSet<String> {
-        let blocks = self.labelled(list, label).into_iter();
+    fn labels_with_flag(&mut self, list: &str, label: &str, key: &str) -> BTreeSet<String> {
+        let blocks = self.blocks_by_label(list, label).into_iter();
         blocks
             .filter(|(_, fields)| flag(fields, key))
             .map(|(name, _)| name)
@@ -161,12 +168,12 @@
             max_rate: number(&fields, "rate"),
             deadline_ms: number(&fields, "deadline_ms"),
         };
-        let blocks = self.labelled("classes", "name").into_iter();
+        let blocks = self.blocks_by_label("classes", "name").into_iter();
         blocks.map(|(name, fields)| (name, rule(fields))).collect()
     }
 
     fn shares(&mut self, list: &str, key: &str) -> BTreeMap<String, f64> {
-        let blocks = self.labelled(list, "name").into_iter();
+        let blocks = self.blocks_by_label(list, "name").into_iter();
         blocks
             .filter_map(|(name, fields)| Some((name, number(&fields, key)?)))
             .collect()
@@ -182,8 +189,9 @@
         }
     }
 
-    /// The blocks of a list by their label. A label that stands twice is a problem: either block could be meant.
-    fn labelled(&mut self, list: &str, label: &str) -> BTreeMap<String, Fields> {
+    /// The blocks of a list, keyed by the value of `label`. Records a problem for each empty or duplicate label, since
+    /// a duplicate leaves open which block applies.
+    fn blocks_by_label(&mut self, list: &str, label: &str) -> BTreeMap<String, Fields> {
         let mut by_name: BTreeMap<String, Fields> = BTreeMap::new();
         for (index, block) in blocks(self.document, list).iter().enumerate() {
             let Value::Map(fields) = block else { continue };
@@ -192,20 +200,20 @@
             };
             if name.is_empty() || by_name.contains_key(name) {
                 self.problems
-                    .push(self.bad_label(format!("{list}[{index}]"), name));
+                    .push(self.invalid_label(format!("{list}[{index}]"), name));
             }
             by_name.insert(name.clone(), fields.clone());
         }
         by_name
     }
 
-    fn bad_label(&self, key: String, name: &str) -> Problem {
+    fn invalid_label(&self, key: String, name: &str) -> Problem {
         Problem {
             file: self.document.file.clone(),
             place: self.document.place(&key).unwrap_or(START_OF_FILE),
             key,
-            problem: format!("names '{name}', which is empty or stands twice"),
-            fix: "keep one block for each name".to_owned(),
+            problem: format!("has the label '{name}', which is empty or stands twice"),
+            fix: "write one block for each label".to_owned(),
         }
     }
 }
--- a/crates/policy/src/document/schema.rs
+++ b/crates/policy/src/document/schema.rs
@@ -1,8 +1,8 @@
-//! The blocks and keys of a policy document.
+//! The schema of a policy document: its blocks and keys.
 
 use beamgap_config::schema::{Block, Key, Shape};
 
-/// What may stand in a policy document.
+/// The schema of a policy document, without the blocks that [`parse_with_blocks`](super::parse_with_blocks) adds.
 pub fn schema() -> Block {
     Block {
         keys: vec![required("form", count(1.0, 1_000_000.0))],
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,17 +1,18 @@
-//! The policy of a fleet: a document that restricts what its front ends admit and which engines they use.
+//! The policy of a fleet: a document that restricts which requests front ends admit and which engines they use.
 //!
-//! - [`document`]: the policy as operators write it (HCL), parsed into a typed [`document::Policy`].
-//! - [`validation`]: whether a front end can use a policy; each problem with its place, key and fix.
-//! - [`diff`]: two policies compared by meaning.
-//! - [`rules`]: what applies to a request and to an engine.
-//! - [`rollout`]: the replicated change of a policy. Start there for the protocol.
+//! - [`document`]: the policy document, written by operators in HCL, and its parser.
+//! - [`validation`]: checks whether a front end can apply a policy and reports each problem with a suggested fix.
+//! - [`diff`]: semantic comparison of two policies.
+//! - [`rules`]: evaluates a policy for a request or an engine.
+//! - [`rollout`]: the protocol that rolls out a policy change to the whole fleet.
 //!
-//! **Promises.** A change takes effect at every front end or at none, and the last admission under an old version comes
-//! within a bound of the first under the new one, as long as clocks keep to the drift that is assumed and the log that
-//! carries the commands is consistent. `docs/policy.md` numbers the promises.
+//! **Guarantees.** A policy change takes effect at every front end or at none. The last admission under the old version
+//! follows the first admission under the new one by at most a configured bound. Both guarantees assume that clock
+//! drift stays within the configured maximum and that the replicated log is consistent. `docs/policy.md` has the
+//! numbered list of guarantees.
 //!
-//! **Not promised.** The crate has no I/O, no clock, no threads and no randomness: the caller passes the time in, sends
-//! the messages and runs the consensus. It neither picks engines nor retries requests.
+//! **Scope.** The crate has no I/O, no clock, no threads and no randomness: the caller passes in the current time,
+//! delivers the messages and runs the consensus protocol. The crate neither selects engines nor retries requests.
 //!
 //! ```
 //! use beamgap_policy::document::parse;
--- a/crates/policy/src/rules/meter.rs
+++ b/crates/policy/src/rules/meter.rs
@@ -1,63 +1,69 @@
-//! Which requests a front end admits under a policy: classes, rates, accounts' shares, requests in flight.
+//! Admission control under a policy: rejected classes, rate limits, account shares and the limit of requests in flight.
 
 use super::CompiledPolicy;
 use crate::document::ClassRule;
 use std::collections::HashMap;
 
-/// Time constant over which an account's share is measured, in milliseconds.
-const SHARE_WINDOW_MS: f64 = 5000.0;
-/// Requests that must have come within the window before a share applies.
+/// Time constant of the exponentially decayed request counts that account shares are computed from, in milliseconds.
+const SHARE_TIME_CONSTANT_MS: f64 = 5000.0;
+/// Decayed request count below which shares above zero are not enforced: with few requests, an account's measured share
+/// fluctuates too much.
 const MIN_REQUESTS_FOR_SHARE: f64 = 20.0;
 
-/// Why a request is not admitted.
+/// Why the policy rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// Requests of its class are rejected.
-    #[error("requests of its class are rejected")]
+    /// The policy rejects all requests of the class.
+    #[error("the policy rejects all requests of this class")]
     ClassRejected,
-    /// Its class is over its rate.
-    #[error("its class is over its rate")]
+    /// The class has reached its rate limit.
+    #[error("the class has reached its rate limit")]
     RateExceeded,
-    /// Its account is over its share.
-    #[error("its account is over its share")]
+    /// The account has reached its share of the requests.
+    #[error("the account has reached its share of the requests")]
     AccountShareExceeded,
-    /// As many requests are in flight as may be.
-    #[error("as many requests are in flight as may be")]
+    /// The front end has reached its limit of requests in flight.
+    #[error("the front end has reached its limit of requests in flight")]
     TooManyInFlight,
 }
 
-/// What an admitted request is subject to until it ends.
+/// Limits that apply to an admitted request until it finishes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestLimits {
-    /// Most attempts.
+    /// Maximum number of attempts; `None` means no limit.
     pub max_attempts: Option<u32>,
-    /// Most time from when the client sent it, in milliseconds.
+    /// Maximum duration in milliseconds, counted from when the client sent the request; `None` means no limit.
     pub deadline_ms: Option<f64>,
 }
 
-/// A token bucket; its rate and size are those of a class's rule.
+/// The token bucket of a class. Its refill rate and size come from the class rule at each admission.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
     refilled_at: f64,
 }
 
-/// What has been admitted lately, for rates and shares. It is kept when the policy changes. Times are in milliseconds.
+/// Counts recent requests to enforce the class rates and account shares of a policy.
+///
+/// The counts are kept when the policy changes. All times are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionMeter {
     buckets_by_class: HashMap<usize, TokenBucket>,
-    /// Requests admitted lately, by account.
+    /// Exponentially decayed number of admitted requests, by account.
     admitted_by_account: HashMap<String, f64>,
-    /// Requests that came lately, admitted or not.
-    requests: f64,
+    /// Exponentially decayed number of requests that reached the share check, admitted or rejected.
+    recent_requests: f64,
     decayed_at: f64,
 }
 
 impl AdmissionMeter {
-    /// Admits a request or not; an admitted one is counted. `in_flight` is how many are in flight before it.
+    /// Decides whether to admit a request, and counts it if so.
+    ///
+    /// `now` is the current time in milliseconds, `class` the class number, and `in_flight` the number of requests in
+    /// flight at this front end, not counting this one.
     ///
     /// # Errors
-    /// Why the request is not admitted.
+    /// The first limit of the policy that rejects the request.
     pub fn admit(
         &mut self,
         now: f64,
@@ -73,13 +79,14 @@
         if policy
             .policy()
             .max_in_flight
-            .is_some_and(|most| in_flight >= most)
+            .is_some_and(|max| in_flight >= max)
         {
             return Err(Rejection::TooManyInFlight);
         }
         self.decay(now);
-        // Shares are of all requests, admitted or not: an account that is alone keeps its share of its own.
-        self.requests += 1.0;
+        // A share is a fraction of all counted requests, admitted or rejected. An account that sends all of the traffic
+        // is therefore limited to its share of its own requests.
+        self.recent_requests += 1.0;
         if account.is_some_and(|account| self.is_over_share(policy, account)) {
             return Err(Rejection::AccountShareExceeded);
         }
@@ -88,7 +95,7 @@
                 return Err(Rejection::RateExceeded);
             }
         }
-        // The number of accounts is bounded: they are those of the settings.
+        // The settings define the accounts, so the map can't grow without bound.
         if let Some(account) = account {
             *self
                 .admitted_by_account
@@ -107,12 +114,13 @@
             .get(account)
             .copied()
             .unwrap_or(0.0);
-        let is_measured = self.requests >= MIN_REQUESTS_FOR_SHARE;
-        *share <= 0.0 || (is_measured && admitted + 1.0 > share * self.requests)
+        let is_measured = self.recent_requests >= MIN_REQUESTS_FOR_SHARE;
+        *share <= 0.0 || (is_measured && admitted + 1.0 > share * self.recent_requests)
     }
 
     fn take_token(&mut self, now: f64, class: usize, max_rate: f64) -> bool {
-        // A burst of one second's requests, of one at least where any are allowed.
+        // The bucket stores the requests of one second. At a rate between 0 and 1 its size is 1, because a smaller
+        // bucket would never contain a whole token.
         let burst = if max_rate > 0.0 {
             max_rate.max(1.0)
         } else {
@@ -133,11 +141,11 @@
         has_token
     }
 
-    /// Exponential decay of what was counted before.
+    /// Applies the exponential decay since the last call to all request counts.
     fn decay(&mut self, now: f64) {
-        let factor = (-(now - self.decayed_at).max(0.0) / SHARE_WINDOW_MS).exp();
+        let factor = (-(now - self.decayed_at).max(0.0) / SHARE_TIME_CONSTANT_MS).exp();
         self.decayed_at = now;
-        self.requests *= factor;
+        self.recent_requests *= factor;
         for admitted in self.admitted_by_account.values_mut() {
             *admitted *= factor;
         }
--- a/crates/policy/src/rules/mod.rs
+++ b/crates/policy/src/rules/mod.rs
@@ -1,5 +1,7 @@
-//! What a policy says of a request and of an engine. It narrows what the decision module is offered; that module still
-//! picks engines, retries and rejects.
+//! Evaluates a policy for requests and engines.
+//!
+//! A policy only narrows the requests and engines that the decision module is offered. The decision module still
+//! selects engines, retries requests and rejects them.
 
 mod compiled;
 mod meter;
--- a/crates/policy/src/validation.rs
+++ b/crates/policy/src/validation.rs
@@ -1,23 +1,25 @@
-//! Whether a front end can use a policy: each name in it must be one that the front end knows.
+//! Checks whether a front end can apply a policy: it must know every class, account and zone that the policy names.
 
 use crate::document::{self, ParsedPolicy};
 use beamgap_config::{Place, Problem};
 
-/// Names that a policy may use at a front end. Engines are not among them: they come and go while a policy stands.
+/// Names configured at a front end, which a policy may refer to.
+///
+/// Engine ids are not checked, because engines join and leave the pool while a policy is active.
 #[derive(Clone, Debug, Default)]
 pub struct KnownNames {
-    /// Its classes.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// Its accounts.
+    /// Names of the accounts.
     pub accounts: Vec<String>,
-    /// Its zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
 /// Parses a policy and validates it against the names that a front end knows.
 ///
 /// # Errors
-/// All problems, each with its place, key and fix.
+/// All problems found, each with its position, its key and a suggested fix. Names are checked only if parsing succeeds.
 pub fn parse_and_validate(
     file: &str,
     text: &str,
@@ -32,7 +34,7 @@
     }
 }
 
-/// Why a front end with these names can't use a policy; empty if it can.
+/// Returns the reasons why a front end with these known names can't apply the policy; empty if it can.
 pub fn validate(parsed: &ParsedPolicy, known: &KnownNames) -> Vec<Problem> {
     let file = &parsed.document.file;
     let policy = &parsed.policy;
@@ -49,11 +51,11 @@
         let place = parsed.place_of_block("zones", "name", name);
         problems.extend(unknown_name(file, place, "zone", name, &known.zones));
     }
-    problems.extend(no_zone_left(parsed, known));
+    problems.extend(all_zones_excluded(parsed, known));
     problems
 }
 
-fn no_zone_left(parsed: &ParsedPolicy, known: &KnownNames) -> Option<Problem> {
+fn all_zones_excluded(parsed: &ParsedPolicy, known: &KnownNames) -> Option<Problem> {
     let weight = |zone: &String| parsed.policy.zones.get(zone).copied().unwrap_or(1.0);
     if known.zones.is_empty() || known.zones.iter().any(|zone| weight(zone) != 0.0) {
         return None;
@@ -63,12 +65,14 @@
         place: Place { line: 1, column: 1 },
         key: "zone".to_owned(),
         problem: "weights are 0% for every zone of this front end".to_owned(),
-        fix: "leave one zone above 0%, or refuse the classes instead".to_owned(),
+        fix: "leave one zone above 0%, or set `refused` for the classes instead".to_owned(),
     })
 }
 
-/// The problem of a name that is not known here, with the known name that is most like it; none if it is known.
-/// `kind` tells what the name stands for, such as `class`.
+/// Returns a problem if `name` is not among the `known` names, and `None` if it is.
+///
+/// The suggested fix is the most similar known name, or the list of known names if none is similar. `kind` says what
+/// the name refers to, for example `class`.
 pub fn unknown_name(
     file: &str,
     place: Place,
@@ -79,7 +83,7 @@
     if known.iter().any(|candidate| candidate == name) {
         return None;
     }
-    let fix = match nearest(name, known) {
+    let fix = match most_similar(name, known) {
         Some(candidate) => format!("did you mean `{candidate}`?"),
         None => format!("known here: {}", known.join(", ")),
     };
@@ -87,13 +91,14 @@
         file: file.to_owned(),
         place,
         key: format!("{kind} \"{name}\""),
-        problem: format!("is no {kind} of this front end"),
+        problem: format!("is not a known {kind} at this front end"),
         fix,
     })
 }
 
-/// The known name with the fewest edits, unless it takes too many for a typing error.
-fn nearest<'a>(name: &str, known: &'a [String]) -> Option<&'a String> {
+/// The known name with the smallest edit distance from `name`, or `None` if even that distance is too large for a typo:
+/// more than 1 plus a third of the known name's length in bytes.
+fn most_similar<'a>(name: &str, known: &'a [String]) -> Option<&'a String> {
     let by_distance = known
         .iter()
         .map(|candidate| (edit_distance(candidate, name), candidate));
@@ -101,7 +106,7 @@
     (distance <= 1 + candidate.len() / 3).then_some(candidate)
 }
 
-/// Levenshtein distance in characters.
+/// The Levenshtein distance between two strings, in characters.
 fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
