--- a/crates/policy/src/rollout/change.rs
+++ b/crates/policy/src/rollout/change.rs
@@ -1,39 +1,40 @@
-//! A change of the policy: as asked for, under way, and what became of it.
+//! Policy changes: requests, the pending change, outcomes and the errors of proposals.
 
 use super::message::ValidationError;
 use super::Version;
 use serde::{Deserialize, Serialize};
 
-/// A change as an operator asks for it.
+/// A policy change as requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Its id: a change sent twice under one id is one change.
+    /// Unique id of the change. Another request with the same id has no effect while the change is pending or in the
+    /// history, so requests can be retried safely.
     pub id: String,
-    /// Who asks for it.
+    /// The operator who requests the change.
     pub requested_by: String,
-    /// The policy's text; none: back to the version before the active one.
+    /// Text of the new policy; `None` requests a rollback to the version before the active one.
     pub policy_text: Option<String>,
-    /// The version that it was made from; if that is not active any more, the change is rejected.
+    /// The version that the new policy was derived from. The change is rejected if another version is active.
     pub base_version: Option<Version>,
 }
 
-/// How far a change is.
+/// The current state or the final outcome of a policy change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// Members validate it.
+    /// The change waits for members to validate it.
     Validating,
-    /// It will become active as this version.
+    /// The change is committed and will become active as this version.
     Committed(Version),
-    /// It became active as this version.
+    /// The change was activated as this version.
     Active(Version),
-    /// It was never active, and never will be.
+    /// The change was rejected with these errors and never took effect.
     Rejected(Vec<ValidationError>),
-    /// It was never active: an operator withdrew it.
+    /// An operator withdrew the change before it was committed; it never took effect.
     Withdrawn,
 }
 
 impl ChangeOutcome {
-    /// Whether nothing will change it any more.
+    /// Whether the outcome is final, that is, neither validating nor committed.
     pub fn is_final(&self) -> bool {
         !matches!(
             self,
@@ -42,44 +43,44 @@
     }
 }
 
-/// A change and what became of it.
+/// A finished change and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// Its id.
+    /// Id of the change.
     pub id: String,
-    /// Who asked for it.
+    /// The operator who requested the change.
     pub requested_by: String,
-    /// What became of it.
+    /// Final outcome of the change.
     pub outcome: ChangeOutcome,
 }
 
-/// The change under way.
+/// The change that the fleet is currently rolling out. At most one change is pending at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PendingChange {
-    /// Its id.
+    /// Id of the change.
     pub id: String,
-    /// Who asked for it.
+    /// The operator who requested the change.
     pub requested_by: String,
-    /// The policy's text.
+    /// Text of the new policy.
     pub policy_text: String,
-    /// Whether it is committed: it will become active.
+    /// Whether the change is committed, after which it can no longer be rejected or withdrawn.
     pub committed: bool,
 }
 
-/// Why a change is rejected before any member has looked at it.
+/// Why the replicated state rejects a proposal before any member validates it.
 ///
-/// The texts are part of the replicated state: they must be the same at all versions of the program.
+/// The error texts become part of the replicated state, so all versions of the program must produce the same texts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
-    /// Another change is under way.
+    /// Another change is pending.
     #[error("the change {id} by {requested_by} is under way; ask again when it is over")]
     ChangeUnderWay {
-        /// The id of that change.
+        /// Id of the pending change.
         id: String,
-        /// Who asked for that change.
+        /// The operator who requested the pending change.
         requested_by: String,
     },
-    /// The change was made from a version that is not active.
+    /// The change was derived from a version that is not active.
     #[error(
         "it was made from another version than {active}, which is in force; look at that and propose anew"
     )]
@@ -87,10 +88,10 @@
         /// The active version.
         active: Version,
     },
-    /// The text is longer than [`MAX_TEXT_LENGTH`](crate::document::MAX_TEXT_LENGTH).
+    /// The policy text is longer than [`MAX_TEXT_LENGTH`](crate::document::MAX_TEXT_LENGTH).
     #[error("the policy is too long")]
     TooLong,
-    /// A rollback, and there is nothing to go back to.
+    /// The change is a rollback, but no version before the active one is stored.
     #[error("there is no version before the one in force")]
     NoEarlierVersion,
 }
--- a/crates/policy/src/rollout/injected_bug.rs
+++ b/crates/policy/src/rollout/injected_bug.rs
@@ -1,21 +1,21 @@
-//! Bugs that tests inject.
+//! Protocol bugs that tests inject.
 
-/// A bug injected on purpose, to see that tests and models find it. Never set outside of tests.
+/// A deliberately injected bug that tests and protocol models must detect. Outside of tests it is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
-    /// None.
+    /// No bug is injected.
     #[default]
     None,
-    /// The new version is granted as soon as it is proposed.
+    /// The leader grants leases for the new version as soon as the change is proposed.
     EarlyActivation,
-    /// A leader answers without having been confirmed.
+    /// The leader answers polls without having a majority confirm its leadership.
     UnconfirmedLeader,
-    /// A voter answers before its disk has what it answers for.
+    /// A voter acknowledges a write before the data is synced to disk.
     VoteBeforeSync,
-    /// A member that comes back admits under the version that it had.
+    /// A member that was disconnected keeps admitting requests under its old version after its lease has expired.
     NoCatchUp,
-    /// Long leases are not waited for.
+    /// The leader activates a change without waiting for the long leases to expire.
     NoWait,
-    /// The clock is read at the start of the event loop's iteration, not at the admission.
+    /// Admission uses a clock reading from the start of the event loop iteration instead of a current one.
     StaleClock,
 }
--- a/crates/policy/src/rollout/leader.rs
+++ b/crates/policy/src/rollout/leader.rs
@@ -1,7 +1,7 @@
-//! The leading voter's part: it answers members, and proposes what is to be committed next.
+//! The leader's part of a rollout: it answers the members' polls and proposes commands for the replicated log.
 //!
-//! All of its state is volatile: a new leader begins with none. Safety rests on the replicated log and on the members'
-//! own clocks alone. All times are in milliseconds.
+//! The leader's state is volatile, and a newly elected leader starts without any. Safety depends only on the replicated
+//! log and on the members' own clocks. All times are in milliseconds.
 
 use super::message::{LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange};
 use super::progress::RolloutProgress;
@@ -10,47 +10,49 @@
 use beamgap_fleet_types::{is_valid_name, MemberId};
 use std::collections::BTreeMap;
 
-/// Pause between a member's polls while a change is under way, in milliseconds.
+/// Interval in milliseconds between a member's polls while a change is pending or the member has yet to activate the
+/// granted version.
 const POLL_INTERVAL_DURING_ROLLOUT_MS: f64 = 30.0;
-/// Pause between a member's polls until it has joined, in milliseconds.
+/// Interval between a member's polls while the member has not joined or its removal is proposed, in milliseconds.
 const POLL_INTERVAL_UNTIL_JOINED_MS: f64 = 20.0;
-/// Polls of a member within the length of a long lease while no change is under way.
+/// Number of polls that a member sends per length of a long lease while no change is pending.
 const POLLS_PER_LEASE: f64 = 6.0;
-/// A member that was silent for so many lengths of a lease is removed.
+/// A member is removed after this many times the expiry time of a long lease without a poll.
 const LEASES_UNTIL_REMOVED: f64 = 12.0;
-/// Pause before a member's join or removal is proposed again, in milliseconds.
+/// Delay before a member's join or removal is proposed again, in milliseconds.
 const MEMBERSHIP_RETRY_MS: f64 = 500.0;
 
-/// A member as of its last poll.
+/// A member's status as of its last poll.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
-    /// When it polled.
+    /// When the leader received the poll, in milliseconds.
     pub polled_at: f64,
-    /// The version that it has.
+    /// Version of the policy that the member had activated, if any.
     pub version: Option<Version>,
-    /// The kind of its lease.
+    /// Kind of the member's latest lease, if any.
     pub lease_kind: Option<LeaseKind>,
-    /// Why it admits no request, if so.
+    /// Why the member admitted no requests; `None` if it admitted requests.
     pub blocked_reason: Option<String>,
-    /// Its note for operators.
+    /// The member's request counters, as text for operators.
     pub note: String,
 }
 
-/// The state machine of the leader.
+/// The leader's state machine. Every voter has one, which is inactive while another voter leads.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicyLeader {
-    leads_since: Option<f64>,
+    leader_since: Option<f64>,
     progress: RolloutProgress,
     statuses: BTreeMap<MemberId, MemberStatus>,
-    /// Members whose join was proposed and is not applied yet, with the time of that.
-    joining: BTreeMap<MemberId, f64>,
-    /// Members whose removal was proposed: they are granted nothing, since it may be committed at any moment.
-    leaving: BTreeMap<MemberId, f64>,
+    /// Members whose join is proposed but not yet applied, with the time of the last proposal.
+    proposed_joins: BTreeMap<MemberId, f64>,
+    /// Members whose removal is proposed, with the time of the last proposal. They are granted no leases, because the
+    /// removal may be committed at any time.
+    proposed_removals: BTreeMap<MemberId, f64>,
     injected_bug: InjectedBug,
 }
 
 impl PolicyLeader {
-    /// One that does not lead yet, with a bug injected for tests.
+    /// Creates an inactive leader state machine with an injected bug, for tests.
     pub fn with_injected_bug(injected_bug: InjectedBug) -> PolicyLeader {
         PolicyLeader {
             injected_bug,
@@ -58,32 +60,35 @@
         }
     }
 
-    /// Whether it leads.
+    /// Whether this voter is the leader.
     pub fn is_leader(&self) -> bool {
-        self.leads_since.is_some()
+        self.leader_since.is_some()
     }
 
-    /// It leads from now on, or no more. All that it knew is dropped.
+    /// Starts or ends the leadership of this voter. Each transition discards all state except the injected bug.
     pub fn set_leadership(&mut self, now: f64, is_leader: bool) {
         if is_leader != self.is_leader() {
             *self = PolicyLeader::with_injected_bug(self.injected_bug);
-            self.leads_since = is_leader.then_some(now);
+            self.leader_since = is_leader.then_some(now);
         }
     }
 
-    /// Members as of their last polls.
+    /// The last polls of members to this leader, including recent polls of members that have not joined yet.
     pub fn member_statuses(&self) -> &BTreeMap<MemberId, MemberStatus> {
         &self.statuses
     }
 
-    /// Answers a member's poll, with commands to propose. The state must be one that was committed after the poll came.
+    /// Handles a member's poll. Returns the response and the commands to propose.
+    ///
+    /// `state` must contain every command that was committed before the poll arrived. With an older state, the leader
+    /// could grant a lease for a version that has already been replaced.
     pub fn handle_poll(
         &mut self,
         now: f64,
         state: &RolloutState,
         request: &PollRequest,
     ) -> (PollResponse, Vec<Command>) {
-        self.observe(now, state);
+        self.update_from_state(now, state);
         self.record_status(now, request);
         let member = &request.member;
         let timings = match state.timings {
@@ -95,8 +100,8 @@
                 )
             }
         };
-        self.joining.remove(member);
-        if self.leaving.contains_key(member) {
+        self.proposed_joins.remove(member);
+        if self.proposed_removals.contains_key(member) {
             return (response_without_lease(request), Vec::new());
         }
         if let Some(pending) = &state.pending {
@@ -106,14 +111,14 @@
         (response, self.next_commands(now, state))
     }
 
-    /// Time passes: what is to be committed next.
+    /// Handles the passing of time. Returns the commands to propose.
     pub fn tick(&mut self, now: f64, state: &RolloutState) -> Vec<Command> {
-        self.observe(now, state);
+        self.update_from_state(now, state);
         self.next_commands(now, state)
     }
 
-    /// Remembers when this member polled, also before it has joined: it must not be taken for lost between its joining
-    /// and its next poll.
+    /// Records the status of a polling member. Members that have not joined yet are recorded too, so that a member is
+    /// not considered unreachable between its join and its next poll.
     fn record_status(&mut self, now: f64, request: &PollRequest) {
         if !is_valid_name(&request.member.name) || self.statuses.len() >= 2 * MAX_MEMBERS {
             return;
@@ -136,13 +141,13 @@
     ) -> Vec<Command> {
         let member = &request.member;
         let is_proposed = self
-            .joining
+            .proposed_joins
             .get(member)
             .is_some_and(|at| now - at < MEMBERSHIP_RETRY_MS);
         if is_proposed || !is_valid_name(&member.name) || state.timings.is_none() {
             return Vec::new();
         }
-        self.joining.insert(member.clone(), now);
+        self.proposed_joins.insert(member.clone(), now);
         vec![Command::Join {
             member: member.clone(),
             format_version: request.format_version,
@@ -156,9 +161,10 @@
         request: &PollRequest,
     ) -> PollResponse {
         let grant = self.grant(state, timings, request);
-        // A member that activates another version is to poll soon: that is what the operator's command waits for.
-        let is_busy = state.pending.is_some() || request.version != Some(grant.version);
-        let poll_again_after_ms = if is_busy {
+        // A member that still has to activate the granted version polls at the short interval, because the operator's
+        // command waits until the member reports the new version.
+        let polls_often = state.pending.is_some() || request.version != Some(grant.version);
+        let poll_again_after_ms = if polls_often {
             POLL_INTERVAL_DURING_ROLLOUT_MS
         } else {
             timings.lease_ms / POLLS_PER_LEASE
@@ -225,11 +231,11 @@
         }
     }
 
-    /// Follows the replicated state.
-    fn observe(&mut self, now: f64, state: &RolloutState) {
-        self.leaving
+    /// Updates the leader's view from the replicated state.
+    fn update_from_state(&mut self, now: f64, state: &RolloutState) {
+        self.proposed_removals
             .retain(|member, _| state.members.contains_key(member));
-        // Polls from those that never joined are forgotten, so that strangers leave no trace.
+        // Statuses of processes that poll but never join are discarded, so that they can't accumulate.
         let lease_ms = state.timings.map_or(0.0, |timings| timings.lease_ms);
         self.statuses.retain(|member, status| {
             state.members.contains_key(member) || now - status.polled_at <= lease_ms
@@ -238,10 +244,10 @@
     }
 
     fn next_commands(&mut self, now: f64, state: &RolloutState) -> Vec<Command> {
-        let (Some(leads_since), Some(timings)) = (self.leads_since, state.timings) else {
+        let (Some(leader_since), Some(timings)) = (self.leader_since, state.timings) else {
             return Vec::new();
         };
-        let mut commands = self.propose_removals(now, leads_since, state, timings);
+        let mut commands = self.propose_removals(now, leader_since, state, timings);
         let step = self
             .progress
             .next_step(now, state, timings, self.injected_bug);
@@ -249,28 +255,29 @@
         commands
     }
 
-    /// A member that was silent for many lengths of a lease holds none, whichever leader granted it.
+    /// Proposes to remove members that have not polled for so long that every lease granted to them, by this or an
+    /// earlier leader, has expired.
     fn propose_removals(
         &mut self,
         now: f64,
-        leads_since: f64,
+        leader_since: f64,
         state: &RolloutState,
         timings: PolicyTimings,
     ) -> Vec<Command> {
         let silence_ms = LEASES_UNTIL_REMOVED * timings.long_leases_expired_after_ms();
-        if now - leads_since <= silence_ms || state.pending.is_some() {
+        if now - leader_since <= silence_ms || state.pending.is_some() {
             return Vec::new();
         }
         let mut commands = Vec::new();
         for member in state.members.keys() {
             let status = self.statuses.get(member);
-            let is_lost = status.is_none_or(|status| now - status.polled_at > silence_ms);
+            let is_unreachable = status.is_none_or(|status| now - status.polled_at > silence_ms);
             let is_proposed = self
-                .leaving
+                .proposed_removals
                 .get(member)
                 .is_some_and(|at| now - at <= MEMBERSHIP_RETRY_MS);
-            if is_lost && !is_proposed {
-                self.leaving.insert(member.clone(), now);
+            if is_unreachable && !is_proposed {
+                self.proposed_removals.insert(member.clone(), now);
                 commands.push(Command::Leave {
                     member: member.clone(),
                 });
--- a/crates/policy/src/rollout/member.rs
+++ b/crates/policy/src/rollout/member.rs
@@ -1,6 +1,7 @@
-//! A front end's part: it holds a lease to admit requests under a version, renews it, and stops when it has expired.
+//! A front end's part of a rollout: it renews its lease to admit requests and stops admitting when the lease expires.
 //!
-//! All times are of this machine's monotonic clock that counts suspension, in milliseconds.
+//! All times are readings, in milliseconds, of this machine's monotonic clock. The clock must include the time during
+//! which the machine is suspended.
 
 use super::message::{
     LeaseGrant, LeaseKind, PollRequest, PollResponse, ProposedChange, ValidationError,
@@ -9,60 +10,62 @@
 use super::{InjectedBug, Version};
 use beamgap_fleet_types::{clock, MemberId};
 
-/// A poll without a response is repeated after this time, in milliseconds, perhaps to another voter.
+/// Time to wait for the response to a poll before the next poll is sent, possibly to another voter, in milliseconds.
 const POLL_TIMEOUT_MS: f64 = 400.0;
-/// Pause before the next poll after one that failed, in milliseconds.
+/// Delay between a failed poll and the next one, in milliseconds.
 const RETRY_DELAY_MS: f64 = 50.0;
-/// Part of a lease's length after which it is renewed.
+/// Fraction of the usable lease length after which the member polls to renew its lease.
 const RENEW_AFTER_FRACTION: f64 = 1.0 / 3.0;
 
-/// A lease to admit requests under one version.
+/// A member's lease to admit requests under one policy version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionLease {
-    /// The version.
+    /// The policy version for which the lease is valid.
     pub version: Version,
-    /// When it expires.
+    /// When the lease expires, in milliseconds by this machine's clock.
     pub expires_at: f64,
-    /// Its kind.
+    /// Whether the lease is long or short.
     pub kind: LeaseKind,
 }
 
-/// What the front end is to do.
+/// An action that the front end must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
-    /// Admit requests under this policy from now on, and tell by [`PolicyMember::activated`] or
+    /// Apply this policy to all further requests, then call [`PolicyMember::activated`] or
     /// [`PolicyMember::activation_failed`].
     Activate {
-        /// The version.
+        /// Version of the policy.
         version: Version,
-        /// The policy's text.
+        /// Text of the policy.
         policy_text: String,
     },
-    /// Validate this change, and tell the result by [`PolicyMember::validated`].
+    /// Validate this change, then pass the result to [`PolicyMember::validated`].
     Validate(ProposedChange),
 }
 
-/// The state machine of a front end.
+/// The rollout state machine of a front end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyMember {
     id: MemberId,
     format_version: u64,
     sequence: u64,
-    /// When the poll was sent that is under way.
+    /// When the outstanding poll was sent; `None` if no poll is outstanding.
     poll_sent_at: Option<f64>,
     next_poll_at: f64,
     version: Option<Version>,
     lease: Option<AdmissionLease>,
-    /// A lease whose policy is being activated: it counts once that is done.
+    /// A lease for a version that the front end is activating. It becomes the current lease after the activation.
     activating: Option<AdmissionLease>,
     validation: Option<ValidationReport>,
-    /// Why the active policy can't be used here, if so.
+    /// Why this front end can't apply the active policy; `None` if it can.
     unusable: Option<String>,
     injected_bug: InjectedBug,
 }
 
 impl PolicyMember {
-    /// A front end that has just started: it holds no lease.
+    /// Creates the state machine of a front end that has just started and holds no lease.
+    ///
+    /// `format_version` is the newest policy format version that the program supports.
     pub fn new(id: MemberId, format_version: u64, injected_bug: InjectedBug) -> PolicyMember {
         PolicyMember {
             id,
@@ -79,24 +82,26 @@
         }
     }
 
-    /// The version under which a request may be admitted at this time, read from the clock for this request.
+    /// The policy version under which a request may be admitted at time `now`; `None` if no request may be admitted.
+    ///
+    /// The caller must read the clock anew for each request, since the lease may have expired since an earlier reading.
     pub fn admits(&self, now: f64) -> Option<Version> {
         let lease = self.lease.as_ref()?;
         let is_valid = now < lease.expires_at || self.injected_bug == InjectedBug::NoCatchUp;
         (is_valid && self.unusable.is_none()).then_some(lease.version)
     }
 
-    /// Which member this is.
+    /// The id of this member.
     pub fn id(&self) -> &MemberId {
         &self.id
     }
 
-    /// The lease that it was last granted; it may have expired.
+    /// The latest accepted lease, which may have expired.
     pub fn lease(&self) -> Option<&AdmissionLease> {
         self.lease.as_ref()
     }
 
-    /// Why no request is admitted now, if so. For operators.
+    /// Why no requests are admitted at time `now`, as text for operators; `None` if requests are admitted.
     pub fn blocked_reason(&self, now: f64) -> Option<String> {
         if let Some(errors) = &self.unusable {
             return Some(format!("can't use the policy in force: {errors}"));
@@ -113,7 +118,7 @@
         }
     }
 
-    /// When the next poll is due.
+    /// When the next poll is due, in milliseconds by this machine's clock.
     pub fn next_poll_at(&self) -> f64 {
         match self.poll_sent_at {
             Some(sent_at) => sent_at + POLL_TIMEOUT_MS,
@@ -121,7 +126,7 @@
         }
     }
 
-    /// The next poll, if it is due.
+    /// Creates the next poll if it is due at time `now`. `note` is shown to operators.
     pub fn poll_request(&mut self, now: f64, note: &str) -> Option<PollRequest> {
         if now < self.next_poll_at() {
             return None;
@@ -140,21 +145,24 @@
         })
     }
 
-    /// Has the next poll be due at this time at the latest, unless one is under way.
+    /// Schedules the next poll for time `at` unless it is due earlier. Has no effect while a poll is outstanding.
     pub fn poll_no_later_than(&mut self, at: f64) {
         if self.poll_sent_at.is_none() {
             self.next_poll_at = self.next_poll_at.min(at);
         }
     }
 
-    /// The poll with this sequence number got no response, or one that is of no use: it is repeated soon.
+    /// Reports that the poll with this sequence number got no response or an unusable one. Schedules a retry if this is
+    /// the outstanding poll.
     pub fn poll_failed(&mut self, now: f64, sequence: u64) {
         if sequence == self.sequence && self.poll_sent_at.take().is_some() {
             self.next_poll_at = now + RETRY_DELAY_MS;
         }
     }
 
-    /// Takes in a response. One to an earlier poll is ignored: what was granted after it counts.
+    /// Handles a response from the leader and returns the actions to carry out.
+    ///
+    /// Responses to earlier polls are ignored, so that an old grant can't replace a newer one.
     pub fn handle_response(&mut self, now: f64, response: PollResponse) -> Vec<MemberAction> {
         if response.sequence != self.sequence {
             return Vec::new();
@@ -183,7 +191,8 @@
             max_drift,
             policy_text,
         } = grant;
-        // Counted from the poll: the leader granted it at some moment after that.
+        // The lease length is counted from when the poll was sent, because the leader granted the lease at an unknown
+        // time after that.
         let usable_ms = clock::usable_for(length_ms, max_drift);
         self.next_poll_at = self
             .next_poll_at
@@ -198,11 +207,12 @@
             return None;
         }
         let Some(policy_text) = policy_text else {
-            // Granted for a version that this member does not have: ask again at once.
+            // The grant lacks the text of a version that this member has not activated. The next poll is sent at once;
+            // it reports the member's version, so the leader's response will include the text.
             self.next_poll_at = now;
             return None;
         };
-        // No more admissions under the old version: a new one is active.
+        // A grant for another version means that the old one has been replaced, so admission under the old one ends.
         if self.injected_bug != InjectedBug::NoCatchUp {
             self.lease = None;
         }
@@ -219,12 +229,12 @@
             .is_some_and(|report| report.change_id == change_id)
     }
 
-    /// The policy of this version is in use: its lease counts from now on.
+    /// Reports that the front end now applies the policy of this version. The lease for the version becomes usable.
     pub fn activated(&mut self, version: Version) {
         self.finish_activation(version, None);
     }
 
-    /// The policy of this version can't be used here: no request is admitted under it.
+    /// Reports that the front end can't apply the policy of this version, so it admits no requests under it.
     pub fn activation_failed(&mut self, version: Version, reason: String) {
         self.finish_activation(version, Some(reason));
     }
@@ -238,14 +248,14 @@
         self.unusable = unusable;
     }
 
-    /// A proposed change was validated here; no errors: this member can use it.
+    /// Reports the result of validating a proposed change; empty `errors` mean that this member can apply the change.
     pub fn validated(&mut self, now: f64, change_id: &str, errors: Vec<ValidationError>) {
         self.validation = Some(ValidationReport {
             change_id: change_id.to_owned(),
             errors,
         });
         if self.poll_sent_at.is_none() {
-            // The rollout waits for the report.
+            // Polls at once, because the rollout waits for this report.
             self.next_poll_at = now;
         }
     }
--- a/crates/policy/src/rollout/message.rs
+++ b/crates/policy/src/rollout/message.rs
@@ -1,92 +1,92 @@
-//! What members and the leader send to each other.
+//! Messages between members and the leader.
 //!
-//! The encoded form is positional (postcard): the order of fields and variants is part of the wire format.
+//! The postcard encoding is positional, so the order of fields and variants is part of the wire format.
 
 use super::Version;
 use beamgap_fleet_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// How long a lease is good for: while a change is committed but not yet active, leases are short.
+/// Whether a lease is long or short. Leases are short while a change is committed but not yet active.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseKind {
-    /// No change was committed and not yet active.
+    /// Granted while no committed change was awaiting activation.
     Long,
-    /// The change of this id was.
+    /// Granted while the change with this id was committed and awaiting activation.
     Short(String),
 }
 
-/// A reason why a member, or the fleet, can't use a proposed policy.
+/// A reason for which a member or the replicated state machine rejects a proposed policy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ValidationError {
-    /// Name of the member that reports it.
+    /// Name of the member that reports the error.
     pub member: String,
-    /// File, line, key, what is wrong and what to do, in one line.
+    /// File, line, key, problem and suggested fix in a single line.
     pub message: String,
 }
 
-/// What a member found in a proposed policy.
+/// A member's result of validating a proposed policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ValidationReport {
-    /// The change that was validated.
+    /// Id of the validated change.
     pub change_id: String,
-    /// What is wrong with it; empty if the member can use it.
+    /// Errors that prevent the member from applying the policy; empty if the policy is valid for this member.
     pub errors: Vec<ValidationError>,
 }
 
-/// A change that a member is to validate.
+/// A proposed change that the leader asks a member to validate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProposedChange {
-    /// Its id.
+    /// Id of the change.
     pub id: String,
-    /// The policy's text.
+    /// Text of the proposed policy.
     pub policy_text: String,
 }
 
-/// What a member sends to the leader to renew its lease.
+/// A member's poll, by which it renews its lease and reports its status to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// Who polls.
+    /// The polling member.
     pub member: MemberId,
-    /// The latest format version of policies that it can read.
+    /// Newest policy format version that the member supports.
     pub format_version: u64,
-    /// Grows with each poll of this incarnation: responses to earlier ones are ignored.
+    /// Sequence number, increasing with each poll of this incarnation. The member ignores responses to earlier polls.
     pub sequence: u64,
-    /// The version that it has.
+    /// Version of the policy that the member has activated, if any.
     pub version: Option<Version>,
-    /// The kind of its lease, if it has had one.
+    /// Kind of the member's latest lease, which may have expired; `None` if it has no lease.
     pub lease_kind: Option<LeaseKind>,
-    /// What it found in a proposed change.
+    /// The member's latest validation report.
     pub validation: Option<ValidationReport>,
-    /// For operators: why it does not admit requests, if so.
+    /// Why the member currently admits no requests, as text for operators; `None` if it admits requests.
     pub blocked_reason: Option<String>,
-    /// For operators: its counters.
+    /// The member's request counters, as text for operators.
     pub note: String,
 }
 
-/// What the leader answers to a [`PollRequest`].
+/// The leader's response to a [`PollRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PollResponse {
-    /// The sequence number of the poll that this answers.
+    /// Sequence number of the poll that this response answers.
     pub sequence: u64,
-    /// The lease, if one is granted.
+    /// The granted lease, if any.
     pub grant: Option<LeaseGrant>,
-    /// A change to be validated.
+    /// A proposed change that the member should validate, if any.
     pub validate: Option<ProposedChange>,
-    /// The next poll is wanted after so many milliseconds at the latest.
+    /// Maximum time until the member's next poll, in milliseconds.
     pub poll_again_after_ms: f64,
 }
 
-/// A lease to admit requests under one version.
+/// The leader's grant of a lease to admit requests under one policy version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The version.
+    /// The policy version for which the lease is valid.
     pub version: Version,
-    /// How long it lasts from when it was asked for, in milliseconds of real time.
+    /// Length of the lease in milliseconds of real time, counted from when the member sent the poll.
     pub length_ms: f64,
-    /// Its kind.
+    /// Whether the lease is long or short.
     pub kind: LeaseKind,
-    /// By what fraction clocks may run apart from real time.
+    /// Maximum clock drift as a fraction, by which the member shortens the lease.
     pub max_drift: f64,
-    /// The policy, if the member does not have this version.
+    /// Text of the policy; `None` if the member has already activated this version.
     pub policy_text: Option<String>,
 }
--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -1,23 +1,27 @@
-//! The replicated rollout of a policy: a change takes effect at every front end or at none.
+//! The rollout of a policy change to the fleet: the change takes effect at every front end or at none.
 //!
-//! Three pure state machines, with events in and actions out; the program, the model and the tests on a set clock run
-//! the same code:
+//! The protocol consists of three pure state machines that receive events and return actions. The program, the protocol
+//! model and the tests with a simulated clock run the same code:
 //!
-//! - [`RolloutState`]: the replicated state. Commands come in the order of the consensus log, the same everywhere.
-//! - [`PolicyLeader`]: the leading voter. It answers members, has them validate a change, commits and activates it.
-//! - [`PolicyMember`]: a front end. It holds a lease to admit requests under one version, renews it, and stops
-//!   admitting when the lease has expired.
+//! - [`RolloutState`]: the replicated state. Every replica applies the commands in the order of the consensus log.
+//! - [`PolicyLeader`]: the leader's part. It answers polls, collects validation reports, and proposes to reject, commit
+//!   or activate a change.
+//! - [`PolicyMember`]: a front end's part. It renews its lease to admit requests under one version, and stops admitting
+//!   requests when the lease has expired.
 //!
-//! **Leases.** A front end admits requests only while it holds a lease for the active version. It polls the leader at a
-//! moment `t0` of its own clock, and the lease ends at `t0` plus a length. The leader answers only after a majority has
-//! confirmed it as leader *after* the poll arrived, with the state as committed by then. So whatever the response says
-//! was true at some moment after `t0`, whoever leads by the time that it arrives; no clock but the member's own counts.
+//! **Leases.** A front end admits requests only while it holds a lease for the active version. It polls the leader at
+//! time `t0` by its own clock, and the granted lease expires a fixed length after `t0`. After the poll arrives, the
+//! leader has a majority confirm its leadership, and then answers from the state committed by that time. The response
+//! therefore describes a state that was current at some time after `t0`, even if another leader has been elected when
+//! the response arrives. Lease expiry depends on the member's own clock only.
 //!
-//! **Rollout.** [`Command::Propose`] (members validate) → [`Command::Commit`] → [`Command::Activate`]. From `Commit` on,
-//! leases under the old version are *short* (less than `switch_bound_ms`); a short lease replaces the long one that its
-//! holder had. `Activate` is proposed when every member has confirmed that it holds a short lease, or when every long
-//! one must have expired. From `Activate` on, leases are for the new version. A lease for the old one was asked for
-//! before `Activate`, and is short: so it ends within `switch_bound_ms` of the first admission under the new version.
+//! **Rollout.** A change passes through [`Command::Propose`] (members validate it), [`Command::Commit`] and
+//! [`Command::Activate`]. Leases that are granted between `Commit` and `Activate` are still for the old version but
+//! *short*, that is, shorter than `switch_bound_ms`. A short lease replaces the long lease of its holder. The leader
+//! proposes `Activate` once every member has confirmed a short lease, or once every long lease must have expired.
+//! Leases that are granted after `Activate` are for the new version. When `Activate` is committed, every remaining
+//! lease for the old version is short and was requested before that time. It therefore expires within `switch_bound_ms`
+//! of the first admission under the new version.
 //!
 //! All times are in milliseconds.
 
@@ -44,5 +48,5 @@
 };
 pub use timings::PolicyTimings;
 
-/// A version of the policy; 0 is the empty one that a fleet is bootstrapped with.
+/// A policy version. Version 0 is the empty policy of a newly bootstrapped fleet; each activation increments it by 1.
 pub type Version = u64;
--- a/crates/policy/src/rollout/progress.rs
+++ b/crates/policy/src/rollout/progress.rs
@@ -1,4 +1,4 @@
-//! How far the change under way is, as its leader has seen it, and the next step that is to be committed.
+//! The leader's view of the pending change, from which it decides which command to propose next.
 
 use super::message::{LeaseKind, PollRequest, ValidationError};
 use super::state::{Command, RolloutState};
@@ -6,35 +6,35 @@
 use beamgap_fleet_types::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pause before the next step of a change is proposed again, in milliseconds.
+/// Minimum interval between two proposals for the same step of a change, in milliseconds.
 const STEP_RETRY_MS: f64 = 200.0;
 
-/// The change under way.
+/// The pending change as observed by this leader.
 #[derive(Clone, Debug, PartialEq)]
 struct TrackedChange {
     id: String,
     first_seen_at: f64,
-    /// When it was first seen to be committed.
+    /// When this leader first observed that the change was committed, in milliseconds.
     committed_at: Option<f64>,
 }
 
-/// Progress of the change under way, if there is one.
+/// Progress of the pending change, if there is one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct RolloutProgress {
     change: Option<TrackedChange>,
-    /// What members found in the change.
+    /// Validation errors by member; an empty list means that the member can apply the change.
     validations: BTreeMap<MemberId, Vec<ValidationError>>,
-    /// Members that are known to hold a short lease, and so no long one.
+    /// Members that have confirmed a short lease, which replaced their long lease.
     short_leases: BTreeSet<MemberId>,
-    /// When a step of the change was last proposed.
+    /// When the current step of the change was last proposed, in milliseconds.
     step_proposed_at: Option<f64>,
 }
 
 impl RolloutProgress {
-    /// Follows the replicated state.
+    /// Updates the progress from the replicated state; resets it when another change becomes pending.
     pub(super) fn track(&mut self, now: f64, pending: Option<&PendingChange>) {
         let Some(pending) = pending else {
-            self.track_no_change();
+            self.reset();
             return;
         };
         let tracked = self
@@ -58,7 +58,7 @@
         self.step_proposed_at = None;
     }
 
-    fn track_no_change(&mut self) {
+    fn reset(&mut self) {
         if self.change.take().is_some() {
             self.step_proposed_at = None;
         }
@@ -66,7 +66,7 @@
         self.short_leases.clear();
     }
 
-    /// Records what a poll tells of the member's part in the change.
+    /// Records the validation report and the kind of lease that a member's poll contains.
     pub(super) fn record_poll(&mut self, pending: &PendingChange, request: &PollRequest) {
         if let Some(report) = &request.validation {
             if report.change_id == pending.id {
@@ -74,7 +74,7 @@
                     .insert(request.member.clone(), report.errors.clone());
             }
         }
-        // It accepted the short lease, which replaced the long one, before it sent this poll.
+        // The member reports a short lease only after that lease has replaced its long lease.
         let has_short_lease = matches!(
             &request.lease_kind,
             Some(LeaseKind::Short(change)) if *change == pending.id
@@ -84,13 +84,15 @@
         }
     }
 
-    /// Whether the member has reported what it found in the change.
+    /// Whether the leader has received a validation report for the change from this member.
     pub(super) fn has_validated(&self, member: &MemberId) -> bool {
         self.validations.contains_key(member)
     }
 
-    /// The next step, unless it was proposed a moment ago. It is repeated later: a proposal may have been lost with a
-    /// leader.
+    /// The command that the leader should propose next for the change, if any.
+    ///
+    /// The same step is proposed at most once every [`STEP_RETRY_MS`]. Proposals are repeated until the replicated
+    /// state reflects the step, because a proposal is lost if the leader fails before replicating it.
     pub(super) fn next_step(
         &mut self,
         now: f64,
@@ -128,18 +130,18 @@
         &self,
         id: String,
         state: &RolloutState,
-        is_time_over: bool,
+        validation_time_is_over: bool,
     ) -> Option<Command> {
         let errors: Vec<ValidationError> = self.validations.values().flatten().cloned().collect();
         if !errors.is_empty() {
             return Some(Command::Reject { id, errors });
         }
-        // A member that is down has no veto; one at least must have validated the change.
+        // An unreachable member must not block the change, but at least one member must have validated it.
         let all_validated = state
             .members
             .keys()
             .all(|member| self.validations.contains_key(member));
-        if (all_validated || is_time_over) && !self.validations.is_empty() {
+        if (all_validated || validation_time_is_over) && !self.validations.is_empty() {
             Some(Command::Commit { id })
         } else {
             None
--- a/crates/policy/src/rollout/state.rs
+++ b/crates/policy/src/rollout/state.rs
@@ -1,7 +1,7 @@
-//! The replicated state: members, the active version, the change under way, what became of earlier changes.
+//! The replicated state of the fleet's policy: members, the active version, the pending change and past outcomes.
 //!
-//! Commands come in the order of the log, and give the same state everywhere. A command that does not fit the state
-//! changes nothing: it was overtaken by another.
+//! Every replica applies the same commands in log order and reaches the same state. A command that is not valid in the
+//! current state, for example because an earlier command finished the change, has no effect.
 
 use super::change::{ChangeOutcome, ChangeRecord, ChangeRequest, PendingChange, ProposalError};
 use super::message::ValidationError;
@@ -11,103 +11,104 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most members.
+/// Maximum number of members in a fleet. Further joins are ignored.
 pub const MAX_MEMBERS: usize = 1000;
-/// Most changes whose outcome is kept; the oldest are dropped.
+/// Maximum number of finished changes in the history. The oldest are dropped first.
 pub const MAX_CHANGE_RECORDS: usize = 256;
-/// Most versions whose text is kept, to go back to.
+/// Maximum number of versions, including the active one, whose policy text is stored. The oldest are dropped first.
 pub const MAX_KEPT_VERSIONS: usize = 32;
-/// Most errors kept of a change that was rejected.
+/// Maximum number of errors that are stored for a rejected change.
 pub const MAX_VALIDATION_ERRORS: usize = 50;
-/// The policy of a fleet that has just been bootstrapped.
+/// The policy text of version 0, which is active in a newly bootstrapped fleet.
 pub const EMPTY_POLICY: &str = "form = 1\n";
 
-/// Stands for a member's name where the fleet itself rejects a change. Stored data holds it.
+/// Reported as [`ValidationError::member`] when the replicated state machine itself rejects a change. The text is part
+/// of stored data and must not change.
 const FLEET_AS_MEMBER: &str = "council";
 
-/// An entry of the replicated log.
+/// A command in the replicated log.
 ///
-/// The encoded form is positional (postcard): the order of variants and fields is stored data.
+/// The postcard encoding is positional, so the order of variants and fields is part of the storage format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Sets the fleet's timings, once.
+    /// Sets the fleet's timings. Has no effect if they are already set.
     Bootstrap(PolicyTimings),
-    /// This incarnation of a member may be granted leases from now on.
+    /// Adds an incarnation of a member, which may be granted leases from then on.
     Join {
-        /// The member.
+        /// The member to add.
         member: MemberId,
-        /// The latest format version of policies that it reads.
+        /// Newest policy format version that the member supports.
         format_version: u64,
     },
-    /// This incarnation of a member holds no lease any more.
+    /// Removes an incarnation of a member, all of whose leases have expired.
     Leave {
-        /// The member.
+        /// The member to remove.
         member: MemberId,
     },
-    /// A change is asked for.
+    /// Proposes a policy change, which becomes pending or is rejected with a [`ProposalError`].
     Propose(ChangeRequest),
-    /// Members can't use the change.
+    /// Rejects the pending change because members reported errors. Has no effect once the change is committed.
     Reject {
-        /// Which change.
+        /// Id of the change.
         id: String,
-        /// Why.
+        /// The errors that members reported.
         errors: Vec<ValidationError>,
     },
-    /// An operator withdraws the change. Without effect once it is committed.
+    /// Withdraws the pending change for an operator. Has no effect once the change is committed.
     Withdraw {
-        /// Which change.
+        /// Id of the change.
         id: String,
     },
-    /// The change will become active.
+    /// Commits the pending change, after which it can no longer be rejected or withdrawn.
     Commit {
-        /// Which change.
+        /// Id of the change.
         id: String,
     },
-    /// The change is active.
+    /// Activates the committed change as the next version.
     Activate {
-        /// Which change.
+        /// Id of the change.
         id: String,
     },
 }
 
-/// A version whose text is kept.
+/// A policy version with its text.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyRevision {
-    /// Its number.
+    /// The version number.
     pub version: Version,
-    /// The policy's text.
+    /// Text of the policy.
     pub policy_text: String,
 }
 
-/// The replicated state of a fleet's policy. Its encoded form is stored in snapshots.
+/// The replicated state of a fleet's policy. Snapshots contain its encoded form.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutState {
-    /// The fleet's timings; none before it is bootstrapped.
+    /// The fleet's timings; `None` until the fleet is bootstrapped.
     pub timings: Option<PolicyTimings>,
-    /// Members with the latest format version of policies that each reads.
+    /// The members, each with the newest policy format version that it supports.
     pub members: BTreeMap<MemberId, u64>,
-    /// Versions whose text is kept; the last is the active one.
+    /// The stored versions, oldest first. The last one is active; if there is none, the active version is 0.
     pub revisions: VecDeque<PolicyRevision>,
-    /// The change under way.
+    /// The pending change, if any.
     pub pending: Option<PendingChange>,
-    /// What became of changes, oldest first.
+    /// Finished changes with their outcomes, oldest first.
     pub history: VecDeque<ChangeRecord>,
 }
 
 impl RolloutState {
-    /// The active version.
+    /// The number of the active version.
     pub fn version(&self) -> Version {
         self.revisions.back().map_or(0, |revision| revision.version)
     }
 
-    /// The text of the active version.
+    /// The policy text of the active version.
     pub fn policy_text(&self) -> &str {
         self.revisions
             .back()
             .map_or(EMPTY_POLICY, |revision| &revision.policy_text)
     }
 
-    /// What became of a change, if it is known.
+    /// The state or final outcome of a change; `None` if the change is unknown or was dropped from the history.
     pub fn outcome(&self, id: &str) -> Option<ChangeOutcome> {
         match &self.pending {
             Some(pending) if pending.id == id && pending.committed => {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Applies a command.
+    /// Applies a command from the log. Commands that are not valid in the current state have no effect.
     pub fn apply(&mut self, command: &Command) {
         match command {
             Command::Bootstrap(timings) => {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// The text that a change would make active.
+    /// The policy text that the requested change would activate.
     fn proposed_text(&self, request: &ChangeRequest) -> Result<String, ProposalError> {
         if let Some(pending) = &self.pending {
             return Err(ProposalError::ChangeUnderWay {
@@ -198,12 +199,12 @@
         match &request.policy_text {
             Some(text) if text.len() > MAX_TEXT_LENGTH => Err(ProposalError::TooLong),
             Some(text) => Ok(text.clone()),
-            None => self.earlier_text().ok_or(ProposalError::NoEarlierVersion),
+            None => self.previous_text().ok_or(ProposalError::NoEarlierVersion),
         }
     }
 
-    /// The text of the version before the active one, if it is kept.
-    fn earlier_text(&self) -> Option<String> {
+    /// The policy text of the version before the active one; `None` if it is not stored or does not exist.
+    fn previous_text(&self) -> Option<String> {
         if let Some(index) = self.revisions.len().checked_sub(2) {
             return self
                 .revisions
--- a/crates/policy/src/rollout/timings.rs
+++ b/crates/policy/src/rollout/timings.rs
@@ -1,21 +1,23 @@
-//! How long leases and steps of a rollout last.
+//! Durations of leases and of the steps of a rollout.
 
 use beamgap_fleet_types::clock;
 use serde::{Deserialize, Serialize};
 
-/// Part of the switch bound that a short lease lasts; the rest is for the response on its way.
+/// Length of a short lease as a fraction of the switch bound. The rest of the bound is reserved for the time that a
+/// response is in transit.
 const SHORT_LEASE_FRACTION: f64 = 0.8;
 
-/// A fleet's timings, the same for all members. In milliseconds.
+/// Timings that are the same for all members of a fleet. All durations are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyTimings {
-    /// From the first admission under a new version to the last under the old one, at most.
+    /// Maximum time from the first admission under a new version to the last admission under the old one.
     pub switch_bound_ms: f64,
-    /// How long a lease lasts while no change is committed and not yet active.
+    /// Length of a long lease, which is granted unless a committed change is awaiting activation.
     pub lease_ms: f64,
-    /// How long members have to validate a change.
+    /// Time that members have to validate a proposed change. Afterwards, the change is committed without the missing
+    /// reports if at least one member has validated it and none has reported an error.
     pub validation_ms: f64,
-    /// By what fraction clocks may run apart from real time.
+    /// Maximum clock drift as a fraction: a clock may run at 1 - `max_drift` to 1 + `max_drift` times real time.
     pub max_drift: f64,
 }
 
@@ -31,12 +33,14 @@
 }
 
 impl PolicyTimings {
-    /// Length of a short lease as granted: its holder takes the drift off, so that it ends in time by any clock.
+    /// Length of a short lease as granted by the leader, in milliseconds. The holder subtracts the maximum clock drift,
+    /// so that the lease expires in time even if its clock runs slow.
     pub fn short_lease_ms(&self) -> f64 {
         SHORT_LEASE_FRACTION * self.switch_bound_ms
     }
 
-    /// After this time on any clock within the drift, a long lease granted before has expired at its holder.
+    /// Time in milliseconds after which a long lease has expired at its holder, as measured by any clock within the
+    /// maximum drift from the moment of the grant or later.
     pub fn long_leases_expired_after_ms(&self) -> f64 {
         clock::expired_everywhere_after(self.lease_ms, self.max_drift)
     }
