--- a/crates/policy/examples/record_replay.rs
+++ b/crates/policy/examples/record_replay.rs
@@ -1,5 +1,6 @@
-//! Writes the recording that `tests/replay.rs` compares with: only where the recorded world itself changes.
+//! Regenerates the recordings with which `tests/replay.rs` compares the simulation's output.
 //!
+//! Run it only after an intended change to the simulation in `tests/common`, never to make a failing test pass:
 //! `cargo run -p beamgap-policy --example record_replay`
 
 #[path = "../tests/common/mod.rs"]
--- a/crates/policy/tests/common/encoding.rs
+++ b/crates/policy/tests/common/encoding.rs
@@ -1,25 +1,25 @@
-//! The output of a step as bytes.
+//! Encodes the output of a simulation step and hashes it.
 
 use beamgap_policy::rollout::{MemberAction, PolicyLeader, PolicyMember};
 
 use beamgap_policy::rules::{Rejection, RequestLimits};
 use serde::Serialize;
 
-/// Bytes of one step.
+/// Encoded output of one simulation step.
 #[derive(Default)]
 pub struct Encoding {
     bytes: Vec<u8>,
 }
 
 impl Encoding {
-    /// Appends a serializable value behind a tag.
+    /// Appends a tag byte and the postcard encoding of a value.
     pub fn put<T: Serialize>(&mut self, tag: u8, value: &T) {
         self.bytes.push(tag);
         self.bytes
             .extend(postcard::to_stdvec(value).expect("every value has an encoding"));
     }
 
-    /// Appends what a member is to do.
+    /// Appends an action that a member must carry out.
     pub fn put_action(&mut self, action: &MemberAction) {
         match action {
             MemberAction::Activate {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Appends what a member shows of itself.
+    /// Appends the publicly visible state of a member at time `now` by its clock.
     pub fn put_member(&mut self, now: f64, member: &PolicyMember) {
         self.put(
             0x10,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Appends what a leader shows of itself.
+    /// Appends the publicly visible state of the leader.
     pub fn put_leader(&mut self, leader: &PolicyLeader) {
         self.put(0x20, &leader.is_leader());
         for (member, status) in leader.member_statuses() {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Appends whether a request came in.
+    /// Appends the result of an admission decision.
     pub fn put_admission(&mut self, admission: &Result<RequestLimits, Rejection>) {
         match admission {
             Ok(limits) => self.put(0x30, &(limits.max_attempts, limits.deadline_ms)),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The line that is recorded: a hash (FNV-1a, folded to 32 bits).
+    /// The recorded line for this step: the 64-bit FNV-1a hash of the output, folded to 32 bits, in hexadecimal.
     pub fn line(&self) -> String {
         let hash = self
             .bytes
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A seeded closed loop of leader, members and agreed state on a set clock, and its output as one hash a step.
+//! A seeded simulation of the leader, the members and the replicated state, which outputs one hash per step.
 //!
-//! The output is encoded with postcard and fixed tags, so that no name of the program is part of it. The random
-//! numbers come from a generator of its own: the same seed always gives the same run.
+//! The hashed output is encoded with postcard and fixed tags, so it does not depend on the names of types and fields.
+//! The simulation has its own random number generator and clock, so a seed always produces the same run.
 
 pub mod encoding;
 pub mod random;
@@ -10,12 +10,12 @@
 use std::path::PathBuf;
 use world::World;
 
-/// Steps of each recorded run.
+/// Number of steps in each recorded run.
 pub const STEPS: usize = 3000;
-/// Seeds of the recorded runs.
+/// Random seeds of the recorded runs.
 pub const SEEDS: [u64; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
 
-/// The file with the recorded lines of a seed.
+/// Path of the recording for a seed, which has one line per step.
 pub fn recording_path(seed: u64) -> PathBuf {
     let file = format!("policy-seed-{seed}.txt");
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -24,7 +24,7 @@
         .join(file)
 }
 
-/// Runs the world of a seed: one line a step.
+/// Runs the simulation for a seed. Returns the output, one line per step, and the final state of the simulation.
 pub fn run(seed: u64) -> (Vec<String>, World) {
     let mut world = World::new(seed);
     let lines = (0..STEPS).map(|_| world.step()).collect();
--- a/crates/policy/tests/common/random.rs
+++ b/crates/policy/tests/common/random.rs
@@ -1,6 +1,6 @@
-//! The recording's own random numbers.
+//! The random number generator of the simulation. Any change to its sequence invalidates the recordings.
 
-/// SplitMix64 (Steele, Lea and Flood, 2014).
+/// The SplitMix64 generator (Steele, Lea and Flood, 2014).
 pub struct Random {
     state: u64,
 }
@@ -18,12 +18,12 @@
         z ^ (z >> 31)
     }
 
-    /// A number below `bound`.
+    /// Returns a pseudorandom number from 0 to `bound - 1`.
     pub fn below(&mut self, bound: usize) -> usize {
         (self.next() % bound as u64) as usize
     }
 
-    /// True once in `times` on average.
+    /// Returns true with probability 1 / `times`.
     pub fn one_in(&mut self, times: usize) -> bool {
         self.below(times) == 0
     }
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! The world that is recorded: a leader, members that fail, a log that loses commands, operators.
+//! The recorded simulation: a leader, members that fail, a log that loses commands, and operators.
 
 mod disturbances;
 
@@ -12,48 +12,56 @@
 };
 use beamgap_policy::rules::{AdmissionMeter, CompiledPolicy};
 
+/// Number of simulated members.
 const MEMBERS: usize = 5;
 const CLASSES: [&str; 3] = ["lookup", "report", "batch"];
 const ACCOUNTS: [&str; 3] = ["leinster", "munster", "ulster"];
-const RULES: &str = "form = 1\nadmission {\n  open_most = 40\n}\nclass \"lookup\" {\n  rate = 30\n  attempts = 2\n}\n\
+const POLICY_TEXT: &str = "form = 1\nadmission {\n  open_most = 40\n}\nclass \"lookup\" {\n  rate = 30\n  attempts = 2\n}\n\
     class \"batch\" {\n  refused = true\n}\naccount \"leinster\" {\n  share = \"30%\"\n}\nzone \"a\" {\n  weight = \"60%\"\n}\n\
     engine \"e-3\" {\n  left_out = true\n}\n";
 
-/// How often something happened in a run.
+/// Number of occurrences of each event in a run, by which tests check that a run covers it.
 #[derive(Default)]
 pub struct Counts {
-    pub active: usize,
-    pub rejected: usize,
-    pub withdrawn: usize,
+    pub activated_changes: usize,
+    pub rejected_changes: usize,
+    pub withdrawn_changes: usize,
     pub leaderships: usize,
     pub restarts: usize,
     pub removals: usize,
-    pub unusable: usize,
-    pub admitted: usize,
-    pub refused: usize,
+    pub failed_activations: usize,
+    pub admitted_requests: usize,
+    pub rejected_requests: usize,
     pub last_version: u64,
 }
 
+/// A simulated front end with its network queue and its clock.
 struct Member {
     machine: PolicyMember,
     incarnation: u64,
-    rate: f64,
+    /// Speed of the member's clock relative to the simulated time.
+    clock_rate: f64,
+    /// Time until which the member sends no polls, in milliseconds.
     silent_until: f64,
+    /// Responses in transit to the member.
     responses: Vec<PollResponse>,
-    /// Actions that are not done yet.
-    todo: Vec<MemberAction>,
+    /// Actions that the member has not carried out yet.
+    pending_actions: Vec<MemberAction>,
 }
 
+/// State of the simulation. Times are in milliseconds.
 pub struct World {
     random: Random,
     now: f64,
     state: RolloutState,
     leader: PolicyLeader,
     injected_bug: InjectedBug,
-    /// Few failures and many changes: so many versions that old ones are dropped.
-    calm: bool,
+    /// Whether failures are rare and changes frequent, so that the number of versions exceeds the number stored.
+    few_failures: bool,
     members: Vec<Member>,
-    requests: Vec<(usize, PollRequest)>,
+    /// Polls in transit to the leader, each with the index of the sending member.
+    polls_in_transit: Vec<(usize, PollRequest)>,
+    /// Commands that have been proposed but not applied to the replicated state.
     uncommitted: Vec<Command>,
     proposed: usize,
     steps: usize,
@@ -64,7 +72,7 @@
 
 impl World {
     pub fn new(seed: u64) -> World {
-        // The last seeds run with a bug injected: its code is recorded as well.
+        // The last three seeds inject bugs, so that the recordings cover the code paths of injected bugs too.
         let injected_bug = match seed {
             6 => InjectedBug::EarlyActivation,
             7 => InjectedBug::NoCatchUp,
@@ -75,24 +83,26 @@
         let members = (0..MEMBERS).map(|m| Member {
             machine: PolicyMember::new(MemberId::new(format!("m{m}"), 0), 1, injected_bug),
             incarnation: 0,
-            rate: 0.96 + 0.01 * random.below(9) as f64,
+            clock_rate: 0.96 + 0.01 * random.below(9) as f64,
             silent_until: 0.0,
             responses: Vec::new(),
-            todo: Vec::new(),
+            pending_actions: Vec::new(),
         });
         let members = members.collect();
         let classes: Vec<String> = CLASSES.iter().map(|class| (*class).to_owned()).collect();
-        let policy =
-            CompiledPolicy::new(parse("policy", RULES).expect("a policy").policy, &classes);
+        let policy = CompiledPolicy::new(
+            parse("policy", POLICY_TEXT).expect("a policy").policy,
+            &classes,
+        );
         World {
             random,
             now: 0.0,
             state: RolloutState::default(),
             leader: PolicyLeader::with_injected_bug(injected_bug),
             injected_bug,
-            calm: matches!(seed, 4 | 5),
+            few_failures: matches!(seed, 4 | 5),
             members,
-            requests: Vec::new(),
+            polls_in_transit: Vec::new(),
             uncommitted: Vec::new(),
             proposed: 0,
             steps: 0,
@@ -102,22 +112,22 @@
         }
     }
 
-    /// Lets a little time pass; gives the hash of all that came out.
+    /// Runs one step, which advances the time by less than 25 ms except for rare jumps. Returns the hash of its output.
     pub fn step(&mut self) -> String {
         let mut out = Encoding::default();
         self.steps += 1;
         self.now += self.random.below(25) as f64 + 0.125;
-        if !self.calm && self.random.one_in(400) {
+        if !self.few_failures && self.random.one_in(400) {
             self.now += self.random.below(3000) as f64;
         }
-        self.operate();
-        self.disturb();
-        self.crowd(&mut out);
+        self.submit_operator_commands();
+        self.inject_failures();
+        self.exceed_member_limit(&mut out);
         self.tick(&mut out);
         self.poll(&mut out);
         self.respond(&mut out);
         self.receive(&mut out);
-        self.act(&mut out);
+        self.perform_actions(&mut out);
         self.commit(&mut out);
         self.admit(&mut out);
         self.observe(&mut out);
@@ -133,6 +143,7 @@
         }
     }
 
+    /// Lets the leader propose commands, in a third of the steps on average.
     fn tick(&mut self, out: &mut Encoding) {
         if self.random.one_in(3) {
             let commands = self.leader.tick(self.now, &self.state);
@@ -147,29 +158,31 @@
         }
     }
 
+    /// Lets members send their due polls, some of which are lost, failed or duplicated. Also adds polls from processes
+    /// that are not members.
     fn poll(&mut self, out: &mut Encoding) {
         for m in 0..MEMBERS {
             let member = &mut self.members[m];
             if self.now < member.silent_until {
                 continue;
             }
-            let own = self.now * member.rate;
-            let note = format!("admitted={}", self.counts.admitted);
-            let Some(request) = member.machine.poll_request(own, &note) else {
+            let local_now = self.now * member.clock_rate;
+            let note = format!("admitted={}", self.counts.admitted_requests);
+            let Some(request) = member.machine.poll_request(local_now, &note) else {
                 continue;
             };
             out.put(0x50, &request);
-            match self.random.below(if self.calm { 200 } else { 20 }) {
+            match self.random.below(if self.few_failures { 200 } else { 20 }) {
                 0 => {}
                 1 => {
-                    member.machine.poll_failed(own, request.sequence);
-                    member.machine.poll_failed(own, request.sequence);
+                    member.machine.poll_failed(local_now, request.sequence);
+                    member.machine.poll_failed(local_now, request.sequence);
                 }
                 2 => {
-                    self.requests.push((m, request.clone()));
-                    self.requests.push((m, request));
+                    self.polls_in_transit.push((m, request.clone()));
+                    self.polls_in_transit.push((m, request));
                 }
-                _ => self.requests.push((m, request)),
+                _ => self.polls_in_transit.push((m, request)),
             }
         }
         if self.random.one_in(150) {
@@ -180,23 +193,27 @@
             };
             let request = PolicyMember::new(MemberId::new(name, 9), 1, self.injected_bug)
                 .poll_request(self.now, "");
-            self.requests.extend(request.map(|request| (0, request)));
+            self.polls_in_transit
+                .extend(request.map(|request| (0, request)));
         }
     }
 
+    /// Lets the leader answer polls in random order. Some responses are lost or duplicated.
     fn respond(&mut self, out: &mut Encoding) {
-        while !self.requests.is_empty() && !self.random.one_in(4) {
-            let i = self.random.below(self.requests.len());
-            let (m, request) = self.requests.remove(i);
+        while !self.polls_in_transit.is_empty() && !self.random.one_in(4) {
+            let i = self.random.below(self.polls_in_transit.len());
+            let (m, request) = self.polls_in_transit.remove(i);
             if !self.leader.is_leader() {
-                let own = self.now * self.members[m].rate;
-                self.members[m].machine.poll_failed(own, request.sequence);
+                let local_now = self.now * self.members[m].clock_rate;
+                self.members[m]
+                    .machine
+                    .poll_failed(local_now, request.sequence);
                 continue;
             }
             let (response, commands) = self.leader.handle_poll(self.now, &self.state, &request);
             out.put(0x51, &response);
             self.submit(out, commands);
-            let copies = match self.random.below(if self.calm { 200 } else { 20 }) {
+            let copies = match self.random.below(if self.few_failures { 200 } else { 20 }) {
                 0 => 0,
                 1 => 2,
                 _ => 1,
@@ -207,30 +224,32 @@
         }
     }
 
+    /// Delivers responses to members in random order.
     fn receive(&mut self, out: &mut Encoding) {
         for m in 0..MEMBERS {
-            let own = self.now * self.members[m].rate;
+            let local_now = self.now * self.members[m].clock_rate;
             while !self.members[m].responses.is_empty() && !self.random.one_in(3) {
                 let i = self.random.below(self.members[m].responses.len());
                 let response = self.members[m].responses.remove(i);
-                let actions = self.members[m].machine.handle_response(own, response);
+                let actions = self.members[m].machine.handle_response(local_now, response);
                 for action in actions {
                     out.put_action(&action);
-                    self.members[m].todo.push(action);
+                    self.members[m].pending_actions.push(action);
                 }
             }
         }
     }
 
-    fn act(&mut self, out: &mut Encoding) {
+    /// Lets members carry out pending actions. Some activations and validations fail.
+    fn perform_actions(&mut self, out: &mut Encoding) {
         for m in 0..MEMBERS {
-            let own = self.now * self.members[m].rate;
-            while !self.members[m].todo.is_empty() && !self.random.one_in(4) {
+            let local_now = self.now * self.members[m].clock_rate;
+            while !self.members[m].pending_actions.is_empty() && !self.random.one_in(4) {
                 let member = &mut self.members[m];
-                match member.todo.remove(0) {
+                match member.pending_actions.remove(0) {
                     MemberAction::Activate { version, .. } => {
                         let unusable = self.random.one_in(25);
-                        self.counts.unusable += usize::from(unusable);
+                        self.counts.failed_activations += usize::from(unusable);
                         if unusable {
                             member
                                 .machine
@@ -244,12 +263,13 @@
                             member: format!("m{m}"),
                             message: "line 1".to_owned(),
                         };
-                        let errors = if self.random.one_in(if self.calm { 100 } else { 15 }) {
+                        let errors = if self.random.one_in(if self.few_failures { 100 } else { 15 })
+                        {
                             vec![error]
                         } else {
                             Vec::new()
                         };
-                        member.machine.validated(own, &change.id, errors);
+                        member.machine.validated(local_now, &change.id, errors);
                     }
                 }
                 out.put(0x60, &m);
@@ -257,6 +277,7 @@
         }
     }
 
+    /// Applies proposed commands in order, except for some that are lost, and counts the outcomes of changes.
     fn commit(&mut self, out: &mut Encoding) {
         while !self.uncommitted.is_empty() && !self.random.one_in(5) {
             let command = self.uncommitted.remove(0);
@@ -268,9 +289,9 @@
             self.state.apply(&command);
             if self.state.history.back() != last.as_ref() {
                 match self.state.history.back().map(|record| &record.outcome) {
-                    Some(ChangeOutcome::Active(_)) => self.counts.active += 1,
-                    Some(ChangeOutcome::Rejected(_)) => self.counts.rejected += 1,
-                    Some(ChangeOutcome::Withdrawn) => self.counts.withdrawn += 1,
+                    Some(ChangeOutcome::Active(_)) => self.counts.activated_changes += 1,
+                    Some(ChangeOutcome::Rejected(_)) => self.counts.rejected_changes += 1,
+                    Some(ChangeOutcome::Withdrawn) => self.counts.withdrawn_changes += 1,
                     _ => {}
                 }
             }
@@ -278,17 +299,17 @@
         }
     }
 
-    /// Requests come to the first member's rules.
+    /// Passes up to two client requests to the admission meter and looks up one engine in the policy.
     fn admit(&mut self, out: &mut Encoding) {
         for _ in 0..self.random.below(3) {
             let class = self.random.below(CLASSES.len() + 1);
             let account = ACCOUNTS.get(self.random.below(ACCOUNTS.len() + 1)).copied();
-            let open = self.random.below(42);
+            let in_flight = self.random.below(42);
             let admission = self
                 .meter
-                .admit(self.now, &self.policy, class, account, open);
-            self.counts.admitted += usize::from(admission.is_ok());
-            self.counts.refused += usize::from(admission.is_err());
+                .admit(self.now, &self.policy, class, account, in_flight);
+            self.counts.admitted_requests += usize::from(admission.is_ok());
+            self.counts.rejected_requests += usize::from(admission.is_err());
             out.put_admission(&admission);
         }
         let engine = format!("e-{}", self.random.below(50));
@@ -301,6 +322,7 @@
         );
     }
 
+    /// Adds the visible state of the simulation to the output.
     fn observe(&mut self, out: &mut Encoding) {
         self.counts.last_version = self.state.version();
         out.put(0x80, &self.state);
@@ -310,7 +332,7 @@
         out.put(0x82, &outcome.as_ref().map(ChangeOutcome::is_final));
         out.put(0x83, &outcome);
         for member in &self.members {
-            out.put_member(self.now * member.rate, &member.machine);
+            out.put_member(self.now * member.clock_rate, &member.machine);
         }
         out.put_leader(&self.leader);
     }
--- a/crates/policy/tests/common/world/disturbances.rs
+++ b/crates/policy/tests/common/world/disturbances.rs
@@ -1,4 +1,4 @@
-//! What operators and failures do to the recorded world.
+//! Operator commands and failures in the recorded simulation.
 
 use super::{World, MEMBERS};
 use crate::common::encoding::Encoding;
@@ -7,24 +7,24 @@
 use beamgap_policy::rollout::{ChangeRequest, Command, PolicyMember, ValidationError};
 
 impl World {
-    /// Operators ask for changes, also for such as can't be.
-    pub(super) fn operate(&mut self) {
+    /// Submits random operator commands, both valid and invalid, and random commands of an outdated leader.
+    pub(super) fn submit_operator_commands(&mut self) {
         if self.steps == 3 || self.random.one_in(500) {
             let timings = self.timings();
             self.state.apply(&Command::Bootstrap(timings));
         }
-        let interval = if self.calm { 8 } else { 45 };
+        let interval = if self.few_failures { 8 } else { 45 };
         if self.random.one_in(interval) {
-            let change = self.change();
+            let change = self.random_change();
             self.uncommitted.push(Command::Propose(change));
         }
         if self.random.one_in(600) {
             for _ in 0..40 {
-                let change = self.change();
+                let change = self.random_change();
                 self.uncommitted.push(Command::Propose(change));
             }
         }
-        if self.calm && !self.random.one_in(10) {
+        if self.few_failures && !self.random.one_in(10) {
             return;
         }
         let id = format!("c{}", self.proposed.saturating_sub(self.random.below(2)));
@@ -46,9 +46,10 @@
         }
     }
 
-    fn change(&mut self) -> ChangeRequest {
+    /// Creates a change request, which may have a duplicate or invalid id, an oversized text or a wrong base version.
+    fn random_change(&mut self) -> ChangeRequest {
         self.proposed += 1;
-        if self.calm && !self.random.one_in(6) {
+        if self.few_failures && !self.random.one_in(6) {
             let policy_text = Some(format!("form = 1 # {}\n", self.proposed));
             let id = format!("c{}", self.proposed);
             return ChangeRequest {
@@ -86,9 +87,13 @@
         }
     }
 
-    /// Leaders change, members restart, fall silent, are taken off; strangers come.
-    pub(super) fn disturb(&mut self) {
-        if self.steps == 1 || self.random.one_in(if self.calm { 1500 } else { 250 }) {
+    /// Injects random failures: leader changes, and restarts, silences, removals and early polls of members.
+    pub(super) fn inject_failures(&mut self) {
+        if self.steps == 1
+            || self
+                .random
+                .one_in(if self.few_failures { 1500 } else { 250 })
+        {
             self.leader
                 .set_leadership(self.now, !self.leader.is_leader());
             self.uncommitted.clear();
@@ -97,7 +102,7 @@
             self.leader.set_leadership(self.now, true);
             self.counts.leaderships += 1;
         }
-        if self.calm {
+        if self.few_failures {
             return;
         }
         let m = self.random.below(MEMBERS);
@@ -110,7 +115,7 @@
                 self.injected_bug,
             );
             member.responses.clear();
-            member.todo.clear();
+            member.pending_actions.clear();
             self.counts.restarts += 1;
         }
         if self.random.one_in(200) {
@@ -124,13 +129,13 @@
             self.uncommitted.push(Command::Leave { member });
         }
         if self.random.one_in(60) {
-            let own = self.now * self.members[m].rate;
-            self.members[m].machine.poll_no_later_than(own);
+            let local_now = self.now * self.members[m].clock_rate;
+            self.members[m].machine.poll_no_later_than(local_now);
         }
     }
 
-    /// More members join than a fleet takes.
-    pub(super) fn crowd(&mut self, out: &mut Encoding) {
+    /// Proposes more joins than a fleet accepts at step 2450, then removes the members that were accepted.
+    pub(super) fn exceed_member_limit(&mut self, out: &mut Encoding) {
         if self.steps == 2450 {
             for n in 0..1010 {
                 self.state.apply(&Command::Join {
--- a/crates/policy/tests/document.rs
+++ b/crates/policy/tests/document.rs
@@ -1,4 +1,4 @@
-//! Policies as documents: read, checked, compared, and what they say of a request.
+//! Tests of policy documents: parsing, validation, comparison and the evaluation of requests and engines.
 
 use beamgap_policy::diff::diff;
 use beamgap_policy::document::{parse, Policy};
@@ -21,8 +21,8 @@
         .policy
 }
 
-/// A text, and the place, the key and a part of the message of its first problem.
-const TEXTS_WITH_PROBLEMS: [(&str, &str, &str, &str); 9] = [
+/// Invalid policy texts, each with the position and key of its first problem and a part of the message.
+const INVALID_TEXTS: [(&str, &str, &str, &str); 9] = [
     ("class \"lookup\" {}\n", "p.hcl:1:1", "form", "is missing"),
     (
         "form = 2\nwhatever {}\n",
@@ -76,15 +76,18 @@
 
 #[test]
 fn each_problem_names_file_line_key_and_fix() {
-    for (text, place, key, says) in TEXTS_WITH_PROBLEMS {
+    for (text, position, key, message_part) in INVALID_TEXTS {
         let problems = parse_and_validate("p.hcl", text, &known()).expect_err(text);
         let line = problems[0].to_string();
         assert!(
-            line.starts_with(place) && line.contains(key) && line.contains(says),
+            line.starts_with(position) && line.contains(key) && line.contains(message_part),
             "{text}: {line}"
         );
     }
-    assert!(parse("p.hcl", &"#".repeat(70_000)).is_err(), "too long");
+    assert!(
+        parse("p.hcl", &"#".repeat(70_000)).is_err(),
+        "a text above the maximum length is rejected"
+    );
 }
 
 #[test]
@@ -95,9 +98,9 @@
     let c = policy(
         "form = 1\nclass \"report\" {\n  attempts = 3\n}\nengine \"e\" {\n  left_out = true\n}\n",
     );
-    let told: Vec<String> = diff(&a, &c).iter().map(ToString::to_string).collect();
+    let lines: Vec<String> = diff(&a, &c).iter().map(ToString::to_string).collect();
     assert_eq!(
-        told,
+        lines,
         [
             "class \"report\" attempts: 2 -> 3",
             "engine \"e\": in use -> left out"
@@ -108,28 +111,28 @@
 #[test]
 fn requests_are_limited_by_class_rate_and_requests_in_flight() {
     let text = "form = 1\nadmission {\n  open_most = 5\n}\nclass \"report\" {\n  refused = true\n}\nclass \"lookup\" {\n  rate = 10\n  attempts = 2\n  deadline = \"1 s\"\n}\n";
-    let policy_in_use = CompiledPolicy::new(policy(text), &known().classes);
+    let compiled_policy = CompiledPolicy::new(policy(text), &known().classes);
     let mut meter = AdmissionMeter::default();
     assert_eq!(
-        meter.admit(0.0, &policy_in_use, 1, None, 0),
+        meter.admit(0.0, &compiled_policy, 1, None, 0),
         Err(Rejection::ClassRejected)
     );
     assert_eq!(
-        meter.admit(0.0, &policy_in_use, 0, None, 5),
+        meter.admit(0.0, &compiled_policy, 0, None, 5),
         Err(Rejection::TooManyInFlight)
     );
-    let within = (0..100)
+    let admitted = (0..100)
         .filter(|i| {
             meter
-                .admit(f64::from(*i) * 50.0, &policy_in_use, 0, None, 0)
+                .admit(f64::from(*i) * 50.0, &compiled_policy, 0, None, 0)
                 .is_ok()
         })
         .count();
     assert!(
-        (55..=62).contains(&within),
-        "{within} of 100 in five seconds at ten a second, with a second's worth at once"
+        (55..=62).contains(&admitted),
+        "{admitted} of 100 requests admitted in 5 s; the limit is 10 per second with a burst of 10"
     );
-    let limits = meter.admit(9000.0, &policy_in_use, 0, None, 0).unwrap();
+    let limits = meter.admit(9000.0, &compiled_policy, 0, None, 0).unwrap();
     assert_eq!(
         (limits.max_attempts, limits.deadline_ms),
         (Some(2), Some(1000.0))
@@ -138,51 +141,52 @@
 
 #[test]
 fn an_account_is_admitted_up_to_its_share_of_all_requests() {
-    let policy_in_use = CompiledPolicy::new(
+    let compiled_policy = CompiledPolicy::new(
         policy("form = 1\naccount \"leinster\" {\n  share = \"25%\"\n}\n"),
         &known().classes,
     );
-    for (others, share) in [(3, 0.25f64), (1, 0.5), (0, 1.0)] {
-        let (mut meter, mut own) = (AdmissionMeter::default(), 0);
+    for (others, sent_fraction) in [(3, 0.25f64), (1, 0.5), (0, 1.0)] {
+        let (mut meter, mut admitted) = (AdmissionMeter::default(), 0);
         for i in 0..400 {
             let now = f64::from(i) * 10.0;
-            own += usize::from(
+            admitted += usize::from(
                 meter
-                    .admit(now, &policy_in_use, 0, Some("leinster"), 0)
+                    .admit(now, &compiled_policy, 0, Some("leinster"), 0)
                     .is_ok(),
             );
             for _ in 0..others {
                 assert!(meter
-                    .admit(now, &policy_in_use, 0, Some("munster"), 0)
+                    .admit(now, &compiled_policy, 0, Some("munster"), 0)
                     .is_ok());
             }
         }
-        // A quarter of all that asks, whatever part of that it is itself.
-        let least: f64 = 0.25 / share;
-        let part = own as f64 / 400.0;
+        // The account may use a quarter of all requests, whatever fraction of the requests it sends.
+        let limit: f64 = 0.25 / sent_fraction;
+        let admitted_fraction = admitted as f64 / 400.0;
         assert!(
-            (part - least.min(1.0)).abs() < 0.08,
-            "{others} others: {part} of its own, {least} are its share"
+            (admitted_fraction - limit.min(1.0)).abs() < 0.08,
+            "{others} other requests per own request: {admitted_fraction} admitted, expected {limit}"
         );
     }
 }
 
 proptest! {
-    /// A lower weight keeps a part of the engines that a higher one keeps, about as many as it says.
+    /// The engines in use at a lower weight are a subset of those at a higher weight, and about as many engines are in
+    /// use as the weight says.
     #[test]
     fn a_zones_weight_keeps_its_part_of_engines_and_a_lower_one_a_subset(low in 0u32..100, more in 0u32..100) {
         let high = (low + more).min(100);
-        let of = |weight: u32| {
+        let engines_in_use = |weight: u32| {
             let text = format!("form = 1\nzone \"a\" {{\n  weight = \"{weight}%\"\n}}\n");
-            let policy_in_use = CompiledPolicy::new(policy(&text), &[]);
-            (0..400).filter(|i| !policy_in_use.excludes(&format!("s-{i:08x}"), "a")).collect::<std::collections::BTreeSet<_>>()
+            let compiled_policy = CompiledPolicy::new(policy(&text), &[]);
+            (0..400).filter(|i| !compiled_policy.excludes(&format!("s-{i:08x}"), "a")).collect::<std::collections::BTreeSet<_>>()
         };
-        let (kept, all) = (of(low), of(high));
-        prop_assert!(kept.is_subset(&all));
-        prop_assert!((all.len() as f64 / 4.0 - f64::from(high)).abs() < 10.0, "{} of 400 at {high}%", all.len());
+        let (at_low, at_high) = (engines_in_use(low), engines_in_use(high));
+        prop_assert!(at_low.is_subset(&at_high));
+        prop_assert!((at_high.len() as f64 / 4.0 - f64::from(high)).abs() < 10.0, "{} of 400 engines in use at {high}%", at_high.len());
     }
 
-    /// No text brings the reader down, and what it reads it compares as equal to itself.
+    /// The parser never panics, and a parsed policy has no differences from itself.
     #[test]
     fn any_text_is_parsed_or_rejected(text in "(form = [0-9]{1,3}\n)?(class|engine|zone|account|admission)? ?(\"[a-z]{0,5}\")? ?\\{?[ -~\n]{0,80}\\}?") {
         if let Ok(parsed) = parse("p", &text) {
--- a/crates/policy/tests/replay.rs
+++ b/crates/policy/tests/replay.rs
@@ -1,7 +1,8 @@
-//! Leader, members and agreed state of a policy give the output that was recorded of them, step by step.
+//! Compares seeded simulations of the rollout with their recordings, step by step.
 //!
-//! The recording in `tests/recordings` stays as it is; `examples/record_replay.rs` writes one where the world itself
-//! (`tests/common/world.rs`) is changed.
+//! The tests guard against unintended changes of the protocol, of admission and of the encoded messages and state. The
+//! recordings in `tests/recordings` are regenerated with `examples/record_replay.rs` only when the simulation in
+//! `tests/common` changes.
 
 mod common;
 
@@ -14,7 +15,7 @@
         assert_eq!(
             recorded.lines().count(),
             STEPS,
-            "seed {seed}: lines of the recording"
+            "seed {seed}: number of lines in the recording"
         );
         let (lines, _) = run(seed);
         let differing = recorded
@@ -24,7 +25,7 @@
         assert_eq!(
             differing.map(|step| step + 1),
             None,
-            "seed {seed}: the first step that differs"
+            "seed {seed}: first step whose output differs"
         );
     }
 }
@@ -35,40 +36,48 @@
     for seed in SEEDS {
         let (_, world) = run(seed);
         println!(
-            "seed {seed}: version {}, active {}",
-            world.counts.last_version, world.counts.active
+            "seed {seed}: version {}, changes activated {}",
+            world.counts.last_version, world.counts.activated_changes
         );
-        total.active += world.counts.active;
-        total.rejected += world.counts.rejected;
-        total.withdrawn += world.counts.withdrawn;
+        total.activated_changes += world.counts.activated_changes;
+        total.rejected_changes += world.counts.rejected_changes;
+        total.withdrawn_changes += world.counts.withdrawn_changes;
         total.leaderships += world.counts.leaderships;
         total.restarts += world.counts.restarts;
         total.removals += world.counts.removals;
-        total.unusable += world.counts.unusable;
-        total.admitted += world.counts.admitted;
-        total.refused += world.counts.refused;
+        total.failed_activations += world.counts.failed_activations;
+        total.admitted_requests += world.counts.admitted_requests;
+        total.rejected_requests += world.counts.rejected_requests;
         total.last_version = total.last_version.max(world.counts.last_version);
     }
     println!(
-        "active {}, rejected {}, withdrawn {}, leaderships {}, restarts {}, removals {}, unusable {}, admitted {}, refused {}, versions {}",
-        total.active,
-        total.rejected,
-        total.withdrawn,
+        "changes activated {}, rejected {}, withdrawn {}; leaderships {}, restarts {}, removals {}, \
+         failed activations {}; requests admitted {}, rejected {}; versions {}",
+        total.activated_changes,
+        total.rejected_changes,
+        total.withdrawn_changes,
         total.leaderships,
         total.restarts,
         total.removals,
-        total.unusable,
-        total.admitted,
-        total.refused,
+        total.failed_activations,
+        total.admitted_requests,
+        total.rejected_requests,
         total.last_version
     );
-    assert!(total.active >= 100 && total.rejected >= 100 && total.withdrawn >= 20);
+    assert!(
+        total.activated_changes >= 100
+            && total.rejected_changes >= 100
+            && total.withdrawn_changes >= 20
+    );
     assert!(
         total.leaderships >= 50
             && total.restarts >= 20
             && total.removals >= 10
-            && total.unusable >= 10
+            && total.failed_activations >= 10
+    );
+    assert!(
+        total.last_version > 32,
+        "more versions were activated than are stored"
     );
-    assert!(total.last_version > 32, "old versions are dropped");
-    assert!(total.admitted >= 1000 && total.refused >= 1000);
+    assert!(total.admitted_requests >= 1000 && total.rejected_requests >= 1000);
 }
