--- a/crates/policy/src/document/mod.rs
+++ b/crates/policy/src/document/mod.rs
@@ -34,7 +34,7 @@
 pub struct Policy {
     /// Ids of the engines that receive no new requests.
     pub excluded_engines: BTreeSet<String>,
-    /// Restrictions by class name.
+    /// Restrictions on the requests of each class, by class name.
     pub classes: BTreeMap<String, ClassRule>,
     /// Maximum share of a front end's requests that each account may use, from 0 to 1, by account name.
     pub accounts: BTreeMap<String, f64>,
--- a/crates/policy/src/rollout/change.rs
+++ b/crates/policy/src/rollout/change.rs
@@ -74,7 +74,7 @@
 pub enum ProposalError {
     /// Another change is pending.
     #[error("the change {id} by {requested_by} is under way; ask again when it is over")]
-    ChangeUnderWay {
+    ChangePending {
         /// Id of the pending change.
         id: String,
         /// The operator who requested the pending change.
--- a/crates/policy/src/rollout/state.rs
+++ b/crates/policy/src/rollout/state.rs
@@ -187,7 +187,7 @@
     /// The policy text that the requested change would activate.
     fn proposed_text(&self, request: &ChangeRequest) -> Result<String, ProposalError> {
         if let Some(pending) = &self.pending {
-            return Err(ProposalError::ChangeUnderWay {
+            return Err(ProposalError::ChangePending {
                 id: pending.id.clone(),
                 requested_by: pending.requested_by.clone(),
             });
--- a/crates/policy/src/rules/meter.rs
+++ b/crates/policy/src/rules/meter.rs
@@ -6,8 +6,8 @@
 
 /// Time constant of the exponentially decayed request counts that account shares are computed from, in milliseconds.
 const SHARE_TIME_CONSTANT_MS: f64 = 5000.0;
-/// Decayed request count below which shares above zero are not enforced: with few requests, an account's measured share
-/// fluctuates too much.
+/// Decayed request count below which only shares of 0 are enforced. Fewer requests are too small a sample to measure
+/// an account's share of them.
 const MIN_REQUESTS_FOR_SHARE: f64 = 20.0;
 
 /// Why the policy rejects a request.
@@ -119,8 +119,8 @@
     }
 
     fn take_token(&mut self, now: f64, class: usize, max_rate: f64) -> bool {
-        // The bucket stores the requests of one second. At a rate between 0 and 1 its size is 1, because a smaller
-        // bucket would never contain a whole token.
+        // The bucket's size is the number of requests allowed per second. At a rate between 0 and 1 the size is 1,
+        // because a smaller bucket would never contain a whole token.
         let burst = if max_rate > 0.0 {
             max_rate.max(1.0)
         } else {
--- a/crates/policy/src/validation.rs
+++ b/crates/policy/src/validation.rs
@@ -8,11 +8,11 @@
 /// Engine ids are not checked, because engines join and leave the pool while a policy is active.
 #[derive(Clone, Debug, Default)]
 pub struct KnownNames {
-    /// Names of the classes.
+    /// Names of the request classes configured at the front end.
     pub classes: Vec<String>,
-    /// Names of the accounts.
+    /// Names of the accounts configured at the front end.
     pub accounts: Vec<String>,
-    /// Names of the zones.
+    /// Names of the engine zones configured at the front end.
     pub zones: Vec<String>,
 }
 
@@ -96,8 +96,8 @@
     })
 }
 
-/// The known name with the smallest edit distance from `name`, or `None` if even that distance is too large for a typo:
-/// more than 1 plus a third of the known name's length in bytes.
+/// The known name with the smallest edit distance from `name`. Returns `None` if that distance is too large for a typo,
+/// that is, greater than 1 plus a third of the known name's length in bytes.
 fn most_similar<'a>(name: &str, known: &'a [String]) -> Option<&'a String> {
     let by_distance = known
         .iter()
--- a/crates/policy/tests/common/world/disturbances.rs
+++ b/crates/policy/tests/common/world/disturbances.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Proposes more joins than a fleet accepts at step 2450, then removes the members that were accepted.
+    /// At step 2450, applies more joins than a fleet accepts, and then removes the members that were accepted.
     pub(super) fn exceed_member_limit(&mut self, out: &mut Encoding) {
         if self.steps == 2450 {
             for n in 0..1010 {
--- a/crates/policy/tests/document.rs
+++ b/crates/policy/tests/document.rs
@@ -171,8 +171,7 @@
 }
 
 proptest! {
-    /// The engines in use at a lower weight are a subset of those at a higher weight, and about as many engines are in
-    /// use as the weight says.
+    /// A zone's weight determines what fraction of its engines is in use. Lowering the weight only removes engines.
     #[test]
     fn a_zones_weight_keeps_its_part_of_engines_and_a_lower_one_a_subset(low in 0u32..100, more in 0u32..100) {
         let high = (low + more).min(100);
