--- a/src/node/bulletin.rs
+++ b/src/node/discovery.rs
@@ -3,8 +3,8 @@
 //! whole fleet loses it at once.
 
 use super::clock::to_micros;
-use super::deadlines::{Deadlines, Handle, Wake};
-use super::reactor::{Link, Owner, ReadEnd};
+use super::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use super::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::mix;
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
 use mio::Registry;
@@ -23,7 +23,7 @@
 
 /// A warehouse as listed, with its address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct ListedEngine {
     /// What the decision module is told.
     pub member: EngineEntry,
     /// Where it listens.
@@ -32,13 +32,13 @@
 
 /// One event of the bulletin.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct ListEvent {
     /// Its number.
     pub number: u64,
     /// How its list is to be read.
     pub kind: ListKind,
     /// The entries.
-    pub listings: Vec<Listing>,
+    pub listings: Vec<ListedEngine>,
 }
 
 /// A frame that can't be read: the connection is of no more use.
@@ -50,7 +50,7 @@
     bytes: &[u8],
     zones: &[String],
     kinds: &[String],
-) -> Result<Option<(usize, Option<News>)>, BadFrame> {
+) -> Result<Option<(usize, Option<ListEvent>)>, BadFrame> {
     let Some(length) = bytes.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) else {
         return Ok(None);
     };
@@ -71,14 +71,14 @@
     }
     let listings =
         records.chunks_exact(RECORD).map(|r| record(r, zones, kinds)).collect::<Result<Vec<_>, _>>()?;
-    Ok(Some((4 + length, Some(News { number, kind, listings }))))
+    Ok(Some((4 + length, Some(ListEvent { number, kind, listings }))))
 }
 
 fn unsigned(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-fn record(r: &[u8], zones: &[String], kinds: &[String]) -> Result<Listing, BadFrame> {
+fn record(r: &[u8], zones: &[String], kinds: &[String]) -> Result<ListedEngine, BadFrame> {
     let name = |list: &[String], place: u8| list.get(usize::from(place)).cloned().unwrap_or_default();
     let state = match r[10] {
         0 => EngineState::Serving,
@@ -88,7 +88,7 @@
     };
     let started = unsigned(&r[19..27]);
     let address = Ipv4Addr::from(unsigned(&r[4..8]) as u32);
-    Ok(Listing {
+    Ok(ListedEngine {
         address: SocketAddr::from((address, unsigned(&r[8..10]) as u16)),
         member: EngineEntry {
             engine: EngineId(Arc::from(format!("s-{:08x}", unsigned(&r[..4])))),
@@ -104,22 +104,22 @@
 
 /// The connection to the bulletin.
 #[derive(Debug)]
-pub struct Bulletin {
+pub struct DiscoveryClient {
     address: SocketAddr,
     zones: Vec<String>,
     kinds: Vec<String>,
     last: u64,
-    link: Option<Link>,
+    link: Option<BufferedSocket>,
     greeted: bool,
     generation: u32,
     heard: f64,
-    next_look: Option<Handle>,
+    next_look: Option<TimerHandle>,
     /// Tries to connect since one last succeeded.
     failed: i32,
     random: u64,
 }
 
-impl Bulletin {
+impl DiscoveryClient {
     /// A bulletin not yet connected to; `last` is the number of the last event had, `seed` feeds the pauses' draws.
     pub fn new(
         address: SocketAddr,
@@ -127,29 +127,43 @@
         kinds: Vec<String>,
         last: u64,
         seed: u64,
-    ) -> Bulletin {
+    ) -> DiscoveryClient {
         let (link, greeted, generation, heard, next_look) = (None, false, 0, 0.0, None);
         let (failed, random) = (0, seed);
-        Bulletin { address, zones, kinds, last, link, greeted, generation, heard, next_look, failed, random }
+        DiscoveryClient {
+            address,
+            zones,
+            kinds,
+            last,
+            link,
+            greeted,
+            generation,
+            heard,
+            next_look,
+            failed,
+            random,
+        }
     }
 
     /// Connects where there is no connection, drops one that has fallen silent, and comes back.
-    pub fn look(&mut self, now: f64, registry: &Registry, deadlines: &mut Deadlines) {
+    pub fn look(&mut self, now: f64, registry: &Registry, timers: &mut TimerQueue) {
         if self.link.is_some() && now - self.heard > SILENT_MS {
             self.link = None;
         }
         if self.link.is_none() {
             self.generation = self.generation.wrapping_add(1);
             (self.greeted, self.heard) = (false, now);
-            self.link = Link::dial(self.address)
-                .and_then(|mut link| link.watch(registry, Owner::Bulletin(self.generation)).map(|()| link))
+            self.link = BufferedSocket::dial(self.address)
+                .and_then(|mut link| {
+                    link.watch(registry, SocketOwner::Bulletin(self.generation)).map(|()| link)
+                })
                 .ok();
             self.failed = (self.failed + 1).min(16);
         }
         let again = (AGAIN_MS * AGAIN_GROWS.powi(self.failed - 1)).min(AGAIN_MOST);
         let pause = if self.greeted { LOOK_MS } else { again };
         let lot = 1.0 - SPREAD + 2.0 * SPREAD * self.lot();
-        self.look_in(now, pause * lot, deadlines);
+        self.look_in(now, pause * lot, timers);
     }
 
     /// A draw from 0 to 1.
@@ -159,9 +173,9 @@
     }
 
     /// Sets the one look to come: a second chain of looks would drop what the first has just dialled.
-    fn look_in(&mut self, now: f64, ms: f64, deadlines: &mut Deadlines) {
-        self.next_look.take().into_iter().for_each(|before| deadlines.clear(before));
-        self.next_look = Some(deadlines.set(now + ms, Wake::Bulletin));
+    fn look_in(&mut self, now: f64, ms: f64, timers: &mut TimerQueue) {
+        self.next_look.take().into_iter().for_each(|before| timers.clear(before));
+        self.next_look = Some(timers.set(now + ms, TimerEvent::Bulletin));
     }
 
     /// The bulletin has moved: the old connection is dropped, the new address dialled at once, and the news go on
@@ -170,26 +184,26 @@
         &mut self,
         now: f64,
         address: SocketAddr,
-        known: Vec<News>,
-        deadlines: &mut Deadlines,
-    ) -> Vec<News> {
+        known: Vec<ListEvent>,
+        timers: &mut TimerQueue,
+    ) -> Vec<ListEvent> {
         if address != self.address {
             (self.address, self.link, self.failed) = (address, None, 0);
             let spread = MOVED_MS * self.lot();
-            self.look_in(now, spread, deadlines);
+            self.look_in(now, spread, timers);
         }
         known.into_iter().filter_map(|news| self.take(news)).collect()
     }
 
     /// Lets an event through once: what comes twice or out of date is told by its number.
-    fn take(&mut self, news: News) -> Option<News> {
+    fn take(&mut self, news: ListEvent) -> Option<ListEvent> {
         let new = news.number > self.last;
         self.last = self.last.max(news.number);
         Some(news).filter(|_| new)
     }
 
     /// The socket has something to say: gives the events that came.
-    pub fn ready(&mut self, now: f64, generation: u32) -> Vec<News> {
+    pub fn ready(&mut self, now: f64, generation: u32) -> Vec<ListEvent> {
         let mut news = Vec::new();
         if generation == self.generation && self.link.is_some() && self.step(now, &mut news).is_none() {
             self.link = None; // The next look connects again.
@@ -198,7 +212,7 @@
     }
 
     /// `None` when the connection is of no more use.
-    fn step(&mut self, now: f64, news: &mut Vec<News>) -> Option<()> {
+    fn step(&mut self, now: f64, news: &mut Vec<ListEvent>) -> Option<()> {
         let link = self.link.as_mut()?;
         if !self.greeted {
             match link.connected() {
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -29,27 +29,28 @@
         let client_sockets = config.client_sockets();
         let backend_sockets = config.sockets.saturating_sub(client_sockets + 32).max(4);
         let warehouses =
-            Warehouses::new(names, config.dial_ms, config.idle_ms, config.streams, backend_sockets);
+            LineProtocolBackend::new(names, config.dial_ms, config.idle_ms, config.streams, backend_sockets);
         let kinds = config.settings.kinds.iter().map(|k| k.name.clone()).collect();
         let out_most = (config.memory_mb * 1048576.0 / 4.0) as usize;
         let jsonrpc = JsonRpc::new(&config.settings, out_most);
         let mysql = config.mysql.map(|mysql| {
             let boxes =
-                MysqlBoxes::new(mysql.clone(), config.dial_ms, config.idle_ms, backend_sockets, out_most);
+                MysqlBackend::new(mysql.clone(), config.dial_ms, config.idle_ms, backend_sockets, out_most);
             (MysqlFront::new(mysql, &config.settings, out_most), boxes)
         });
         // Where no seed is given, front ends still differ by their number.
         let lots = config.seed ^ u64::from(config.settings.own_number).rotate_left(32);
         let zones = config.zones.clone();
-        let mut exchange = Exchange::new(config.settings, config.seed, config.open_most, out_most)
+        let mut exchange = RequestDispatcher::new(config.settings, config.seed, config.open_most, out_most)
             .map_err(io::Error::other)?;
-        let bulletin =
-            config.bulletin.map(|address| Bulletin::new(address, config.zones, kinds, config.last, lots));
+        let bulletin = config
+            .bulletin
+            .map(|address| DiscoveryClient::new(address, config.zones, kinds, config.last, lots));
         let xds = config.xds.map(Feed::start).transpose()?;
         let mut waker = None;
         let admission = match &config.fleet {
             Some(fleet) => {
-                let wakes = Arc::new(Waker::new(poll.registry(), Owner::Fixed(RELOAD).token())?);
+                let wakes = Arc::new(Waker::new(poll.registry(), SocketOwner::Fixed(RELOAD).token())?);
                 waker = Some(wakes.clone());
                 // Where the loop can't be woken, it looks by itself when the next question is due.
                 let wake = move || drop(wakes.wake());
@@ -71,7 +72,7 @@
             listeners,
             accept_paused: false,
             client_sockets,
-            deadlines: Deadlines::default(),
+            timers: TimerQueue::default(),
             exchange,
             jsonrpc,
             mysql,
@@ -96,7 +97,7 @@
         }
         if let Some(xds) = &node.xds {
             node.log.push(format!("listen: xds address={}", xds.address()));
-            node.deadlines.set(node.clock.now(), Wake::Xds);
+            node.timers.set(node.clock.now(), TimerEvent::Xds);
         }
         if let Some(address) = node.admission.as_ref().and_then(AdmissionControl::listen_address) {
             node.log.push(format!("listen: fleet address={address}"));
@@ -104,7 +105,7 @@
         let mut heard = Vec::new();
         node.news(config.known, &mut heard);
         if node.bulletin.is_some() {
-            node.deadlines.set(node.clock.now(), Wake::Bulletin);
+            node.timers.set(node.clock.now(), TimerEvent::Bulletin);
         }
         node.settle(heard);
         node.fleet();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,8 +5,8 @@
 #[path = "common/stage.rs"]
 mod stage;
 
-use beamgap::node::bulletin::Bulletin;
-use beamgap::node::deadlines::Deadlines;
+use beamgap::node::discovery::DiscoveryClient;
+use beamgap::node::timer_queue::TimerQueue;
 use beamgap::*;
 use common::{engine, list, member, ms, request, settings, Bench};
 use stage::Stage;
@@ -309,18 +309,22 @@
     let address = listener.local_addr().unwrap();
     let mut poll = mio::Poll::new().unwrap();
     let mut events = mio::Events::with_capacity(1024);
-    let mut all: Vec<(Bulletin, Deadlines, bool)> = (0..FRONTS)
+    let mut all: Vec<(DiscoveryClient, TimerQueue, bool)> = (0..FRONTS)
         .map(|me| {
-            (Bulletin::new(address, Vec::new(), Vec::new(), 1, u64::from(me)), Deadlines::default(), false)
+            (
+                DiscoveryClient::new(address, Vec::new(), Vec::new(), 1, u64::from(me)),
+                TimerQueue::default(),
+                false,
+            )
         })
         .collect();
     let mut dials: Vec<usize> = Vec::new();
     for step in 0..150u32 {
         let now = f64::from(step) * 20.0;
-        for (bulletin, deadlines, begun) in &mut all {
-            if !*begun || deadlines.pop(now).is_some() {
+        for (bulletin, timers, begun) in &mut all {
+            if !*begun || timers.pop(now).is_some() {
                 *begun = true;
-                bulletin.look(now, poll.registry(), deadlines);
+                bulletin.look(now, poll.registry(), timers);
             }
         }
         // It takes each connection and ends it at once.
@@ -332,8 +336,8 @@
         dials.push(came);
         poll.poll(&mut events, Some(std::time::Duration::ZERO)).unwrap();
         for event in &events {
-            if let Some(beamgap::node::reactor::Owner::Bulletin(generation)) =
-                beamgap::node::reactor::Owner::of(event.token())
+            if let Some(beamgap::node::reactor::SocketOwner::Bulletin(generation)) =
+                beamgap::node::reactor::SocketOwner::of(event.token())
             {
                 all.iter_mut().for_each(|(bulletin, ..)| drop(bulletin.ready(now, generation)));
             }
