--- a/crates/fleet-types/src/lib.rs
+++ b/crates/fleet-types/src/lib.rs
@@ -1,12 +1,14 @@
-//! Types that the state machines of a fleet share.
+//! Types shared by the replicated state machines of a fleet of front ends.
 //!
-//! `policy`, `leases` and `budgets` do not know each other; what they have in common stands here:
+//! The crates `policy`, `leases` and `budgets` don't depend on each other. This crate contains the
+//! types and functions that all of them use:
 //!
-//! - [`MemberId`]: which front end, and which incarnation of it.
-//! - [`clock`]: how long a lease may be used, and when it has surely expired, on clocks that drift.
-//! - [`is_valid_name`]: which names and ids are accepted.
+//! - [`MemberId`] identifies a front end and its incarnation.
+//! - [`clock`] computes how long a lease may be used, and when it has certainly expired, on clocks
+//!   that drift.
+//! - [`is_valid_name`] checks names and ids.
 //!
-//! It promises nothing about time or membership by itself: it has no clock, no I/O and no state.
+//! This crate has no clock, no I/O and no state, and gives no guarantee about time or membership.
 //!
 //! ```
 //! use beamgap_fleet_types::MemberId;
--- a/crates/fleet-types/src/member_id.rs
+++ b/crates/fleet-types/src/member_id.rs
@@ -1,23 +1,24 @@
-//! The identity of a front end in a fleet.
+//! Identity of a front end in a fleet.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A front end of a fleet: its name, and which incarnation of it.
+/// Identifies one process of a front end by the front end's name and the process's incarnation.
 ///
-/// A process that restarts under the same name is another incarnation. It holds nothing of what the earlier one
-/// was granted. Ids are ordered by name, then by incarnation. The serialized form is the name followed by the
-/// incarnation.
+/// A process that restarts under the same name has a different incarnation and inherits no lease
+/// or other grant from the earlier process. Ids are ordered by name, then by incarnation. The
+/// serialized form is the name followed by the incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// The name given in the settings.
+    /// Name of the front end, as given in its settings.
     pub name: String,
-    /// Differs for each start of the process under this name. It does not grow.
+    /// A number that differs for each start of a process under this name. Later starts don't
+    /// necessarily have larger numbers.
     pub incarnation: u64,
 }
 
 impl MemberId {
-    /// The id of one incarnation of the named front end.
+    /// Creates the id of one incarnation of the named front end.
     pub fn new(name: impl Into<String>, incarnation: u64) -> MemberId {
         MemberId {
             name: name.into(),
--- a/crates/fleet-types/tests/types.rs
+++ b/crates/fleet-types/tests/types.rs
@@ -1,4 +1,5 @@
-//! The shared types keep their stored form and their bounds.
+//! Guards the serialized form and the ordering of member ids, which stored data depends on, the
+//! bounds on lease expiry under clock drift, and the validation of names.
 
 use beamgap_fleet_types::{clock, is_valid_name, MemberId, MAX_NAME_LENGTH};
 
--- a/crates/leases/src/command.rs
+++ b/crates/leases/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the replicated log.
+//! Commands of the replicated log that change tasks and their leases.
 
 use crate::spec::TaskSpec;
 use crate::task::Outcome;
@@ -6,65 +6,67 @@
 use beamgap_fleet_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// A change of the replicated state. [`State::apply`](crate::State::apply) takes commands in the
+/// A change of the replicated state. [`State::apply`](crate::State::apply) applies commands in the
 /// order of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// These are the tasks from now on. Others are removed as soon as their leases have ended.
+    /// Replaces the list of defined tasks. A task that is not in the new list is removed as soon as
+    /// its lease has ended.
     DefineTasks(Vec<TaskSpec>),
-    /// A member gets the lease of a task that has no holder.
+    /// Grants the lease of a task that has no holder to a member.
     GrantLease {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The member.
+        /// Id of the member that receives the lease.
         holder: MemberId,
     },
-    /// A lease has ended: it was given up, or it has expired everywhere. A step that is open may
-    /// have run.
+    /// Ends a lease that its holder gave up or that has expired on every clock within the drift
+    /// bound. A step that is still open gets an unknown outcome.
     EndLease {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The token of the lease.
+        /// Fencing token of the lease that ends.
         token: FencingToken,
     },
-    /// A run is started, if its number is the next one.
+    /// Starts a run of a task. Has no effect unless `run` is the number after the last run.
     StartRun {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The number of the run.
+        /// Number of the run.
         run: u64,
-        /// For a daily task, the day whose run it is, counted from 1970.
+        /// Day of a scheduled run of a daily task, in days since 1970; 0 for all other runs.
         day: u64,
     },
-    /// A step is begun: its holder is about to act.
+    /// Begins a step: the holder of the task may run the step once this command is committed.
     BeginStep {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The token of the holder's lease.
+        /// Fencing token of the lease under which the step is begun.
         token: FencingToken,
-        /// The number of the run.
+        /// Number of the run.
         run: u64,
-        /// The step.
+        /// Index of the step in the run, from 0.
         step: u32,
     },
-    /// A step that was begun is over.
+    /// Records the outcome of a step that was begun.
     RecordOutcome {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The token of the holder's lease.
+        /// Fencing token of the lease under which the step was begun.
         token: FencingToken,
-        /// The step.
+        /// Index of the step in the run, from 0.
         step: u32,
-        /// What became of it.
+        /// Whether the step was done, did not run, or may have run.
         outcome: Outcome,
     },
-    /// An operator pauses a task, or resumes it, also after a halt.
+    /// Pauses or resumes a task at an operator's request. Resuming also continues a halted run.
     SetPaused {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// Whether it is paused.
+        /// Whether the task is paused from now on.
         paused: bool,
     },
-    /// The active policy forbids the tasks of these names, and no others.
+    /// Sets the names of the tasks that the active policy forbids. All other tasks are no longer
+    /// forbidden.
     SetForbidden(Vec<String>),
 }
--- a/crates/leases/src/held_lease.rs
+++ b/crates/leases/src/held_lease.rs
@@ -1,4 +1,4 @@
-//! One lease that a member holds, and what is to be done under it.
+//! A lease that a member holds, and the commands and permits that the member derives from it.
 
 use crate::command::Command;
 use crate::injected_bug::InjectedBug;
@@ -6,34 +6,38 @@
 use crate::permit::{ActionPermit, PermitDenied};
 use crate::task::{Outcome, Run};
 
-/// A command that has not taken effect is sent again after this time, in milliseconds.
+/// Interval after which a member resends a command that has not taken effect, in milliseconds.
 pub(crate) const RETRY_INTERVAL_MS: f64 = 300.0;
 
-/// A pause before a step that did not run is begun again.
+/// Backoff pause before another attempt at a step that did not run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RetryPause {
-    /// Number of attempts after which it was set.
+    /// Number of failed attempts at the step when the pause was started. A different number starts
+    /// a new pause.
     attempts: u32,
+    /// End of the pause, in milliseconds on the member's clock.
     until: f64,
 }
 
-/// A lease that a member holds. Times are of the member's clock, in milliseconds.
+/// A lease that a member holds. Times are in milliseconds on the member's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HeldLease {
     pub(crate) view: LeaseView,
+    /// Time at which the member must stop using the lease.
     pub(crate) valid_until: f64,
-    /// Whether the member has given it up. Another may act as soon as that is committed: nothing
-    /// more is done under it.
+    /// Whether the member has given the lease up and must not use it any more. Another member may
+    /// act on the task as soon as the end of the lease is committed.
     pub(crate) given_up: bool,
-    /// The step that a permit was given for, so that each begun step gets one only.
+    /// Step for which a permit was given, so that each begun step gets only one permit.
     permitted_step: Option<u32>,
-    /// When a command was last sent for it.
+    /// When a command for this lease was last sent, unless it is known to have taken effect.
     proposed_at: Option<f64>,
+    /// Pause before the next step is attempted again, if an attempt did not run the step.
     retry_pause: Option<RetryPause>,
 }
 
 impl HeldLease {
-    /// A lease that the member has just been notified of. It may be used once it is renewed.
+    /// Creates a newly granted lease. The member may use the lease once it is renewed.
     pub(crate) fn new(view: LeaseView) -> HeldLease {
         HeldLease {
             view,
@@ -45,8 +49,8 @@
         }
     }
 
-    /// The same lease as the leader sees it now. Something has changed, so the next command may be
-    /// sent at once.
+    /// Returns the lease with the leader's current view of it. The new view may show the effect of
+    /// the last command, so the next command may be sent at once.
     pub(crate) fn updated(self, view: LeaseView) -> HeldLease {
         HeldLease {
             view,
@@ -55,17 +59,20 @@
         }
     }
 
-    /// Extends the lease; it never becomes shorter.
+    /// Extends the lease to this time. Never shortens the lease.
     pub(crate) fn renew_until(&mut self, valid_until: f64) {
         self.valid_until = self.valid_until.max(valid_until);
     }
 
-    /// Whether the lease has not expired.
+    /// Whether the lease has not expired at this time.
     pub(crate) fn is_active(&self, now: f64) -> bool {
         now < self.valid_until
     }
 
-    /// The next command for this lease, if one is to be sent now.
+    /// Returns the next command for this lease, if a command is due now.
+    ///
+    /// Gives up the lease if the member is `draining` or the task should not run. Otherwise begins
+    /// the next step, unless `is_busy` shows that the member can't run another step.
     pub(crate) fn next_command(
         &mut self,
         now: f64,
@@ -73,10 +80,10 @@
         is_busy: bool,
         injected_bug: InjectedBug,
     ) -> Option<Command> {
-        let was_sent_lately = self
+        let was_sent_recently = self
             .proposed_at
             .is_some_and(|at| now - at < RETRY_INTERVAL_MS);
-        if was_sent_lately || (!self.is_active(now) && !self.given_up) {
+        if was_sent_recently || (!self.is_active(now) && !self.given_up) {
             return None;
         }
         if self.view.has_open_step() && !self.given_up {
@@ -94,6 +101,7 @@
         Some(command)
     }
 
+    /// Stops using the lease and returns the command that ends it.
     fn give_up(&mut self, injected_bug: InjectedBug) -> Command {
         if injected_bug != InjectedBug::HoldsOn {
             self.given_up = true;
@@ -105,7 +113,8 @@
         }
     }
 
-    /// Begins the next step if it fits into what is left of the lease and no pause is to be kept.
+    /// Returns the command that begins the next step. Returns `None` if the step does not fit into
+    /// the remaining time of the lease or a retry pause is in progress.
     fn begin_step(&mut self, now: f64) -> Option<Command> {
         let run = self.view.run.as_ref()?;
         if now + self.view.max_step_ms >= self.valid_until {
@@ -126,6 +135,7 @@
         })
     }
 
+    /// Starts the retry pause, unless it was already started for this number of attempts.
     fn set_retry_pause(&mut self, now: f64, attempts: u32) {
         let is_set = self
             .retry_pause
@@ -142,7 +152,8 @@
         self.retry_pause.is_some_and(|pause| now < pause.until)
     }
 
-    /// Whether a commit is waited for that allows the member to go on.
+    /// Whether the member waits for the commit of a command for this lease. That is the last
+    /// command sent or, if a step may begin, the `BeginStep` command that is still to be sent.
     pub(crate) fn awaits_commit(&self, now: f64) -> bool {
         if !self.is_active(now) || self.view.has_open_step() {
             return false;
@@ -151,7 +162,7 @@
         self.proposed_at.is_some() || may_begin_step
     }
 
-    /// Whether a step may be acted on as soon as there is a permit.
+    /// Whether the next step is ready to run, so that the member may request a permit for it.
     pub(crate) fn is_step_ready(&self, injected_bug: InjectedBug) -> bool {
         self.view
             .run
@@ -159,14 +170,15 @@
             .is_some_and(|run| self.may_act(run, injected_bug))
     }
 
-    /// Whether the beginning of the step is committed, and no permit was given for it.
+    /// Whether the `BeginStep` command of this step is committed and no permit was given for it
+    /// yet.
     fn may_act(&self, run: &Run, injected_bug: InjectedBug) -> bool {
         let acts_early = injected_bug == InjectedBug::ActFirst && run.open_token.is_none();
         let is_begun = run.open_token == Some(self.view.token) || acts_early;
         is_begun && self.permitted_step != Some(run.next_step)
     }
 
-    /// A permit for an action that lasts `duration_ms` at most.
+    /// Returns a permit for an action that takes at most `duration_ms` milliseconds.
     pub(crate) fn permit(
         &mut self,
         now: f64,
@@ -194,7 +206,8 @@
         ))
     }
 
-    /// Closes a begun step for which no permit was given: the command that records its outcome.
+    /// Closes a begun step for which no permit was given. Returns the command that records its
+    /// outcome, or `None` if there is no such step.
     pub(crate) fn close_unused_step(&mut self, outcome: Outcome) -> Option<Command> {
         let run = self.view.run.as_ref()?;
         let token = self.view.token;
--- a/crates/leases/src/leader.rs
+++ b/crates/leases/src/leader.rs
@@ -1,8 +1,8 @@
-//! The leader's part: it renews leases, ends those that were not renewed, grants free ones, and
-//! starts runs.
+//! The leader's side of the lease protocol: the leader renews leases, ends expired leases, grants
+//! leases of tasks without a holder, and starts runs that are due.
 //!
-//! Its knowledge is volatile: another leader begins with none of it. Times are of the leader's own
-//! monotonic clock, in milliseconds.
+//! The leader's state in this module is volatile: a new leader starts with none of it. Times are in
+//! milliseconds on the leader's own monotonic clock.
 
 use crate::clock_bounds::ClockBounds;
 use crate::command::Command;
@@ -16,27 +16,31 @@
 use beamgap_fleet_types::MemberId;
 use std::collections::BTreeMap;
 
-/// A new leader hears of all members for this time before it grants leases, in milliseconds.
+/// How long a new leader waits before it grants leases, in milliseconds. All members poll the new
+/// leader during this time, so that it distributes leases among all of them.
 const GRANT_DELAY_MS: f64 = 1000.0;
-/// A lease whose holder was not notified of it may be ended after this time, in milliseconds.
+/// Time after which the leader ends a lease whose holder was never notified of it, in milliseconds.
+/// The full lease length need not pass, because that holder can't have used the lease.
 const UNANNOUNCED_LEASE_TIMEOUT_MS: f64 = 1000.0;
-/// A command that has not taken effect is proposed again after this time, in milliseconds.
+/// Interval after which the leader repeats a proposal that has not taken effect, in milliseconds.
 const RETRY_INTERVAL_MS: f64 = 300.0;
-/// A member that was not heard of for this time is forgotten, in milliseconds.
-const FORGET_MEMBER_AFTER_MS: f64 = 60_000.0;
-/// Largest number of leases in one response.
+/// Time since a member's last poll after which the leader drops what it knows of the member, in
+/// milliseconds.
+const MEMBER_STATUS_RETENTION_MS: f64 = 60_000.0;
+/// Largest number of leases that the leader renews in one response to a poll.
 const MAX_LEASES_PER_RESPONSE: usize = 1024;
 
-/// When a lease was last renewed.
+/// The last renewal of a lease by this leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Renewal {
-    /// Or when it was first seen.
+    /// When the lease was last renewed, or first seen by this leader if it was never renewed.
     at: f64,
-    /// Whether its holder may have been notified of the lease.
+    /// Whether the holder may have been notified of the lease, by this leader or an earlier one.
     announced: bool,
 }
 
-/// What was last proposed for a task, and the state of the task at that time.
+/// The last proposal of a command for a task. `lease` and `runs` are copied from the task at that
+/// time; a later difference shows that the command has taken effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Proposal {
     lease: Option<FencingToken>,
@@ -44,27 +48,29 @@
     at: f64,
 }
 
-/// The leader's part.
+/// The leader's side of the lease protocol.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseLeader {
+    /// When this process became leader; `None` if it does not lead.
     leading_since: Option<f64>,
     members: BTreeMap<MemberId, MemberStatus>,
     renewals: BTreeMap<FencingToken, Renewal>,
-    /// Whether a majority has confirmed this leader: from then on, all that earlier leaders
-    /// committed is applied.
+    /// Whether a majority has confirmed this process as leader. From then on, all commands that
+    /// earlier leaders committed are applied to the state.
     confirmed: bool,
-    /// Leases whose end was proposed, and when. They are not renewed, as the end may be committed
-    /// at any moment.
+    /// Leases whose end was proposed or requested, with the time of that. They are no longer
+    /// renewed, because their end may be committed at any time.
     ending: BTreeMap<FencingToken, f64>,
     proposals: BTreeMap<String, Proposal>,
-    /// When runs were started, as far as this leader knows.
+    /// When this leader last started a run of each task, or first saw the task without a run if it
+    /// has started none.
     run_started_at: BTreeMap<String, f64>,
     clock_bounds: ClockBounds,
     injected_bug: InjectedBug,
 }
 
 impl LeaseLeader {
-    /// One that does not lead yet.
+    /// Creates the state of a process that does not lead yet.
     pub fn new(clock_bounds: ClockBounds, injected_bug: InjectedBug) -> LeaseLeader {
         LeaseLeader {
             clock_bounds,
@@ -73,8 +79,8 @@
         }
     }
 
-    /// Tells whether this process leads from now on. With a change of that, everything is
-    /// forgotten.
+    /// Sets whether this process leads from now on. A change discards all renewals, proposals and
+    /// other volatile state.
     pub fn set_leadership(&mut self, now: f64, is_leader: bool) {
         if is_leader == self.leading_since.is_some() {
             return;
@@ -85,18 +91,21 @@
         }
     }
 
-    /// The milliseconds since a lease was renewed, if this leader knows of it.
+    /// Milliseconds since this leader renewed the lease, or first saw it if never renewed; `None`
+    /// for a lease that this leader doesn't track.
     pub fn since_renewal(&self, now: f64, token: FencingToken) -> Option<f64> {
         self.renewals.get(&token).map(|renewal| now - renewal.at)
     }
 
-    /// Renews a lease no more, so that it ends and the task moves to another member.
+    /// Stops renewing a lease, so that it ends and its task can move to another member.
     pub fn release(&mut self, now: f64, token: FencingToken) {
         self.ending.insert(token, now);
     }
 
-    /// Answers a member and renews its leases. Must be called only after a majority has confirmed
-    /// this leader, later than the request came in.
+    /// Answers a member's poll and renews its leases.
+    ///
+    /// The caller must first have a majority confirm this process as leader, and that confirmation
+    /// must be later than the arrival of the request.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -105,7 +114,7 @@
     ) -> PollResponse {
         self.track_new_leases(now, state);
         self.confirmed = true;
-        self.note_member(now, request);
+        self.update_member_status(now, request);
         let mut leases = Vec::new();
         let mut ending = Vec::new();
         let held = state.tasks.values().filter_map(|task| {
@@ -138,16 +147,17 @@
         }
     }
 
-    /// Gives the commands to propose as time passes.
+    /// Returns the commands to propose now. They end expired leases, grant new leases and start
+    /// runs that are due.
     ///
-    /// `minute` is the wall clock's count of minutes since 1970, if it is known. It decides when
-    /// daily runs are due, and nothing else.
+    /// `minute` is the wall clock's count of minutes since 1970, if known. The leader uses `minute`
+    /// only to decide whether daily runs are due.
     pub fn tick(&mut self, now: f64, minute: Option<u64>, state: &State) -> Vec<Command> {
         let Some(leading_since) = self.leading_since else {
             return Vec::new();
         };
         self.track_new_leases(now, state);
-        self.forget_what_is_over(now, state);
+        self.remove_stale_entries(now, state);
         let may_grant = now - leading_since >= GRANT_DELAY_MS;
         let mut lease_counts = count_leases(state);
         let mut commands = Vec::new();
@@ -162,16 +172,19 @@
                 None => self.start_due_run(now, minute, task),
             };
             if let Some(command) = command {
-                self.note_proposal(now, task);
+                self.record_proposal(now, task);
                 commands.push(command);
             }
         }
         commands
     }
 
-    /// Notes leases that are seen for the first time. An earlier leader can have renewed them only
-    /// before this one led; a lease that was granted under this leader is unknown to its holder
-    /// until it is notified from here.
+    /// Starts to track leases that this leader sees for the first time.
+    ///
+    /// Until this leader is confirmed, such a lease may have been granted under an earlier leader,
+    /// which may have notified the holder and renewed the lease until this leader was elected. Once
+    /// this leader is confirmed, such a lease was granted under this leader, and its holder learns
+    /// of the lease only from this leader.
     fn track_new_leases(&mut self, now: f64, state: &State) {
         let announced = !self.confirmed;
         let skips_wait = announced && self.injected_bug == InjectedBug::NoWait;
@@ -183,35 +196,38 @@
         }
     }
 
-    fn note_member(&mut self, now: f64, request: &PollRequest) {
+    /// Records the member's latest poll, zone and draining flag for placement.
+    fn update_member_status(&mut self, now: f64, request: &PollRequest) {
         let status = self
             .members
             .entry(request.member.clone())
             .or_insert_with(|| MemberStatus {
-                first_heard_at: now,
-                last_heard_at: now,
+                first_polled_at: now,
+                last_polled_at: now,
                 zone: String::new(),
                 draining: false,
             });
-        status.last_heard_at = now;
+        status.last_polled_at = now;
         status.draining = request.draining;
         status.zone.clone_from(&request.zone);
     }
 
-    fn forget_what_is_over(&mut self, now: f64, state: &State) {
+    /// Removes the state kept for ended leases, removed tasks and members that stopped polling.
+    fn remove_stale_entries(&mut self, now: f64, state: &State) {
         let is_granted =
             |token: &FencingToken| state.tasks.values().any(|task| task.is_held_under(*token));
         self.renewals.retain(|token, _| is_granted(token));
         self.ending.retain(|token, _| is_granted(token));
         self.members
-            .retain(|_, status| now - status.last_heard_at < FORGET_MEMBER_AFTER_MS);
+            .retain(|_, status| now - status.last_polled_at < MEMBER_STATUS_RETENTION_MS);
         self.proposals
             .retain(|task, _| state.tasks.contains_key(task));
         self.run_started_at
             .retain(|task, _| state.tasks.contains_key(task));
     }
 
-    /// Whether a command was proposed for the task a short time ago and the task is as it was then.
+    /// Whether a command for the task was proposed within the retry interval and has not taken
+    /// effect yet.
     fn is_proposal_pending(&self, now: f64, task: &Task) -> bool {
         let Some(proposal) = self.proposals.get(&task.spec.name) else {
             return false;
@@ -221,7 +237,8 @@
         is_unchanged && now - proposal.at < RETRY_INTERVAL_MS
     }
 
-    fn note_proposal(&mut self, now: f64, task: &Task) {
+    /// Records that a command for the task was proposed now.
+    fn record_proposal(&mut self, now: f64, task: &Task) {
         let lease = task.lease.as_ref().map(|lease| lease.token);
         let proposal = Proposal {
             lease,
@@ -231,7 +248,8 @@
         self.proposals.insert(task.spec.name.clone(), proposal);
     }
 
-    /// Ends a lease that has expired by its holder's clock, however that runs.
+    /// Ends a lease that has certainly expired at its holder, whatever the drift of the holder's
+    /// clock within the assumed bound.
     fn end_if_expired(&mut self, now: f64, task: &Task, token: FencingToken) -> Option<Command> {
         let length_ms = task.spec.lease_ms;
         let renewal = self.renewals.get(&token).copied()?;
@@ -252,6 +270,8 @@
         })
     }
 
+    /// Returns the command that grants the task's lease to a member; `None` if no suitable member
+    /// is present.
     fn grant(
         &self,
         now: f64,
@@ -266,8 +286,8 @@
         })
     }
 
-    /// Starts a run that is due. A leader that does not know when the last run was started counts
-    /// from when it first saw the task without a run.
+    /// Starts a run of the task if one is due. A leader that has started no run of the task itself
+    /// counts the interval of a periodic task from when it first saw the task without a run.
     fn start_due_run(&mut self, now: f64, minute: Option<u64>, task: &Task) -> Option<Command> {
         if task.run.is_some() || task.paused || task.forbidden || task.removed {
             return None;
@@ -293,7 +313,7 @@
     }
 }
 
-/// The number of leases of each member.
+/// Counts the leases that each member holds.
 fn count_leases(state: &State) -> BTreeMap<MemberId, usize> {
     let mut counts = BTreeMap::new();
     for lease in state.tasks.values().filter_map(|task| task.lease.as_ref()) {
@@ -302,8 +322,8 @@
     counts
 }
 
-/// The day, counted from 1970, whose daily run may be started in this minute; none outside of the
-/// window.
+/// Returns the day, in days since 1970, of the daily run that may be started in this minute; `None`
+/// outside of the daily start window.
 fn day_of_due_run(minute: u64, start: u32, window: u32) -> Option<u64> {
     let since_first_start = minute.checked_sub(u64::from(start))?;
     let minutes_per_day = u64::from(MINUTES_PER_DAY);
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,35 +1,43 @@
-//! Leases for the tasks of a fleet: at most one member acts on a task at a time.
+//! Leases that let at most one member of a fleet act on a task at a time.
 //!
-//! Pure state machines: no clock, no I/O, no randomness. The program, the protocol model and the
-//! tests drive the same code.
+//! The state machines of this crate are deterministic: they have no clock, no I/O and no
+//! randomness. The program, the protocol model and the tests all run the same code.
 //!
-//! # What it promises
+//! # Guarantees
 //!
-//! The promises are numbered in `docs/leases.md`. In short: no two members hold the lease of a task
-//! at once as long as clocks keep within [`ClockBounds`]; tokens grow; a step that was recorded as
-//! done or that may have run is not begun again, unless the task allows that; a task whose holder
-//! is gone moves to another member.
+//! `docs/leases.md` numbers the guarantees. In short:
 //!
-//! It does not promise that an action takes place only once: a process may stand still between the
-//! check of its lease and its action. Therefore each action carries a [`FencingToken`], and its
-//! target refuses older ones.
+//! - No two members hold the lease of a task at once, as long as clocks stay within
+//!   [`ClockBounds`].
+//! - Fencing tokens increase with every lease.
+//! - A step that was recorded as done, or that may have run, is not begun again, unless the task
+//!   allows repeating it.
+//! - A task whose holder has failed moves to another member.
+//!
+//! This crate does not guarantee that an action runs at most once, because a process may be paused
+//! between checking its lease and acting. Each action therefore carries a [`FencingToken`], and the
+//! target of the action refuses older tokens.
 //!
 //! # How it works
 //!
-//! A holder uses a lease until its length, less drift and margin, has passed on its own clock since
-//! it *sent* the poll that renewed it. The leader answers a poll only after a majority confirmed
-//! its leadership *later* than the poll came in. It ends a lease that it has not renewed for longer
-//! than the lease's length on any clock within the drift, counted from the beginning of its
-//! leadership if it never renewed it. Only then can another lease be granted. The bound follows
-//! Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
-//! Consistency" (SOSP 1989).
+//! A holder counts the lease from the time on its own clock at which it *sent* the poll that
+//! renewed the lease. It stops using the lease after the lease's length, reduced by the drift and
+//! the safety margin.
+//!
+//! The leader answers a poll only after a majority has confirmed its leadership, and that
+//! confirmation must be *later* than the arrival of the poll. The leader ends a lease once the time
+//! since its last renewal exceeds the length of the lease on every clock within the drift bound. If
+//! this leader has not renewed the lease, that time is counted from the beginning of its
+//! leadership. Only after the end of a lease can another lease of the same task be granted. The
+//! bound follows Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed
+//! File Cache Consistency" (SOSP 1989).
 //!
-//! # Where to start
+//! # Main types
 //!
-//! - [`State`] is what [`Command`]s of the replicated log make of the [`Task`]s.
-//! - [`LeaseLeader`] runs at the leader, [`LeaseHolder`] at each member; they exchange
-//!   [`PollRequest`] and [`PollResponse`].
-//! - [`ActionPermit`] is what a member needs to act.
+//! - [`State`] is the replicated state of all [`Task`]s, changed by the [`Command`]s of the log.
+//! - [`LeaseLeader`] runs at the leader and [`LeaseHolder`] at each member. They exchange
+//!   [`PollRequest`]s and [`PollResponse`]s.
+//! - [`ActionPermit`] is the proof of a valid lease that a member needs to act on a task.
 //!
 //! # Example
 //!
@@ -47,17 +55,17 @@
 //! leader.set_leadership(0.0, true);
 //! let mut member = LeaseHolder::new(MemberId::new("front-1", 1), "west", InjectedBug::None);
 //!
-//! // The leader hears of the member, and grants the lease a second after it was elected.
+//! // The first poll registers the member. A leader grants leases only 1 s after its election.
 //! leader.handle_request(0.0, &state, &member.poll_request());
 //! for command in leader.tick(1000.0, None, &state) {
 //!     state.apply(&command);
 //! }
 //!
-//! // The member is notified of it with its next poll. It may act until the lease expires.
+//! // The response to the next poll notifies the member, which may act until the lease expires.
 //! let response = leader.handle_request(1100.0, &state, &member.poll_request());
 //! member.handle_response(1100.0, response);
 //! let permit = member.permit("compaction", 1200.0, 100.0).expect("the lease is held");
-//! assert_eq!(permit.start(1201.0).expect("in time").token(), state.last_token);
+//! assert_eq!(permit.start(1201.0).expect("the permit has not expired").token(), state.last_token);
 //! assert!(member.permit("compaction", 7000.0, 100.0).is_err());
 //! ```
 
--- a/crates/leases/src/member.rs
+++ b/crates/leases/src/member.rs
@@ -1,7 +1,8 @@
-//! The member's part: it holds leases, renews all of them with one poll, and gives a permit for
-//! each action.
+//! The member's side of the lease protocol: the member renews all of its leases with a single poll
+//! and requests a permit for each action.
 //!
-//! Times are of the member's own monotonic clock, which must count suspension, in milliseconds.
+//! Times are in milliseconds on the member's own monotonic clock. That clock must also advance
+//! while the machine is suspended.
 
 use crate::command::Command;
 use crate::held_lease::HeldLease;
@@ -14,25 +15,26 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A lease that has not expired.
+/// A lease that the member holds and that has not expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActiveLease<'a> {
-    /// The lease.
+    /// The lease as the leader described it to the member.
     pub view: &'a LeaseView,
-    /// What is left of it, in milliseconds.
+    /// Remaining time for which the member may use the lease, in milliseconds.
     pub remaining_ms: f64,
 }
 
-/// A step that may be acted on as soon as there is a permit.
+/// A step whose `BeginStep` command is committed. The member may run the step once it has a
+/// permit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReadyStep {
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// Longest time of the step, in milliseconds.
+    /// Longest time that the step may run, in milliseconds.
     pub max_step_ms: f64,
 }
 
-/// A member's part.
+/// The member's side of the lease protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseHolder {
     id: MemberId,
@@ -45,7 +47,7 @@
 }
 
 impl LeaseHolder {
-    /// A member that has just started: it holds nothing.
+    /// Creates the state of a newly started member, which holds no leases.
     pub fn new(id: MemberId, zone: &str, injected_bug: InjectedBug) -> LeaseHolder {
         LeaseHolder {
             id,
@@ -58,13 +60,13 @@
         }
     }
 
-    /// Begins a graceful shutdown: the member takes no more leases and gives up those that it
-    /// holds.
+    /// Begins a graceful shutdown. The member accepts no more leases and gives up the leases that
+    /// it holds.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// What the member sends to the leader with its next poll.
+    /// Returns the request to send to the leader with the next poll.
     pub fn poll_request(&self) -> PollRequest {
         PollRequest {
             member: self.id.clone(),
@@ -74,20 +76,20 @@
         }
     }
 
-    /// Takes in the response to a request that was sent at `sent_at`. Leases are renewed from that
-    /// time on.
+    /// Handles the leader's response to a request that the member sent at `sent_at`. Renewed leases
+    /// are valid for their usable length from `sent_at`.
     pub fn handle_response(&mut self, sent_at: f64, response: PollResponse) {
         if self
             .known_change_count
             .is_some_and(|known| known > response.change_count)
         {
-            return; // The response to an older request.
+            return; // The response is older than the list of leases that the member has.
         }
         if let Some(leases) = response.leases {
             self.replace_leases(leases);
             self.known_change_count = Some(response.change_count);
         } else if self.known_change_count != Some(response.change_count) {
-            return; // It refers to a list that this member does not have.
+            return; // The response refers to a list of leases that this member never received.
         }
         for held in self.held.values_mut() {
             if held.given_up || response.ending.contains(&held.view.token) {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Takes the leader's list in. What is known of leases that stay is kept.
+    /// Replaces the held leases by the leader's list, keeping the local state of leases in both.
     fn replace_leases(&mut self, leases: Vec<LeaseView>) {
         let mut before = std::mem::take(&mut self.held);
         for view in leases {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The leases that have not expired at this time.
+    /// Returns the leases that the member holds and that have not expired at `now`.
     pub fn active_leases(&self, now: f64) -> impl Iterator<Item = ActiveLease<'_>> + '_ {
         let active = self.held.values().filter(move |held| held.is_active(now));
         active.map(move |held| ActiveLease {
@@ -126,21 +128,22 @@
         })
     }
 
-    /// What the member was notified of for a task that it holds.
+    /// Returns the leader's last description of the task's lease; `None` if the member doesn't hold
+    /// that lease.
     pub fn lease(&self, task: &str) -> Option<&LeaseView> {
         self.held.get(task).map(|held| &held.view)
     }
 
-    /// Queues the command that records an outcome. It is sent until it has taken effect or the
-    /// lease is lost.
+    /// Queues a command that records an outcome. The command is resent until it has taken effect or
+    /// the lease is lost.
     pub fn queue_outcome(&mut self, command: Option<Command>) {
         if let Some(command) = command {
             self.outcomes.push(command);
         }
     }
 
-    /// The commands to send with the next poll: outcomes, steps to begin, leases to give up. No
-    /// step is begun while the member `is_busy`.
+    /// Returns the commands to send with the next poll. They record outcomes, begin steps and give
+    /// up leases. No step is begun while the member `is_busy`.
     pub fn pending_commands(&mut self, now: f64, is_busy: bool) -> Vec<Command> {
         let mut commands = self.outcomes.due_commands(now, &self.held);
         let mut by_priority: Vec<&mut HeldLease> = self.held.values_mut().collect();
@@ -152,12 +155,13 @@
         commands
     }
 
-    /// A permit to act on a task: on the step whose beginning is committed, or, for a task without
-    /// steps, at any time. The action may last for `duration_ms`.
+    /// Returns a permit to act on a task. A task with steps needs an open step for which no permit
+    /// was given; a task without steps may be acted on as long as its lease is valid. The action
+    /// must take at most `duration_ms` milliseconds.
     ///
     /// # Errors
     ///
-    /// Why the member must not act now.
+    /// Returns the reason why the member must not act on the task now.
     pub fn permit(
         &mut self,
         task: &str,
@@ -168,8 +172,7 @@
         held.permit(now, duration_ms, self.injected_bug)
     }
 
-    /// Queues the outcome of a step that was begun, but whose action was not started for lack of a
-    /// permit.
+    /// Queues the outcome of a step that was begun but not run because its permit was denied.
     pub fn record_not_run(&mut self, task: &str, outcome: Outcome) {
         let Some(held) = self.held.get_mut(task) else {
             return;
@@ -179,12 +182,14 @@
         }
     }
 
-    /// Whether something waits for a commit: an outcome, a step to begin, or a lease to give up.
+    /// Whether the member should poll before its regular interval, because an outcome, the start of
+    /// a step or the end of a lease waits to be committed.
     pub fn wants_early_poll(&self, now: f64) -> bool {
         !self.outcomes.is_empty() || self.held.values().any(|held| held.awaits_commit(now))
     }
 
-    /// Steps whose beginning is committed and for which no permit was given yet.
+    /// Returns the steps whose `BeginStep` command is committed and for which no permit was given
+    /// yet.
     pub fn ready_steps(&self) -> Vec<ReadyStep> {
         let ready = self
             .held
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -1,4 +1,4 @@
-//! What members and the leader send each other.
+//! Messages between the members of a fleet and its leader.
 
 use crate::clock_bounds::ClockBounds;
 use crate::task::{Run, Task};
@@ -6,62 +6,66 @@
 use beamgap_fleet_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// The exponent of the backoff is bounded by this.
+/// Largest number of times that the retry backoff doubles, which bounds the pause before a retry.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
-/// What a member sends to the leader with each poll.
+/// The poll that a member sends to the leader to renew its leases and to learn of new ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// The member.
+    /// Id of the polling member.
     pub member: MemberId,
-    /// Its zone.
+    /// Zone of the polling member.
     pub zone: String,
-    /// Whether it is shutting down: it takes no more leases.
+    /// Whether the member is shutting down and accepts no more leases.
     pub draining: bool,
-    /// The state's count of changes at the time of the list that it has, if it has one.
+    /// [`PollResponse::change_count`] of the last list of leases that the member received, if it
+    /// received one.
     pub known_change_count: Option<u64>,
 }
 
-/// What the leader answers. All leases that the member holds are renewed by it.
+/// The leader's answer to a poll. It renews all leases that the member holds, except those in
+/// `ending`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PollResponse {
-    /// The state's count of changes.
+    /// [`State::change_count`](crate::State::change_count) when the leader answered.
     pub change_count: u64,
-    /// The bounds on clocks.
+    /// Bounds on clock drift that the member uses to compute the expiry of its leases.
     pub clock_bounds: ClockBounds,
-    /// The leases that the member holds; none if the list that it has is up to date.
+    /// The leases that the member holds. `None` if `known_change_count` shows that the member's
+    /// list is up to date.
     pub leases: Option<Vec<LeaseView>>,
-    /// The tokens of those that are not renewed any more.
+    /// Fencing tokens of the member's leases that the leader no longer renews.
     pub ending: Vec<FencingToken>,
 }
 
 /// A lease as its holder sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseView {
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// The token of the lease.
+    /// Fencing token of the lease.
     pub token: FencingToken,
-    /// The length of the lease, in milliseconds.
+    /// Length of the lease, in milliseconds.
     pub length_ms: f64,
-    /// Longest time of a step, in milliseconds.
+    /// Longest time that a step of the task may run, in milliseconds.
     pub max_step_ms: f64,
-    /// Leases with a higher priority go first.
+    /// Priority of the task: the holder begins steps of tasks with a higher priority first.
     pub priority: u8,
-    /// What the holder does.
+    /// Action that the holder performs; see [`TaskSpec::action`](crate::TaskSpec::action).
     pub action: String,
-    /// Whether the task is still to have a holder; if not, the lease is given up.
+    /// Whether the task may run. If not, the holder gives up the lease.
     pub runnable: bool,
-    /// Whether the target refuses older tokens.
+    /// Whether the target of the action refuses fencing tokens older than the newest it has seen.
     pub requires_fencing: bool,
-    /// The run in progress.
+    /// The task's run in progress, if any.
     pub run: Option<Run>,
-    /// Pause before the next step, in milliseconds; 0 unless the last attempt at it did not run.
+    /// Pause before the next step is begun again, in milliseconds; 0 unless the last attempt at
+    /// that step did not run.
     pub pause_ms: f64,
 }
 
 impl LeaseView {
-    /// The view of a task that is held under this token.
+    /// Describes to its holder the lease of a task under this token.
     pub(crate) fn new(task: &Task, token: FencingToken) -> LeaseView {
         LeaseView {
             task: task.spec.name.clone(),
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Whether a step is begun and not over.
+    /// Whether a step of the run was begun and has no recorded outcome yet.
     pub(crate) fn has_open_step(&self) -> bool {
         self.run
             .as_ref()
@@ -85,7 +89,7 @@
     }
 }
 
-/// Exponential backoff between attempts at the same step.
+/// Exponential backoff in milliseconds before the next attempt at a step that did not run.
 fn pause_before_next_attempt(task: &Task) -> f64 {
     let attempts = task.run.as_ref().map_or(0, |run| run.attempts);
     if attempts == 0 {
--- a/crates/leases/src/outcome_queue.rs
+++ b/crates/leases/src/outcome_queue.rs
@@ -1,22 +1,24 @@
-//! Outcomes that are not recorded in the replicated state yet.
+//! Queue of step outcomes that are not recorded in the replicated state yet.
 
 use crate::command::Command;
 use crate::held_lease::{HeldLease, RETRY_INTERVAL_MS};
 use std::collections::BTreeMap;
 
-/// An outcome, and when it was last sent.
+/// A command that records an outcome, and the time at which it was last sent, in milliseconds on
+/// the member's clock.
 #[derive(Clone, Debug, PartialEq)]
 struct QueuedOutcome {
     command: Command,
     sent_at: f64,
 }
 
-/// Outcomes that are not recorded yet. Each is sent until its step is no longer open at its lease.
+/// Outcomes that the replicated state does not contain yet. Each outcome is sent again at intervals
+/// until its step is no longer open or its lease is lost.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct OutcomeQueue(Vec<QueuedOutcome>);
 
 impl OutcomeQueue {
-    /// Adds a command that records an outcome; it is sent with the next poll.
+    /// Queues a command that records an outcome, to be sent with the next poll.
     pub(crate) fn push(&mut self, command: Command) {
         self.0.push(QueuedOutcome {
             command,
@@ -24,13 +26,13 @@
         });
     }
 
-    /// Whether all outcomes are recorded.
+    /// Whether no outcome is waiting to be recorded.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Drops outcomes that are recorded or whose lease is lost, and gives those that are to be sent
-    /// now.
+    /// Drops outcomes that are recorded or whose lease is lost, and returns the commands that are
+    /// due to be sent now.
     pub(crate) fn due_commands(
         &mut self,
         now: f64,
@@ -48,7 +50,7 @@
     }
 }
 
-/// Whether the step of this command is still open at a lease that is held.
+/// Whether the step that this command closes is still open under a lease in `held`.
 fn is_unrecorded(command: &Command, held: &BTreeMap<String, HeldLease>) -> bool {
     let Command::RecordOutcome {
         task, token, step, ..
--- a/crates/leases/src/placement.rs
+++ b/crates/leases/src/placement.rs
@@ -1,51 +1,56 @@
-//! Which member gets the lease of a task.
+//! Placement: the choice of the member that is granted the lease of a task.
 //!
-//! Of the members that answer, may hold the task and do not shut down, those go first that have
-//! been present for [`SETTLING_TIME_MS`], then those that hold the fewest leases, then by a hash of
-//! task and member.
+//! Candidates are the members that polled recently, may hold the task and are not draining. Members
+//! that the leader has known for at least [`SETTLING_TIME_MS`] are preferred, then members that
+//! hold fewer leases. A hash of the task name and the member name breaks ties.
 
 use crate::task::Task;
 use beamgap_fleet_types::MemberId;
 use std::collections::BTreeMap;
 
-/// A member that has been present for less than this gets a lease only if no other fits, in
-/// milliseconds.
+/// How long the leader must have known a member to prefer it for leases, in milliseconds. A member
+/// known for a shorter time gets a lease only if no other member may hold the task, so that a
+/// process that restarts repeatedly doesn't cause leases to move.
 pub const SETTLING_TIME_MS: f64 = 5000.0;
-/// A member that was not heard of for longer than this gets no lease, in milliseconds.
+/// A member whose last poll is at least this old is granted no lease, in milliseconds.
 const MEMBER_TIMEOUT_MS: f64 = 1700.0;
 
-/// A member as the leader last heard of it. Times are of the leader's clock, in milliseconds.
+/// What the leader knows of a member from its polls. Times are in milliseconds on the leader's
+/// clock.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct MemberStatus {
-    pub(crate) first_heard_at: f64,
-    pub(crate) last_heard_at: f64,
+    pub(crate) first_polled_at: f64,
+    pub(crate) last_polled_at: f64,
     pub(crate) zone: String,
     pub(crate) draining: bool,
 }
 
 impl MemberStatus {
+    /// Whether the member polled recently, is not draining and may hold the task.
     fn may_hold(&self, now: f64, member: &MemberId, task: &Task) -> bool {
-        let is_present = now - self.last_heard_at < MEMBER_TIMEOUT_MS;
+        let is_present = now - self.last_polled_at < MEMBER_TIMEOUT_MS;
         is_present && !self.draining && task.spec.allows(&member.name, &self.zone)
     }
 
+    /// Whether the leader has known the member for less than the settling time.
     fn is_settling(&self, now: f64) -> bool {
-        now - self.first_heard_at < SETTLING_TIME_MS
+        now - self.first_polled_at < SETTLING_TIME_MS
     }
 }
 
-/// The member that is to hold the task, if one may. `held` is the number of leases of each member.
+/// Chooses the member to grant the lease of the task to; `None` if no member may hold it.
+/// `lease_counts` is the number of leases that each member holds.
 pub(crate) fn choose_holder(
     now: f64,
     task: &Task,
     members: &BTreeMap<MemberId, MemberStatus>,
-    held: &BTreeMap<MemberId, usize>,
+    lease_counts: &BTreeMap<MemberId, usize>,
 ) -> Option<MemberId> {
     let candidates = members
         .iter()
         .filter(|(member, status)| status.may_hold(now, member, task));
     let chosen = candidates.min_by_key(|(member, status)| {
-        let lease_count = held.get(*member).copied().unwrap_or(0);
+        let lease_count = lease_counts.get(*member).copied().unwrap_or(0);
         (
             status.is_settling(now),
             lease_count,
@@ -55,7 +60,7 @@
     chosen.map(|(member, _)| member.clone())
 }
 
-/// A deterministic hash of a task and a member (FNV-1a with a final mix).
+/// Hashes the names of a task and a member with FNV-1a and a final mix; the same in every process.
 fn tie_break_hash(task: &str, member: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/leases/src/spec.rs
+++ b/crates/leases/src/spec.rs
@@ -1,118 +1,122 @@
-//! A task as the operator defines it.
+//! Definitions of tasks, as written by the operator, and their validation.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Largest number of tasks in a fleet.
+/// Largest number of tasks that a fleet accepts.
 pub const MAX_TASKS: usize = 1024;
-/// Longest name of a task, in bytes.
+/// Maximum length of a task's name, in bytes.
 pub const MAX_NAME_LENGTH: usize = 64;
-/// Largest number of steps in a run.
+/// Largest number of steps that a run of a task may have.
 pub const MAX_STEPS: u32 = 10_000;
 
-/// Shortest and longest lease, in milliseconds.
+/// Shortest and longest length of a lease that a task may have, in milliseconds.
 const LEASE_RANGE_MS: std::ops::RangeInclusive<f64> = 1000.0..=600_000.0;
-/// Longest step, as a fraction of the lease: a holder renews each third of it, and a step must fit
-/// into what is left.
-const MAX_STEP_PER_LEASE: f64 = 0.5;
-/// Largest number of attempts at a step that did not run.
+/// Longest duration of a step, as a fraction of the lease's length. A holder renews its lease after
+/// each third of the length, and a step must fit into the time that is left of the lease.
+const MAX_STEP_TO_LEASE_RATIO: f64 = 0.5;
+/// Largest value of [`TaskSpec::max_attempts`] that is accepted.
 const MAX_ATTEMPTS: u32 = 100;
-/// Longest pause before a step is begun again, in milliseconds.
+/// Largest value of [`TaskSpec::backoff_ms`] that is accepted, in milliseconds.
 const MAX_BACKOFF_MS: f64 = 3_600_000.0;
-/// Shortest and longest interval of a periodic task, in milliseconds.
+/// Shortest and longest interval between the starts of a periodic task's runs, in milliseconds.
 const INTERVAL_RANGE_MS: std::ops::RangeInclusive<f64> = 1000.0..=31.0 * 86_400_000.0;
-/// Minutes of a day.
+/// Number of minutes in a day.
 pub(crate) const MINUTES_PER_DAY: u32 = 1440;
 
-/// When a task runs.
+/// When the runs of a task are started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Schedule {
-    /// It has a holder all the time, and no steps.
+    /// The task has no runs and no steps. It has a lease holder at all times.
     Always,
-    /// When an operator starts it.
+    /// A run is started by an operator's command.
     OnDemand,
-    /// So many milliseconds after the last run was started.
+    /// A run is started when this time has passed since the start of the last run, in milliseconds.
     Every(f64),
-    /// Once a day.
+    /// A run is started once a day.
     Daily {
-        /// The time of day from which on a run may be started, in minutes since midnight (UTC).
+        /// Earliest time of day at which the run may be started, in minutes since midnight (UTC).
         minute: u32,
-        /// How long after it a run may still be started, in minutes.
+        /// How long after that time of day the run may still be started, in minutes.
         window: u32,
     },
 }
 
-/// What happens to a run whose step may have run or not.
+/// How a run continues after a step whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnUnknownOutcome {
-    /// The step is begun again: it is idempotent.
+    /// The step is begun again. Suitable only for idempotent steps.
     Repeat,
-    /// The run halts until an operator resumes it behind that step.
+    /// The run halts. When an operator resumes the task, the run continues with the following step.
     Halt,
-    /// The run goes on behind that step.
+    /// The run continues with the following step.
     Skip,
 }
 
-/// A task as the operator defines it.
+/// Definition of a task, as written by the operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskSpec {
-    /// Its name.
+    /// Name of the task.
     pub name: String,
-    /// When it runs.
+    /// When runs of the task are started.
     pub schedule: Schedule,
-    /// Zones whose members may hold it; all if empty.
+    /// Zones whose members may hold the task's lease; all zones if empty.
     pub zones: Vec<String>,
-    /// Names of members that may hold it; all if empty.
+    /// Names of the members that may hold the task's lease; all members if empty.
     pub members: Vec<String>,
-    /// Length of its lease, in milliseconds.
+    /// Length of the task's lease, in milliseconds.
     pub lease_ms: f64,
-    /// Number of steps in a run.
+    /// Number of steps in each run of the task.
     pub step_count: u32,
-    /// Longest time of a step, in milliseconds: as much must be left of the lease when it begins.
+    /// Longest time that a step may run, in milliseconds. A step is begun only if more than this
+    /// time is left of the lease.
     pub max_step_ms: f64,
-    /// What happens after a step that may have run.
+    /// How a run continues after a step whose outcome is unknown.
     pub on_unknown: OnUnknownOutcome,
-    /// Largest number of attempts at a step that did not run.
+    /// Number of attempts at a step after which the run halts if none of them ran the step.
     pub max_attempts: u32,
-    /// Pause before the second attempt, in milliseconds; it doubles with each further one.
+    /// Pause before the second attempt at a step, in milliseconds. The pause doubles with each
+    /// further attempt.
     pub backoff_ms: f64,
-    /// Among the tasks of one holder, those with a higher priority go first.
+    /// Priority among the tasks of one holder: steps of tasks with a higher priority begin first.
     pub priority: u8,
-    /// Whether the target refuses older tokens. If not, two holders may act at once when a process
-    /// stands still.
+    /// Whether the target of the action refuses fencing tokens older than the newest it has seen.
+    /// If not, two holders may act at once when a process is paused past the end of its lease.
     pub requires_fencing: bool,
-    /// What the holder does; the program that embeds this crate gives it a meaning.
+    /// The action that the holder performs. This crate doesn't interpret the text; the program that
+    /// uses this crate does.
     pub action: String,
 }
 
-/// Why a task is refused.
+/// Why the definition of a task is invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidTask {
-    /// The name has a length or a character that is not allowed.
+    /// The name is empty, too long or contains a character that is not allowed.
     #[error("is not 1 to {MAX_NAME_LENGTH} letters, digits, dots and dashes")]
     Name,
-    /// The lease is too short or too long.
+    /// The length of the lease is out of range. Contains that length in milliseconds.
     #[error("is {0} ms; write 1 s to 10 min")]
     LeaseLength(f64),
-    /// A run has no steps or too many.
+    /// The number of steps in a run is out of range. Contains that number.
     #[error("is {0}; write 1 to {MAX_STEPS}")]
     StepCount(u32),
-    /// A step does not fit into the lease.
+    /// The longest time of a step is under 1 ms or too long for the lease. Contains that time in
+    /// milliseconds.
     #[error("is {0} ms, over half the lease; split the step or lengthen the lease")]
     StepLength(f64),
-    /// The number of attempts or the pause between them is out of range.
+    /// The number of attempts at a step, or the pause between attempts, is out of range.
     #[error("is not 1 to 100, or backoff not 0 to 1 h")]
     Retries,
-    /// The interval of a periodic task is too short or too long.
+    /// The interval of a periodic task is out of range. Contains that interval in milliseconds.
     #[error("is {0} ms; write 1 s to 31 days")]
     Interval(f64),
-    /// The time of day or the window of a daily task is out of range.
+    /// The time of day or the start window of a daily task is out of range.
     #[error("is no time of the day, or window not 1 min to 24 h")]
     TimeOfDay,
 }
 
 impl InvalidTask {
-    /// The key of the operator's file that is wrong.
+    /// Key of the invalid setting in the operator's file.
     pub fn key(&self) -> &'static str {
         match self {
             InvalidTask::Name => "name",
@@ -127,7 +131,7 @@
 }
 
 impl TaskSpec {
-    /// A task with the default values.
+    /// Creates the definition of a task with default values for all other fields.
     pub fn new(name: &str, schedule: Schedule, action: &str) -> TaskSpec {
         TaskSpec {
             name: name.to_owned(),
@@ -146,11 +150,11 @@
         }
     }
 
-    /// Whether all values are within their bounds.
+    /// Checks that all values are within their bounds.
     ///
     /// # Errors
     ///
-    /// The first value that is not.
+    /// Returns an error for the first value that is out of bounds.
     pub fn validate(&self) -> Result<(), InvalidTask> {
         if !is_valid_task_name(&self.name) {
             return Err(InvalidTask::Name);
@@ -172,7 +176,7 @@
         if !(1..=MAX_STEPS).contains(&self.step_count) {
             return Err(InvalidTask::StepCount(self.step_count));
         }
-        if !(1.0..=self.lease_ms * MAX_STEP_PER_LEASE).contains(&self.max_step_ms) {
+        if !(1.0..=self.lease_ms * MAX_STEP_TO_LEASE_RATIO).contains(&self.max_step_ms) {
             return Err(InvalidTask::StepLength(self.max_step_ms));
         }
         Ok(())
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Whether a member of this name and zone may hold the task.
+    /// Whether a member with this name, in this zone, may hold the task's lease.
     pub fn allows(&self, member: &str, zone: &str) -> bool {
         let is_listed = |list: &[String], name: &str| {
             list.is_empty() || list.iter().any(|listed| listed == name)
@@ -201,7 +205,8 @@
     }
 }
 
-/// Task names are narrower than those of members: no underscores and colons.
+/// Whether a task's name is valid. Unlike the name of a member, it must not contain underscores or
+/// colons.
 fn is_valid_task_name(name: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '.';
     !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_allowed)
--- a/crates/leases/src/state.rs
+++ b/crates/leases/src/state.rs
@@ -1,4 +1,5 @@
-//! The replicated state: what follows from the commands of the log, the same at every voter.
+//! The replicated state of all tasks. Applying the commands of the log in order produces the same
+//! state at every voter.
 
 use crate::command::Command;
 use crate::spec::{Schedule, TaskSpec, MAX_TASKS};
@@ -8,19 +9,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All tasks of a fleet and their leases.
+/// Replicated state of all tasks of a fleet and their leases.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The token of the last lease that was granted.
+    /// Fencing token of the most recently granted lease.
     pub last_token: FencingToken,
-    /// Tasks by name.
+    /// The tasks, by name.
     pub tasks: BTreeMap<String, Task>,
-    /// Grows with each change that holders must hear of.
+    /// Number of commands that have changed the state. Members and the leader compare it to find
+    /// out whether a member's list of leases is up to date.
     pub change_count: u64,
 }
 
 impl State {
-    /// Applies a command. One that no longer fits the state changes nothing.
+    /// Applies a command of the log. A command whose preconditions no longer hold, for example
+    /// because its lease has ended, has no effect.
     pub fn apply(&mut self, command: &Command) {
         let changed = match command {
             Command::DefineTasks(specs) => self.define_tasks(specs),
@@ -47,7 +50,7 @@
         }
     }
 
-    // Each of the following says whether the command fitted.
+    // Each of the following methods returns whether the preconditions of its command held.
 
     fn define_tasks(&mut self, specs: &[TaskSpec]) -> bool {
         let valid = specs
@@ -56,8 +59,8 @@
             .take(MAX_TASKS);
         let specs: BTreeMap<&str, &TaskSpec> =
             valid.map(|spec| (spec.name.as_str(), spec)).collect();
-        // The holder of a removed task may act until it hears of that: the name is not free before
-        // the lease has ended.
+        // The holder of a removed task may still act until its lease ends. The task is therefore
+        // kept until then, so that no second lease is granted under the same name.
         for (name, task) in &mut self.tasks {
             task.removed = !specs.contains_key(name.as_str());
         }
@@ -65,7 +68,7 @@
             .retain(|_, task| !task.removed || task.lease.is_some());
         for (name, spec) in specs {
             match self.tasks.get_mut(name) {
-                // A run in progress goes on with the new definition.
+                // A run in progress continues under the new definition.
                 Some(task) => task.spec = spec.clone(),
                 None => {
                     self.tasks.insert(name.to_owned(), Task::new(spec.clone()));
@@ -168,7 +171,7 @@
         }
         if let Some(run) = &mut task.run {
             run.halted_reason = None;
-            // A run that halted behind its last step is over.
+            // If the run halted after its last step, no step is left and the run ends.
             if run.next_step >= task.spec.step_count {
                 task.run = None;
             }
--- a/crates/leases/src/task.rs
+++ b/crates/leases/src/task.rs
@@ -1,4 +1,4 @@
-//! A task in the replicated state: its lease, the run in progress, and the history of its steps.
+//! Replicated state of a task: its lease, its run in progress, and the history of its steps.
 
 use crate::spec::{OnUnknownOutcome, Schedule, TaskSpec};
 use crate::token::FencingToken;
@@ -6,24 +6,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Number of steps that the history of a task keeps.
+/// Largest number of records in the step history of a task; older records are dropped.
 pub const MAX_HISTORY: usize = 128;
-/// Characters of a reason that are kept.
+/// Largest number of characters of an outcome's reason; longer reasons are truncated.
 const MAX_REASON_LENGTH: usize = 200;
 
-/// What became of a step.
+/// Outcome of a step that was begun.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was done.
+    /// The step was done.
     Done,
-    /// It did not run, and why.
+    /// The step did not run. Contains the reason.
     NotRun(String),
-    /// It may have run, and why that is not known.
+    /// The step may have run. Contains the reason why the outcome is unknown.
     Unknown(String),
 }
 
 impl Outcome {
-    /// The same with a reason of bounded length.
+    /// Returns the outcome with its reason truncated to [`MAX_REASON_LENGTH`] characters.
     pub(crate) fn truncated(&self) -> Outcome {
         let truncate = |reason: &String| reason.chars().take(MAX_REASON_LENGTH).collect();
         match self {
@@ -34,70 +34,73 @@
     }
 }
 
-/// A step in the history of a task.
+/// Record of a finished step in the history of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StepRecord {
-    /// The number of its run.
+    /// Number of the run that the step belongs to.
     pub run: u64,
-    /// Which step of the run, from 0.
+    /// Index of the step in the run, from 0.
     pub step: u32,
-    /// The token of the lease under which it was begun.
+    /// Fencing token of the lease under which the step was begun.
     pub token: FencingToken,
-    /// The name of the member that began it.
+    /// Name of the member that held this lease and so began the step.
     pub member: String,
-    /// What became of it.
+    /// Outcome of the step.
     pub outcome: Outcome,
 }
 
-/// A lease that was granted and has not ended.
+/// A lease of a task that was granted and has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Who holds it.
+    /// Id of the member that holds the lease.
     pub holder: MemberId,
-    /// Its token.
+    /// Fencing token of the lease.
     pub token: FencingToken,
 }
 
-/// A run in progress.
+/// A run of a task that is in progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Run {
-    /// Its number, from 1.
+    /// Number of the run. The runs of a task are numbered from 1.
     pub number: u64,
-    /// The next step, from 0.
+    /// Index of the next step to be done, from 0.
     pub next_step: u32,
-    /// How often that step was begun and did not run.
+    /// Number of attempts at the next step so far in which the step did not run.
     pub attempts: u32,
-    /// The token under which the next step is begun and not over yet.
+    /// Fencing token of the lease under which the next step was begun; `None` if that step is not
+    /// open.
     pub open_token: Option<FencingToken>,
-    /// Why the run waits for an operator, if it does.
+    /// Why the run is halted until an operator resumes the task; `None` if the run is not halted.
     pub halted_reason: Option<String>,
 }
 
-/// A task in the replicated state.
+/// Replicated state of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Task {
-    /// What the operator defined.
+    /// The operator's definition of the task.
     pub spec: TaskSpec,
-    /// The lease that is granted.
+    /// The task's current lease, if one is granted.
     pub lease: Option<Lease>,
-    /// Whether an operator paused it.
+    /// Whether an operator paused the task.
     pub paused: bool,
-    /// Whether the active policy forbids it.
+    /// Whether the active policy forbids the task.
     pub forbidden: bool,
-    /// Whether the operator's list no longer has it: it stays until its lease has ended.
+    /// Whether the operator's list no longer contains the task. The task is deleted once its lease
+    /// has ended.
     pub removed: bool,
-    /// The run in progress.
+    /// The run in progress, if any.
     pub run: Option<Run>,
-    /// Number of runs that were started.
+    /// Number of runs of the task that were started so far.
     pub runs: u64,
-    /// The day of the last run of a daily task, counted from 1970.
+    /// Day of the last scheduled run of a daily task, in days since 1970; 0 if there was no such
+    /// run.
     pub last_started_day: u64,
-    /// The last steps, oldest first.
+    /// Records of the most recent steps, oldest first, at most [`MAX_HISTORY`].
     pub history: VecDeque<StepRecord>,
 }
 
 impl Task {
-    /// A task that has just been defined.
+    /// Creates the state of a newly defined task.
     pub(crate) fn new(spec: TaskSpec) -> Task {
         Task {
             spec,
@@ -112,17 +115,19 @@
         }
     }
 
-    /// Whether the task is to have a holder.
+    /// Whether the task should have a lease holder. The task must not be paused, forbidden or
+    /// removed, and must either have no steps or have a run in progress that is not halted.
     pub fn runnable(&self) -> bool {
         let is_blocked = self.paused || self.forbidden || self.removed;
-        let run_goes_on = self
+        let has_active_run = self
             .run
             .as_ref()
             .is_some_and(|run| run.halted_reason.is_none());
-        !is_blocked && (self.spec.schedule == Schedule::Always || run_goes_on)
+        !is_blocked && (self.spec.schedule == Schedule::Always || has_active_run)
     }
 
-    /// Why the task does not run, if something keeps it from running.
+    /// Why the task does not run, in words for the operator; `None` if it runs or has no run to
+    /// do.
     pub fn blocked_reason(&self) -> Option<String> {
         if self.removed {
             return Some("not among the tasks any more".to_owned());
@@ -142,22 +147,22 @@
         None
     }
 
-    /// Whether the lease of this token is the one that is granted.
+    /// Whether the task's current lease has this token.
     pub(crate) fn is_held_under(&self, token: FencingToken) -> bool {
         self.lease
             .as_ref()
             .is_some_and(|lease| lease.token == token)
     }
 
-    /// Whether a step is begun and not over.
+    /// Whether a step of the run was begun and has no recorded outcome yet.
     pub(crate) fn has_open_step(&self) -> bool {
         self.run
             .as_ref()
             .is_some_and(|run| run.open_token.is_some())
     }
 
-    /// Ends the open step with this outcome, adds it to the history, and moves the run on or halts
-    /// it.
+    /// Closes the open step with this outcome, adds a record to the history, and continues, halts
+    /// or ends the run. Does nothing if no step is open.
     pub(crate) fn finish_step(&mut self, outcome: Outcome) {
         let Some(run) = self.run.as_mut() else { return };
         let Some(token) = run.open_token.take() else {
@@ -187,7 +192,7 @@
 }
 
 impl Run {
-    /// The run of this number, before its first step.
+    /// Creates the run with this number, before its first step.
     pub(crate) fn new(number: u64) -> Run {
         Run {
             number,
@@ -195,7 +200,7 @@
         }
     }
 
-    /// What follows from a step that is over.
+    /// Updates the run after a finished step: goes to the next step, retries the step or halts.
     fn advance(&mut self, record: &StepRecord, spec: &TaskSpec) {
         match (&record.outcome, spec.on_unknown) {
             (Outcome::Done, _) | (Outcome::Unknown(_), OnUnknownOutcome::Skip) => {
@@ -203,8 +208,8 @@
             }
             (Outcome::Unknown(_), OnUnknownOutcome::Repeat) => {}
             (Outcome::Unknown(reason), OnUnknownOutcome::Halt) => {
-                // An operator who resumes the run has decided about this step: it goes on behind
-                // it.
+                // An operator who resumes the run has checked this step, so the run continues with
+                // the following step.
                 self.go_to_next_step();
                 self.halt(record, &format!("may have run ({reason})"));
             }
--- a/crates/leases/src/token.rs
+++ b/crates/leases/src/token.rs
@@ -1,16 +1,16 @@
-//! Fencing tokens.
+//! Fencing tokens, which number the leases that are granted.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a lease. It grows with every lease that is granted, whatever its task, over the
-/// whole life of a fleet.
+/// Fencing token: the number of a lease.
 ///
-/// A target that has seen a newer token of a task refuses older ones: this protects it from a
-/// holder that stood still between its last look at the clock and its action. The default, 0, is
-/// the token of no lease.
+/// The number increases with every lease that is granted for any task, over the whole lifetime of a
+/// fleet. The target of a task's actions should refuse tokens older than the newest that it has
+/// seen for that task. This protects the target from a holder that was paused between its last
+/// check of the clock and its action. The default, 0, belongs to no lease.
 ///
-/// The serialized form is the bare number.
+/// The token is serialized as a plain number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,17 +18,17 @@
 pub struct FencingToken(u64);
 
 impl FencingToken {
-    /// The token of this number.
+    /// Creates the token with this number.
     pub const fn new(number: u64) -> FencingToken {
         FencingToken(number)
     }
 
-    /// Its number.
+    /// Number of the token.
     pub const fn number(self) -> u64 {
         self.0
     }
 
-    /// The token of the lease that is granted after this one.
+    /// The token of the lease that is granted directly after this one, for whichever task.
     pub(crate) const fn next(self) -> FencingToken {
         FencingToken(self.0 + 1)
     }
