--- a/crates/leases/tests/commands.rs
+++ b/crates/leases/tests/commands.rs
@@ -1,4 +1,6 @@
-//! Random commands: whatever comes, the replicated state keeps the promises of `docs/leases.md`.
+//! Applies random sequences of commands to the replicated state and checks guarantees 1 and 4 of
+//! `docs/leases.md` after each command. Guards against commands that arrive late, twice or out of
+//! order and then grant a second lease or run a step again.
 
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
@@ -67,7 +69,8 @@
     ]
 }
 
-/// Promise 1: a lease is granted only where none is, with a token that is new.
+/// Guarantee 1: a lease is granted only if the task has none, and its token is new. An open step
+/// always belongs to the current lease.
 fn check_lease(before: &Task, now: &Task, last_token: FencingToken) -> Result<(), TestCaseError> {
     let Some(lease) = &now.lease else {
         return Ok(());
@@ -75,7 +78,7 @@
     if now.lease != before.lease {
         prop_assert!(
             before.lease.is_none(),
-            "no lease is replaced before it has ended"
+            "a lease was replaced before it ended"
         );
         prop_assert_eq!(lease.token, last_token);
     }
@@ -84,7 +87,8 @@
     Ok(())
 }
 
-/// Promise 4: a run goes forward, and a step is begun again only if it is recorded as not run.
+/// Guarantee 4: a run never goes back to an earlier step, and a step is begun again only if its
+/// last record says that it did not run.
 fn check_run(before: &Run, now: &Run, task: &Task) -> Result<(), TestCaseError> {
     prop_assert!(now.number != before.number || now.next_step >= before.next_step);
     let was_begun = now.open_token.is_some() && before.open_token.is_none();
@@ -98,7 +102,8 @@
 }
 
 proptest! {
-    /// Promises 1 and 4.
+    /// Guarantees 1 and 4: tokens never decrease, no lease is replaced before its end, and runs
+    /// don't go back.
     #[test]
     fn any_sequence_of_commands_keeps_tokens_growing_and_runs_going_forward(
         commands in prop::collection::vec(any_command(), 1..120),
--- a/crates/leases/tests/common/encoding.rs
+++ b/crates/leases/tests/common/encoding.rs
@@ -1,24 +1,24 @@
-//! The bytes that a replay compares. They hold no names of Rust items, so that a renaming leaves
-//! them as they are.
+//! Encoding of the outputs whose digests a replay compares. The encoding contains no names of Rust
+//! items, so that renaming an item does not change a digest.
 
 use beamgap_leases::{ActionPermit, Command, ExpiredAction, PermitDenied};
 use serde::Serialize;
 
-/// What was put out in one step.
+/// Encoded outputs of all state machines in one simulation step.
 #[derive(Default)]
 pub struct Output {
     bytes: Vec<u8>,
 }
 
 impl Output {
-    /// Adds a tag and a value in its serialized form.
+    /// Appends a tag and the serialized value.
     pub fn value<T: Serialize>(&mut self, tag: u8, value: &T) {
         self.bytes.push(tag);
         self.bytes
-            .extend(postcard::to_stdvec(value).expect("a plain value has a serialized form"));
+            .extend(postcard::to_stdvec(value).expect("serializing to memory does not fail"));
     }
 
-    /// Adds whether a permit was given, or why not.
+    /// Appends a tag and a permit, or the reason why it was denied.
     pub fn permit(&mut self, tag: u8, result: &Result<ActionPermit, PermitDenied>) {
         match result {
             Ok(permit) => self.value(tag, &(0u8, permit.task(), permit.step())),
@@ -34,14 +34,16 @@
         }
     }
 
-    /// Adds the command that records an action which came too late, and gives it back.
+    /// Appends the command that records an action whose permit expired before it started, and
+    /// returns that command.
     pub fn expired(&mut self, tag: u8, expired: ExpiredAction) -> Option<Command> {
         let command = expired.record();
         self.value(tag, &command);
         command
     }
 
-    /// The hash of all that was added (FNV-1a, folded to 32 bits), as eight hexadecimal digits.
+    /// Returns the FNV-1a hash of all appended bytes, folded to 32 bits, as eight hexadecimal
+    /// digits.
     pub fn digest(&self) -> String {
         let offset_basis = 0xcbf2_9ce4_8422_2325_u64;
         let prime = 0x0100_0000_01b3;
--- a/crates/leases/tests/common/member.rs
+++ b/crates/leases/tests/common/member.rs
@@ -1,4 +1,4 @@
-//! A member of the replayed fleet: its lease holder, its clock, and what it is acting on.
+//! A simulated member of the replayed fleet, with its lease holder, its clock and its actions.
 
 use super::encoding::Output;
 use super::random::Random;
@@ -10,19 +10,19 @@
     PollRequest, PollResponse,
 };
 
-/// A permit in use: the action starts at `start_at`.
-struct Planned {
+/// A permitted action that is to start at `start_at`, in milliseconds of simulated time.
+struct PlannedAction {
     permit: ActionPermit,
     start_at: f64,
 }
 
-/// An action under way, whose outcome is known at `end_at`.
-struct Running {
+/// A started action that ends at `end_at`, in milliseconds of simulated time.
+struct RunningAction {
     action: PermittedAction,
     end_at: f64,
 }
 
-/// What a member sends to the leader.
+/// A poll that a member sends to the leader, together with the commands to propose.
 #[derive(Clone)]
 pub struct Poll {
     pub member: usize,
@@ -32,7 +32,7 @@
     pub commands: Vec<Command>,
 }
 
-/// What the leader sends back.
+/// The leader's response to a poll, addressed to the incarnation that sent the poll.
 #[derive(Clone)]
 pub struct Response {
     pub member: usize,
@@ -41,7 +41,7 @@
     pub response: PollResponse,
 }
 
-/// One front end.
+/// A simulated front end.
 pub struct Member {
     index: usize,
     pub incarnation: u64,
@@ -49,16 +49,17 @@
     clock_rate: f64,
     clock_offset: f64,
     next_poll_at: f64,
-    /// Until then the process stands still: it takes nothing in and does nothing.
+    /// Time until which the process is paused: it handles no message and does no work.
     pub frozen_until: f64,
-    /// Until then all its messages are lost.
+    /// Time until which all messages from and to the member are lost.
     pub silent_until: f64,
-    /// Until then no further action is started: too many are under way.
+    /// Time until which the member requests no permits for its ready steps, as if too many actions
+    /// were running.
     busy_until: f64,
-    /// When a member that is shutting down is started again.
+    /// When a draining member is to be restarted; `None` if the member is not draining.
     restart_at: Option<f64>,
-    planned: Vec<Planned>,
-    running: Vec<Running>,
+    planned: Vec<PlannedAction>,
+    running: Vec<RunningAction>,
     injected_bug: InjectedBug,
 }
 
@@ -72,7 +73,7 @@
 }
 
 impl Member {
-    /// A member whose clock runs at its own rate within the bounds.
+    /// Creates a member. Members have different clock rates, all within the drift bound.
     pub fn new(index: usize, injected_bug: InjectedBug) -> Member {
         Member {
             index,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Ends the process and starts it again under the same name.
+    /// Restarts the process under the same name, as a new incarnation without any lease.
     pub fn restart(&mut self) {
         self.incarnation += 1;
         self.restart_at = None;
@@ -100,23 +101,23 @@
         self.running.clear();
     }
 
-    /// Starts a graceful shutdown; the process is started again some seconds later.
+    /// Starts a graceful shutdown. The process is restarted 4 s of simulated time later.
     pub fn drain(&mut self, now: f64) {
         self.holder.start_draining();
         self.restart_at = Some(now + 4000.0);
     }
 
-    /// Whether a graceful shutdown is over, and the process is to be started again.
-    pub fn restarts(&self, now: f64) -> bool {
+    /// Whether the draining member is due to be restarted.
+    pub fn is_restart_due(&self, now: f64) -> bool {
         self.restart_at.is_some_and(|at| at <= now)
     }
 
-    /// The member's reading of the clock.
+    /// The reading of the member's own clock, in milliseconds, at this simulated time.
     fn clock(&self, now: f64) -> f64 {
         now * self.clock_rate + self.clock_offset
     }
 
-    /// Takes a response in.
+    /// Handles a response, unless it was addressed to an earlier incarnation.
     pub fn receive(&mut self, response: Response) {
         if response.incarnation == self.incarnation {
             self.holder
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The next poll to the leader, if it is time for one.
+    /// Returns a poll if the poll interval has passed or the lease holder asks for an early poll.
     pub fn poll(&mut self, now: f64, random: &mut Random, output: &mut Output) -> Option<Poll> {
         let clock = self.clock(now);
         let wants_early_poll = self.holder.wants_early_poll(clock);
@@ -146,7 +147,7 @@
         })
     }
 
-    /// Gets permits, acts, and notes outcomes.
+    /// Ends and starts actions that are due, and requests permits for further actions.
     pub fn work(
         &mut self,
         now: f64,
@@ -192,12 +193,14 @@
         self.observe(clock, any, output);
     }
 
+    /// Plans an action under a permit after a random delay, which may outlast the permit.
     fn plan(&mut self, permit: ActionPermit, now: f64, random: &mut Random) {
-        let most = if random.percent(10) { 6000 } else { 200 };
-        let start_at = now + random.millis(0, most);
-        self.planned.push(Planned { permit, start_at });
+        let max_delay_ms = if random.percent(10) { 6000 } else { 200 };
+        let start_at = now + random.millis(0, max_delay_ms);
+        self.planned.push(PlannedAction { permit, start_at });
     }
 
+    /// Starts the planned actions that are due, and records those whose permit has expired.
     fn start_actions(
         &mut self,
         now: f64,
@@ -206,16 +209,17 @@
         coverage: &mut Coverage,
     ) {
         let clock = self.clock(now);
-        let (due, later): (Vec<Planned>, Vec<Planned>) = std::mem::take(&mut self.planned)
-            .into_iter()
-            .partition(|planned| planned.start_at <= now);
+        let (due, later): (Vec<PlannedAction>, Vec<PlannedAction>) =
+            std::mem::take(&mut self.planned)
+                .into_iter()
+                .partition(|planned| planned.start_at <= now);
         self.planned = later;
         for planned in due {
             match planned.permit.start(clock) {
                 Ok(action) => {
                     output.value(b't', &action.token());
                     let end_at = now + random.millis(0, 500);
-                    self.running.push(Running { action, end_at });
+                    self.running.push(RunningAction { action, end_at });
                 }
                 Err(expired) => {
                     coverage.expired += 1;
@@ -226,13 +230,15 @@
         }
     }
 
+    /// Ends the running actions that are due, each with a random outcome.
     fn end_actions(&mut self, now: f64, random: &mut Random, coverage: &mut Coverage) {
-        let (due, later): (Vec<Running>, Vec<Running>) = std::mem::take(&mut self.running)
-            .into_iter()
-            .partition(|running| running.end_at <= now);
+        let (due, later): (Vec<RunningAction>, Vec<RunningAction>) =
+            std::mem::take(&mut self.running)
+                .into_iter()
+                .partition(|running| running.end_at <= now);
         self.running = later;
         for running in due {
-            coverage.acted += 1;
+            coverage.actions += 1;
             let outcome = match random.below(10) {
                 0 => Outcome::NotRun("refused ".repeat(30)),
                 1 => Outcome::NotRun("no connection".to_owned()),
@@ -243,6 +249,7 @@
         }
     }
 
+    /// Adds the member's active leases, and its view of the task's lease, to the output.
     fn observe(&self, clock: f64, task: &str, output: &mut Output) {
         let active = self.holder.active_leases(clock);
         let held: Vec<_> = active
--- a/crates/leases/tests/common/mod.rs
+++ b/crates/leases/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded world of members and leaders in which the state machines of this crate are driven, step
-//! by step.
+//! A seeded simulation of a fleet that drives the state machines of this crate step by step, with
+//! random faults of members, leaders and messages.
 
 pub mod encoding;
 pub mod member;
--- a/crates/leases/tests/common/random.rs
+++ b/crates/leases/tests/common/random.rs
@@ -1,10 +1,11 @@
-//! A small seeded generator (SplitMix64): the same numbers on every machine.
+//! A seeded pseudo-random number generator (SplitMix64) that gives the same numbers on every
+//! machine.
 
-/// A source of pseudo-random numbers.
+/// A SplitMix64 generator of pseudo-random numbers.
 pub struct Random(u64);
 
 impl Random {
-    /// A source that gives the same numbers for the same seed.
+    /// Creates a generator that returns the same sequence of numbers for the same seed.
     pub fn new(seed: u64) -> Random {
         Random(seed)
     }
@@ -17,22 +18,22 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number from 0 to `bound`, without `bound` itself.
+    /// Returns a random number from 0 up to, but not including, `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
-    /// An index into a list of this length.
+    /// Returns a random index into a list of this length.
     pub fn index(&mut self, length: usize) -> usize {
         self.below(length as u64) as usize
     }
 
-    /// True in so many of a hundred draws.
+    /// Returns true with a probability of `chance` percent.
     pub fn percent(&mut self, chance: u64) -> bool {
         self.below(100) < chance
     }
 
-    /// A number of whole milliseconds between two bounds.
+    /// Returns a random whole number of milliseconds from `least` to `most`, both included.
     pub fn millis(&mut self, least: u64, most: u64) -> f64 {
         (least + self.below(most - least + 1)) as f64
     }
--- a/crates/leases/tests/common/tasks.rs
+++ b/crates/leases/tests/common/tasks.rs
@@ -1,16 +1,17 @@
-//! Tasks of all schedules, some of them invalid.
+//! Task definitions for the simulation, with all kinds of schedules, and invalid definitions.
 
 use super::random::Random;
 use beamgap_leases::{OnUnknownOutcome, Schedule, TaskSpec};
 
-/// Names that commands may speak of; the last one is never defined.
+/// Task names that random commands refer to. A task with the last name is never defined.
 pub const NAMES: [&str; 8] = [
     "always", "pinned", "asked", "repeat", "every", "daily", "slow", "nowhere",
 ];
 
-/// A valid list of tasks, changed at random from the usual one.
+/// Returns the default tasks with random changes: other values, one task removed, or an invalid
+/// task added.
 pub fn random_tasks(random: &mut Random) -> Vec<TaskSpec> {
-    let mut tasks = usual_tasks();
+    let mut tasks = default_tasks();
     for task in &mut tasks {
         if random.percent(25) {
             task.step_count = 1 + random.below(4) as u32;
@@ -33,8 +34,8 @@
     tasks
 }
 
-/// One task of each schedule and of each rule for steps that may have run.
-pub fn usual_tasks() -> Vec<TaskSpec> {
+/// Returns tasks that cover each schedule and each rule for steps with an unknown outcome.
+pub fn default_tasks() -> Vec<TaskSpec> {
     let daily = Schedule::Daily {
         minute: 600,
         window: 90,
@@ -83,7 +84,7 @@
     ]
 }
 
-/// A task that is refused, each time for one of the reasons there are.
+/// Returns a task definition that fails validation for a randomly chosen reason.
 pub fn invalid_task(random: &mut Random) -> TaskSpec {
     let valid = TaskSpec::new("invalid", Schedule::OnDemand, "h");
     match random.below(9) {
--- a/crates/leases/tests/common/world.rs
+++ b/crates/leases/tests/common/world.rs
@@ -1,21 +1,23 @@
-//! The fleet: two leaders that take turns, four members, the replicated state, and messages that
-//! are lost or late.
+//! A simulated fleet: four members, the replicated state, and two processes of which at most one
+//! leads at a time. Messages may be lost, delayed or duplicated.
 
 use super::encoding::Output;
 use super::member::{Member, Poll, Response};
 use super::random::Random;
-use super::tasks::{invalid_task, random_tasks, usual_tasks, NAMES};
+use super::tasks::{default_tasks, invalid_task, random_tasks, NAMES};
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
     ActionPermit, ClockBounds, Command, FencingToken, InjectedBug, LeaseLeader, Outcome,
     PermitDenied, State,
 };
 
-const MEMBERS: usize = 4;
-/// Simulated wall-clock minutes pass much faster than the members' clocks, so that days go by.
-const MILLIS_PER_MINUTE: f64 = 100.0;
+const MEMBER_COUNT: usize = 4;
+/// Milliseconds of simulated time per minute of the simulated wall clock. The wall clock runs much
+/// faster than the members' clocks, so that a simulation of some minutes covers several days.
+const MS_PER_WALL_CLOCK_MINUTE: f64 = 100.0;
 
-/// What has come about in a world, so that the test can show that it exercised the machines.
+/// Counts of events in a simulation. The test checks them to show that the simulation exercises the
+/// state machines sufficiently.
 #[derive(Default)]
 pub struct Coverage {
     pub permits: usize,
@@ -25,7 +27,7 @@
     pub denied_step_not_begun: usize,
     pub not_run: usize,
     pub expired: usize,
-    pub acted: usize,
+    pub actions: usize,
     pub halted: usize,
     pub finished_runs: usize,
     pub unknown_outcomes: usize,
@@ -34,7 +36,7 @@
 }
 
 impl Coverage {
-    /// Counts whether a permit was given.
+    /// Counts a permit, or a denial by its reason.
     pub fn count(&mut self, result: &Result<ActionPermit, PermitDenied>) {
         match result {
             Ok(_) => self.permits += 1,
@@ -46,13 +48,13 @@
     }
 }
 
-/// A message on its way.
+/// A message that was sent and is delivered at `arrives_at`.
 struct InFlight<T> {
     message: T,
     arrives_at: f64,
 }
 
-/// The whole fleet.
+/// The simulated fleet. Times are in milliseconds of simulated time.
 pub struct World {
     random: Random,
     now: f64,
@@ -66,7 +68,7 @@
     pub coverage: Coverage,
 }
 
-/// Takes out what has arrived, in the order in which it was sent.
+/// Removes and returns the messages that have arrived by `now`, in the order of sending.
 fn arrived<T>(in_flight: &mut Vec<InFlight<T>>, now: f64) -> Vec<T> {
     let (due, later): (Vec<_>, Vec<_>) = std::mem::take(in_flight)
         .into_iter()
@@ -76,10 +78,10 @@
 }
 
 impl World {
-    /// A fleet with the usual tasks, led by the first leader.
+    /// Creates a fleet with the default tasks, in which the first of the two processes leads.
     pub fn new(seed: u64, injected_bug: InjectedBug) -> World {
         let mut state = State::default();
-        state.apply(&Command::DefineTasks(usual_tasks()));
+        state.apply(&Command::DefineTasks(default_tasks()));
         let mut leaders = [
             LeaseLeader::new(ClockBounds::default(), injected_bug),
             LeaseLeader::new(ClockBounds::default(), injected_bug),
@@ -91,7 +93,7 @@
             state,
             leaders,
             leader: Some(0),
-            members: (0..MEMBERS)
+            members: (0..MEMBER_COUNT)
                 .map(|index| Member::new(index, injected_bug))
                 .collect(),
             polls: Vec::new(),
@@ -101,28 +103,32 @@
         }
     }
 
-    /// Lets some time pass, and gives the digest of all that was put out meanwhile.
+    /// Advances the simulation by a random time and returns the digest of all outputs of this
+    /// step.
     pub fn step(&mut self) -> String {
         let mut output = Output::default();
         self.now += self.random.millis(30, 260);
         if self.random.percent(9) {
-            self.disturb(&mut output);
+            self.inject_random_event(&mut output);
         }
         if self.leader.is_none() && self.random.percent(5) {
             self.change_leader();
         }
-        self.lead(&mut output);
+        self.run_leader(&mut output);
         self.commit();
         self.run_members(&mut output);
         self.observe(&mut output);
         output.digest()
     }
 
+    /// The reading of the leader's own clock, in milliseconds. The two clocks drift apart.
     fn leader_clock(&self, leader: usize) -> f64 {
         let rate = [1.03, 0.97][leader];
         self.now * rate + 50_000.0 * leader as f64
     }
 
+    /// Sends a command to the log. It is lost with a probability of 5%, otherwise delayed at
+    /// random.
     fn propose(&mut self, command: Command) {
         if self.random.percent(95) {
             let arrives_at = self.now + self.random.millis(0, 120);
@@ -133,7 +139,7 @@
         }
     }
 
-    fn lead(&mut self, output: &mut Output) {
+    fn run_leader(&mut self, output: &mut Output) {
         let polls = arrived(&mut self.polls, self.now);
         let Some(leader) = self.leader else { return };
         let clock = self.leader_clock(leader);
@@ -157,7 +163,7 @@
                 });
             }
         }
-        let minute = (self.now / MILLIS_PER_MINUTE) as u64;
+        let minute = (self.now / MS_PER_WALL_CLOCK_MINUTE) as u64;
         let known_minute = self.random.percent(90).then_some(minute);
         let commands = self.leaders[leader].tick(clock, known_minute, &self.state);
         output.value(b'l', &commands);
@@ -207,7 +213,7 @@
             }
         }
         for member in &mut self.members {
-            if member.restarts(self.now) {
+            if member.is_restart_due(self.now) {
                 member.restart();
             }
             if self.now < member.frozen_until {
@@ -244,17 +250,17 @@
         }
     }
 
-    /// Something out of the ordinary: an operator's command, a fault, or a command that no longer
-    /// fits.
-    fn disturb(&mut self, output: &mut Output) {
+    /// Injects a random event: an operator's command, a fault of a process or of the network, or a
+    /// command whose preconditions may no longer hold.
+    fn inject_random_event(&mut self, output: &mut Output) {
         let name = NAMES[self.random.index(NAMES.len())].to_owned();
-        let member = self.random.index(MEMBERS);
+        let member = self.random.index(MEMBER_COUNT);
         match self.random.below(20) {
             0 | 1 => {
                 let tasks = random_tasks(&mut self.random);
                 self.propose(Command::DefineTasks(tasks));
             }
-            2 => self.propose(Command::DefineTasks(usual_tasks())),
+            2 => self.propose(Command::DefineTasks(default_tasks())),
             3 | 4 => self.propose(Command::SetPaused {
                 task: name,
                 paused: true,
@@ -285,10 +291,11 @@
             15 => self.members[member].silent_until = self.now + self.random.millis(500, 9000),
             16 => self.members[member].frozen_until = self.now + self.random.millis(500, 9000),
             17 | 18 => self.change_leader(),
-            _ => self.stray(name, output),
+            _ => self.apply_stray_command(name, output),
         }
     }
 
+    /// Lets the leader release the task's lease, if both exist.
     fn release(&mut self, name: &str) {
         let token = self
             .state
@@ -302,6 +309,8 @@
         }
     }
 
+    /// Ends the current leadership and drops uncommitted commands. Then one of the two processes
+    /// becomes leader, or none.
     fn change_leader(&mut self) {
         self.coverage.leader_changes += 1;
         if let Some(leader) = self.leader.take() {
@@ -317,8 +326,9 @@
         }
     }
 
-    /// A command that may not fit the state, applied at once; and a task that is refused.
-    fn stray(&mut self, task: String, output: &mut Output) {
+    /// Applies a command whose preconditions may not hold, and validates an invalid task
+    /// definition.
+    fn apply_stray_command(&mut self, task: String, output: &mut Output) {
         let last_token = self.state.last_token.number();
         let token = FencingToken::new(last_token.saturating_sub(self.random.below(3)));
         let step = self.random.below(3) as u32;
@@ -352,7 +362,7 @@
             .map(|problem| (problem.key(), problem.to_string()));
         self.coverage.rejected_tasks += usize::from(problem.is_some());
         output.value(b'i', &problem);
-        let member = self.random.index(MEMBERS);
+        let member = self.random.index(MEMBER_COUNT);
         output.value(b'f', &invalid.allows(&format!("m{member}"), "east"));
     }
 }
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,5 +1,7 @@
-//! 300 members and up to 1,000 leases on a simulated clock, with one leader and commits that take
-//! no time. The promises are those of `docs/leases.md`.
+//! Simulates up to 300 members and 1,000 leases on one clock, with a single leader and immediate
+//! commits. Guards against two members holding the same lease, and against leases that are placed
+//! unevenly, move without need or are granted again too late after a member fails. The numbered
+//! guarantees are those of `docs/leases.md`.
 
 use beamgap_fleet_types::MemberId;
 use beamgap_leases::{
@@ -11,17 +13,17 @@
 const LEASE_MS: f64 = 5000.0;
 const POLL_INTERVAL_MS: f64 = 830.0;
 const STEP_MS: f64 = 100.0;
-/// The polls of successive members are this far apart.
+/// Offset between the polls of members with successive indexes, in milliseconds.
 const POLL_STAGGER_MS: f64 = 37.0;
 
-/// Who holds a task: the index of the member, and the token.
+/// The holder of a task: the index of the member, and the fencing token of its lease.
 type Holding = (usize, FencingToken);
 
-/// Responses of the leader.
+/// Counts of the leader's responses to polls.
 #[derive(Clone, Copy, Default)]
 struct ResponseCounts {
     all: usize,
-    /// Those that held a list of leases.
+    /// Number of responses that contained a list of leases.
     with_list: usize,
 }
 
@@ -64,8 +66,8 @@
         self.members[member] = Some(LeaseHolder::new(id, "", InjectedBug::None));
     }
 
-    /// A tenth of a second passes: members whose poll is due poll, then the leader looks at the
-    /// state.
+    /// Advances the clock by [`STEP_MS`]. Members whose poll is due poll the leader, then the
+    /// leader ends and grants leases, and all resulting commands are applied.
     fn step(&mut self) {
         self.now += STEP_MS;
         let mut commands = Vec::new();
@@ -89,7 +91,8 @@
         }
     }
 
-    /// Who holds which task now. Promise 1: no task has two holders.
+    /// Returns the holder of each task at the current time. Checks guarantee 1: no task has two
+    /// holders.
     fn holders(&self) -> BTreeMap<String, Holding> {
         let mut holders = BTreeMap::new();
         for (index, member) in self.members.iter().enumerate() {
@@ -97,12 +100,17 @@
             for lease in member.active_leases(self.now) {
                 let view = lease.view;
                 let other = holders.insert(view.task.clone(), (index, view.token));
-                assert_eq!(other, None, "{} is held by two at {}", view.task, self.now);
+                assert_eq!(
+                    other, None,
+                    "{} has two holders at {} ms",
+                    view.task, self.now
+                );
             }
         }
         holders
     }
 
+    /// Runs the simulation for this time and checks for two holders of a task after each step.
     fn run(&mut self, duration_ms: f64) {
         let until = self.now + duration_ms;
         while self.now < until {
@@ -112,7 +120,8 @@
     }
 }
 
-/// Promise 5.
+/// Guarantee 5: leases are placed evenly, and as long as nothing changes, no command goes to the
+/// log and no response repeats the list of leases.
 #[test]
 fn a_thousand_leases_spread_evenly_over_300_members_and_cost_no_messages_at_rest() {
     let mut fleet = Fleet::new(300, 1000);
@@ -125,21 +134,28 @@
     let most = lease_counts.values().max().unwrap();
     assert_eq!(lease_counts.len(), 300);
     assert_eq!(fleet.holders().len(), 1000);
-    assert!(most - least <= 1, "from {least} to {most} each");
+    assert!(
+        most - least <= 1,
+        "members hold from {least} to {most} leases each"
+    );
 
     let state = fleet.state.clone();
     let before = fleet.responses;
     fleet.run(10_000.0);
     let lists = fleet.responses.with_list - before.with_list;
     let responses = fleet.responses.all - before.all;
-    assert_eq!(fleet.state, state, "at rest nothing goes to the log");
+    assert_eq!(
+        fleet.state, state,
+        "no command may be applied while nothing changes"
+    );
     assert_eq!(
         lists, 0,
-        "of {responses} responses none repeats a list that is known"
+        "none of {responses} responses may repeat a list that the member has"
     );
 }
 
-/// Promises 1 and 3.
+/// Guarantees 1 and 3: each lease of a failed member moves to another member within the length of
+/// the lease and 2 s, and never has two holders.
 #[test]
 fn when_one_of_300_members_dies_each_second_its_leases_move_within_two_seconds_of_their_end() {
     let mut fleet = Fleet::new(300, 300);
@@ -166,7 +182,7 @@
             });
         }
     }
-    println!("longest without a holder: {longest_ms:.0} ms, lease {LEASE_MS:.0} ms");
+    println!("longest time without a holder: {longest_ms:.0} ms, lease {LEASE_MS:.0} ms");
     assert!(
         longest_ms > 0.0 && longest_ms <= LEASE_MS + 2000.0,
         "{longest_ms}"
@@ -179,7 +195,8 @@
     );
 }
 
-/// Promise 5.
+/// Guarantee 5: a member that keeps restarting is granted no lease, so that no lease moves because
+/// of its restarts.
 #[test]
 fn a_flapping_member_gets_no_lease_while_others_are_present() {
     let mut fleet = Fleet::new(4, 40);
@@ -192,18 +209,19 @@
         fleet.run(2000.0);
         assert!(
             fleet.holders().values().all(|(member, _)| *member != 0),
-            "it is still settling"
+            "a member that is still settling holds a lease"
         );
         fleet.members[0] = None;
         fleet.run(1000.0);
     }
     assert_eq!(
         fleet.state.last_token, last_token,
-        "no lease moved because of it"
+        "a lease moved because of the flapping member"
     );
 }
 
-/// Promise 3.
+/// Guarantee 3: a draining member gives up all its leases within two polls, and the other members
+/// are granted them.
 #[test]
 fn a_draining_member_hands_its_leases_over_within_two_polls() {
     let mut fleet = Fleet::new(3, 30);
@@ -216,23 +234,29 @@
         "{holders:?}"
     );
     fleet.run(POLL_INTERVAL_MS);
-    assert_eq!(fleet.holders().len(), 30, "others hold them");
+    assert_eq!(
+        fleet.holders().len(),
+        30,
+        "a lease was not granted to another member"
+    );
 }
 
+/// Removing a task and defining it again must not free its lease: the holder, which receives no
+/// messages, may act until the lease has expired.
 #[test]
 fn a_task_that_is_removed_and_defined_again_moves_only_after_its_lease_has_ended() {
     let mut fleet = Fleet::new(2, 1);
     fleet.run(2000.0);
     let spec = fleet.state.tasks["t0"].spec.clone();
     let (holder, _) = fleet.holders()["t0"];
-    // The holder hears nothing of the change.
+    // The holder stops polling, so it is not notified of the change.
     let silent = fleet.members[holder].take().expect("the holder is running");
     fleet.state.apply(&Command::DefineTasks(Vec::new()));
     fleet.state.apply(&Command::DefineTasks(vec![spec]));
     for _ in 0..60 {
         fleet.step();
         let held = silent.active_leases(fleet.now).count() + fleet.holders().len();
-        assert!(held <= 1, "two hold it at {}", fleet.now);
+        assert!(held <= 1, "two members hold the task at {} ms", fleet.now);
     }
-    assert_eq!(fleet.holders().len(), 1, "it moved in the end");
+    assert_eq!(fleet.holders().len(), 1, "the task has no new holder");
 }
--- a/crates/leases/tests/replay.rs
+++ b/crates/leases/tests/replay.rs
@@ -1,8 +1,9 @@
-//! Replays seeded worlds and compares what the state machines put out with a recording, step by
-//! step.
+//! Replays seeded simulations and compares the outputs of the state machines with recordings, step
+//! by step. Guards against unintended changes of behavior or of serialized forms.
 //!
-//! A recording has one line a step: the digest of all commands, replies, permits and denials of
-//! that step and of the state behind it. To record anew: `cargo test -p beamgap-leases --test
+//! The first line of a recording is the digest of the results of [`ClockBounds`]. Each further line
+//! is the digest of one step: all commands, responses, permits and denials of the step, and the
+//! replicated state after it. To write new recordings, run `cargo test -p beamgap-leases --test
 //! replay -- --ignored`.
 
 mod common;
@@ -13,7 +14,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// A world that is recorded.
+/// A simulation whose digests are recorded in a file.
 struct Scenario {
     name: &'static str,
     seed: u64,
@@ -67,11 +68,13 @@
 ];
 
 impl Scenario {
+    /// Path of the recording.
     fn path(&self) -> PathBuf {
         let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/recordings");
         folder.join(format!("{}.txt", self.name))
     }
 
+    /// Runs the simulation and returns the lines of its recording and its event counts.
     fn play(&self) -> (Vec<String>, Coverage) {
         let mut world = World::new(self.seed, self.injected_bug);
         let mut lines = vec![clock_digest()];
@@ -80,7 +83,7 @@
     }
 }
 
-/// The digest of what follows from the bounds on clocks.
+/// Returns the digest of the lease times that several [`ClockBounds`] result in.
 fn clock_digest() -> String {
     let mut output = Output::default();
     for (max_drift, safety_margin) in [(0.05, 0.05), (0.0, 0.0), (0.07, 0.013), (0.6, 0.5)] {
@@ -111,7 +114,7 @@
         for (step, (played, recorded)) in played.iter().zip(&recorded).enumerate() {
             assert_eq!(
                 played, recorded,
-                "{}: step {step} is the first that differs",
+                "{}: line {step} is the first that differs",
                 scenario.name
             );
         }
@@ -147,7 +150,7 @@
         ),
         ("recorded as not run", total(|c| c.not_run), 3),
         ("expired before the action", total(|c| c.expired), 50),
-        ("actions", total(|c| c.acted), 1000),
+        ("actions", total(|c| c.actions), 1000),
         ("halted runs", total(|c| c.halted), 20),
         ("finished runs", total(|c| c.finished_runs), 50),
         ("unknown outcomes", total(|c| c.unknown_outcomes), 50),
@@ -155,16 +158,19 @@
         ("invalid tasks", total(|c| c.rejected_tasks), 30),
     ] {
         println!("{count} {what}");
-        assert!(count >= least, "{count} {what}, {least} are needed");
+        assert!(
+            count >= least,
+            "{count} {what}, at least {least} are needed"
+        );
     }
 }
 
 #[test]
-#[ignore = "writes the recordings anew"]
+#[ignore = "overwrites the recordings"]
 fn record() {
     for scenario in &SCENARIOS {
         let (lines, _) = scenario.play();
         fs::write(scenario.path(), lines.join("\n") + "\n")
-            .expect("the folder of recordings is writable");
+            .expect("the recordings folder is writable");
     }
 }
