--- a/src/node/backend/engine_registry.rs
+++ b/src/node/backend/engine_registry.rs
@@ -1,4 +1,4 @@
-//! Which engines there are and where, with the connections to each: shared by all backends.
+//! Registry of known engines with their addresses, states and connections; every backend has one.
 
 use crate::node::discovery::ListedEngine;
 use crate::node::slab::SlotKey;
@@ -6,27 +6,27 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
-/// An engine as a backend knows it.
+/// An engine as seen by a backend.
 #[derive(Debug)]
 pub struct Engine {
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
-    /// Whether it takes work.
+    /// The state from service discovery; only a serving engine accepts new work.
     pub state: EngineState,
-    /// The connections to it.
-    pub links: Vec<SlotKey>,
-    /// How long a connection to it may be quiet and still be used, and until when that is believed.
-    pub keeps: Option<(f64, f64)>,
-    /// When a byte last came from it, on any connection.
-    pub heard: f64,
+    /// The open connections to the engine.
+    pub connections: Vec<SlotKey>,
+    /// Learned limit in milliseconds: connections idle for longer are not reused. The second value is its expiry.
+    pub idle_limit: Option<(f64, f64)>,
+    /// When a byte was last received from the engine, on any connection.
+    pub last_received: f64,
 }
 
-/// The engines by id. An address may pass from one id to another; nothing is keyed by it.
+/// Engines by id. An address may be reassigned to another engine, so addresses are not used as keys.
 #[derive(Debug, Default)]
 pub struct EngineRegistry(BTreeMap<EngineId, Engine>);
 
 impl EngineRegistry {
-    /// Takes news in; gives the connections that lead to nobody any more.
+    /// Applies an engine list and returns the connections to close because their address is out of date.
     pub fn apply(&mut self, kind: ListKind, listings: &[ListedEngine]) -> Vec<SlotKey> {
         if kind != ListKind::Changes {
             let named: HashSet<&EngineId> = listings.iter().map(|l| &l.member.engine).collect();
@@ -37,64 +37,70 @@
         for listing in listings {
             let (address, state) = (listing.address, listing.member.state);
             let id = &listing.member.engine;
-            let new = || Engine { address, state, links: Vec::new(), keeps: None, heard: f64::NEG_INFINITY };
+            let new = || Engine {
+                address,
+                state,
+                connections: Vec::new(),
+                idle_limit: None,
+                last_received: f64::NEG_INFINITY,
+            };
             let engine = self.0.entry(id.clone()).or_insert_with(new);
             if engine.address != address {
-                stale.extend(&engine.links);
+                stale.extend(&engine.connections);
             }
             (engine.address, engine.state) = (address, state);
             if state != EngineState::Removed {
-                // Guards against an address that has passed to another id: whoever held it before is dead.
+                // The address was reassigned: other engines that had it and are not serving are gone.
                 let before = self.0.iter().filter(|(other, e)| *other != id && e.address == address);
                 stale.extend(
-                    before.filter(|(_, e)| e.state != EngineState::Serving).flat_map(|(_, e)| &e.links),
+                    before.filter(|(_, e)| e.state != EngineState::Serving).flat_map(|(_, e)| &e.connections),
                 );
             }
         }
-        self.0.retain(|_, e| e.state != EngineState::Removed || !e.links.is_empty());
+        self.0.retain(|_, e| e.state != EngineState::Removed || !e.connections.is_empty());
         stale
     }
 
-    /// An engine that may be sent new work.
+    /// Returns an engine if it accepts new work.
     pub fn serving(&self, id: &EngineId) -> Option<&Engine> {
         self.0.get(id).filter(|engine| engine.state == EngineState::Serving)
     }
 
-    /// Where an engine listens.
+    /// The address on which an engine listens.
     pub fn address(&self, id: &EngineId) -> Option<SocketAddr> {
         self.0.get(id).map(|engine| engine.address)
     }
 
-    /// How long a connection to an engine may be quiet and still be used, as far as resets have shown.
-    pub fn keeps(&self, id: &EngineId, now: f64) -> f64 {
-        let keeps = self.0.get(id).and_then(|engine| engine.keeps).filter(|(_, until)| now < *until);
-        keeps.map_or(f64::INFINITY, |(ms, _)| ms)
+    /// How many milliseconds a connection may be idle and still be reused; infinite without a learned limit.
+    pub fn idle_limit_ms(&self, id: &EngineId, now: f64) -> f64 {
+        let limit = self.0.get(id).and_then(|engine| engine.idle_limit).filter(|(_, until)| now < *until);
+        limit.map_or(f64::INFINITY, |(ms, _)| ms)
     }
 
-    /// When a byte last came from an engine, on any connection.
-    pub fn heard(&self, id: &EngineId) -> f64 {
-        self.0.get(id).map_or(f64::NEG_INFINITY, |engine| engine.heard)
+    /// When a byte was last received from an engine, on any connection.
+    pub fn last_received(&self, id: &EngineId) -> f64 {
+        self.0.get(id).map_or(f64::NEG_INFINITY, |engine| engine.last_received)
     }
 
-    /// An engine, whatever its state.
+    /// Returns an engine in any state.
     pub fn get_mut(&mut self, id: &EngineId) -> Option<&mut Engine> {
         self.0.get_mut(id)
     }
 
-    /// The connections to an engine.
-    pub fn links(&self, id: &EngineId) -> &[SlotKey] {
-        self.0.get(id).map_or(&[], |engine| &engine.links)
+    /// The open connections to an engine.
+    pub fn connections(&self, id: &EngineId) -> &[SlotKey] {
+        self.0.get(id).map_or(&[], |engine| &engine.connections)
     }
 
-    /// The most connections that one engine has.
-    pub fn links_most(&self) -> usize {
-        self.0.values().map(|engine| engine.links.len()).max().unwrap_or(0)
+    /// The highest connection count of any engine.
+    pub fn max_connections(&self) -> usize {
+        self.0.values().map(|engine| engine.connections.len()).max().unwrap_or(0)
     }
 
-    /// A connection to an engine is no more.
-    pub fn unlink(&mut self, id: &EngineId, key: SlotKey) {
+    /// Removes a closed connection from its engine.
+    pub fn remove_connection(&mut self, id: &EngineId, key: SlotKey) {
         if let Some(engine) = self.0.get_mut(id) {
-            engine.links.retain(|link| *link != key);
+            engine.connections.retain(|connection| *connection != key);
         }
     }
 }
--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -1,110 +1,115 @@
-//! What is read from and written to a connection.
+//! Reads from and writes to line protocol connections, and handles the messages of engines.
 
 use super::*;
 
 impl LineProtocolBackend {
-    /// A socket has something to say.
+    /// Handles a readiness event of a connection: completes the dial, reads messages and writes queued commands.
     pub fn ready(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
-        if !conn.up {
-            match conn.link.connected() {
+        let Some(conn) = self.connections.get_mut(key) else { return };
+        if !conn.connected {
+            match conn.socket.connected() {
                 None => return,
                 Some(Err(e)) => {
-                    // It was up if it was reset: that proves no failure to connect.
-                    conn.up = e.kind() == ErrorKind::ConnectionReset;
-                    return self.lose(key, Outcome::ConnectFailed, context);
+                    // A reset shows that the connection had been established, so its unsent attempts may move to
+                    // another connection.
+                    conn.connected = e.kind() == ErrorKind::ConnectionReset;
+                    return self.close(key, Outcome::ConnectFailed, context);
                 }
                 Some(Ok(())) => {
-                    trace!(target: ACCOUNT, "up: engine={} ms={:.1}", conn.engine.0, context.now - conn.since);
-                    (conn.up, conn.heard) = (true, context.now);
-                    conn.look_at(context.now + LOOK_MS, key, context.timers);
+                    trace!(target: ACCOUNT, "up: engine={} ms={:.1}", conn.engine.0, context.now - conn.dialed_at);
+                    (conn.connected, conn.silent_since) = (true, context.now);
+                    conn.schedule_check(context.now + CHECK_INTERVAL_MS, key, context.timers);
                 }
             }
         }
         if self.read(key, context).is_err() {
-            self.learn_keeps(key, context);
-            if let Some(conn) = self.conns.get(key).filter(|conn| conn.load() > 0) {
+            self.record_idle_loss(key, context);
+            if let Some(conn) = self.connections.get(key).filter(|conn| conn.load() > 0) {
                 context.log.push(format!("lost: engine={} attempts={}", conn.engine.0, conn.load()));
             }
-            return self.lose(key, Outcome::Reset, context);
+            return self.close(key, Outcome::Reset, context);
         }
         self.flush(key, context);
     }
 
-    pub(super) fn read(&mut self, key: SlotKey, context: &mut BackendContext) -> Result<(), Lost> {
+    pub(super) fn read(&mut self, key: SlotKey, context: &mut BackendContext) -> Result<(), ConnectionLost> {
         loop {
-            let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
-            let before = conn.link.input.len();
-            let end = conn.link.read(BODY_MOST + 2 * LINE_MOST);
-            if conn.link.input.len() > before {
-                (conn.heard, conn.used, conn.quiet, conn.asked) = (context.now, context.now, 0.0, None);
-                let engine = self.roster.get_mut(&conn.engine);
-                engine.into_iter().for_each(|engine| engine.heard = context.now);
+            let Some(conn) = self.connections.get_mut(key) else { return Ok(()) };
+            let before = conn.socket.input.len();
+            let end = conn.socket.read(MAX_BODY_BYTES + 2 * MAX_LINE_BYTES);
+            if conn.socket.input.len() > before {
+                (conn.silent_since, conn.last_used, conn.idle_before_request, conn.probe_sent_at) =
+                    (context.now, context.now, 0.0, None);
+                let engine = self.engines.get_mut(&conn.engine);
+                engine.into_iter().for_each(|engine| engine.last_received = context.now);
             }
-            let input = std::mem::take(&mut conn.link.input);
+            let input = std::mem::take(&mut conn.socket.input);
             let mut used = 0;
             let mut result = Ok(());
             while result.is_ok() {
-                match line(&input[used..]) {
+                match parse_line(&input[used..]) {
                     Ok(None) => break,
                     Ok(Some((bytes, line))) => {
                         used += bytes;
-                        result = self.line(key, line, context);
+                        result = self.handle_line(key, line, context);
                     }
-                    Err(lost) => result = Err(lost),
+                    Err(error) => result = Err(error),
                 }
             }
-            let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
-            conn.link.input = input;
-            conn.link.used(used);
+            let Some(conn) = self.connections.get_mut(key) else { return Ok(()) };
+            conn.socket.input = input;
+            conn.socket.used(used);
             result?;
             match end {
-                Ok(ReadEnd::Open) if conn.link.has_more() => {}
+                Ok(ReadEnd::Open) if conn.socket.has_more() => {}
                 Ok(ReadEnd::Open) => return Ok(()),
-                Ok(ReadEnd::Closed) | Err(_) => return Err(Lost),
+                Ok(ReadEnd::Closed) | Err(_) => return Err(ConnectionLost),
             }
         }
     }
 
-    pub(super) fn line(
+    pub(super) fn handle_line(
         &mut self,
         key: SlotKey,
         line: Line<'_>,
         context: &mut BackendContext,
-    ) -> Result<(), Lost> {
-        let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
-        if matches!(line.word, "green" | "red") {
-            // Either tells that the connection works; how the engine is, the list and the answers tell.
-            // Answers come in any order, but a cancel written before `there` has been read before its answer.
-            if let Some(place) = conn.called_off.iter().position(|(tag, ..)| tag == line.id) {
-                let read = conn.called_off.drain(..=place).map(|(_, at, _)| at);
+    ) -> Result<(), ConnectionLost> {
+        let Some(conn) = self.connections.get_mut(key) else { return Ok(()) };
+        if matches!(line.kind, "green" | "red") {
+            // Either reply to a `there` probe shows only that the connection works; engine health is derived from the
+            // engine list and attempt outcomes. Replies may arrive out of order, but the engine reads commands in
+            // order, so the reply to a probe confirms all cancels that were sent before that probe.
+            if let Some(index) = conn.unconfirmed_cancels.iter().position(|(tag, ..)| tag == line.id) {
+                let read = conn.unconfirmed_cancels.drain(..=index).map(|(_, at, _)| at);
                 context.heard.extend(read.map(|at| DispatcherEvent::Ended(FinishedAttempt::confirmed(at))));
             }
             return Ok(());
         }
-        // A late line of an attempt that was given up tells nothing.
-        let Some(attempt) = conn.open.get_mut(line.id) else { return Ok(()) };
-        let at = attempt.at;
-        let outcome = match line.word {
+        // A late message for a cancelled attempt is ignored.
+        let Some(attempt) = conn.in_flight.get_mut(line.id) else { return Ok(()) };
+        let at = attempt.attempt;
+        let outcome = match line.kind {
             "update" => {
-                line.note().into_iter().for_each(|note| context.heard.push(DispatcherEvent::Noted(at, note)));
+                line.progress()
+                    .into_iter()
+                    .for_each(|note| context.heard.push(DispatcherEvent::Noted(at, note)));
                 return Ok(());
             }
             "served" if attempt.pages.is_empty() => {
-                let pages = line.count("pages", PAGES_MOST)?;
+                let pages = line.count("pages", MAX_PAGES)?;
                 attempt.pages = vec![None; pages];
-                attempt.pages[0] = Some(page(line.body)?);
+                attempt.pages[0] = Some(parse_page(line.body)?);
                 (attempt.cost, attempt.report) = (line.cost(), line.report());
                 for page in 1..pages {
-                    conn.link.put(format!("turn {} {page}\r\n", line.id).as_bytes());
+                    conn.socket.put(format!("turn {} {page}\r\n", line.id).as_bytes());
                 }
                 Outcome::Served
             }
             "rows" => {
-                // Page 0 comes with `served`; a second copy of any changes nothing.
-                let place = line.count("page", PAGES_MOST)?;
-                let rows = page(line.body)?;
-                match attempt.pages.get_mut(place) {
+                // The `served` message contains page 0, and a duplicate page is ignored.
+                let index = line.count("page", MAX_PAGES)?;
+                let rows = parse_page(line.body)?;
+                match attempt.pages.get_mut(index) {
                     Some(page) if page.is_none() => *page = Some(rows),
                     _ => return Ok(()),
                 }
@@ -115,23 +120,23 @@
             "crashed" => Outcome::Error,
             _ => return Ok(()),
         };
-        // Once served, it has run, whatever is said of its pages.
+        // An attempt whose `served` message arrived has run, so a later refusal of its pages counts as an error.
         let outcome = if outcome.never_ran() && !attempt.pages.is_empty() { Outcome::Error } else { outcome };
         if outcome == Outcome::Served {
             let size: usize = attempt.pages.iter().flatten().map(Vec::len).sum();
-            if size > RESULT_MOST {
-                return Err(Lost);
+            if size > MAX_RESULT_BYTES {
+                return Err(ConnectionLost);
             }
             if attempt.pages.iter().any(Option::is_none) {
                 return Ok(());
             }
         }
-        let Some(attempt) = conn.open.remove(line.id) else { return Ok(()) };
-        self.placed.remove(&at);
+        let Some(attempt) = conn.in_flight.remove(line.id) else { return Ok(()) };
+        self.placements.remove(&at);
         let (answer, report) = match outcome {
             Outcome::Served => {
                 if attempt.pages.len() > 1 {
-                    conn.link.put(format!("shut {}\r\n", line.id).as_bytes());
+                    conn.socket.put(format!("shut {}\r\n", line.id).as_bytes());
                 }
                 (
                     Some(FinalResponse::Served(attempt.pages.into_iter().flatten().flatten().collect())),
@@ -149,26 +154,27 @@
         Ok(())
     }
 
-    /// Writes what the socket takes. The next `want` goes out only when all before it is written, so that a
-    /// drain still finds it unsent.
+    /// Writes buffered output until the socket blocks. The next unsent attempt enters the output buffer only when that
+    /// is empty, so that a drain of the engine can still withdraw the attempt as unsent.
     pub(super) fn flush(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get_mut(key).filter(|conn| conn.up) else { return };
+        let Some(conn) = self.connections.get_mut(key).filter(|conn| conn.connected) else { return };
         loop {
-            if conn.link.flush().is_err() {
-                return self.lose(key, Outcome::Reset, context);
+            if conn.socket.flush().is_err() {
+                return self.close(key, Outcome::Reset, context);
             }
-            if conn.link.waiting() > 0 {
+            if conn.socket.waiting() > 0 {
                 return;
             }
-            let Some(want) = conn.wants.pop_front() else { return };
-            if conn.open.is_empty() {
-                conn.heard = context.now; // Silence counts from the first thing asked.
+            let Some(queued) = conn.unsent.pop_front() else { return };
+            if conn.in_flight.is_empty() {
+                conn.silent_since = context.now; // The probe interval starts with the first request in flight.
             }
-            (conn.quiet, conn.used) = (context.now - conn.used, context.now);
-            conn.link.put(&want.bytes);
-            conn.writing = Some(want.at);
-            let attempt = Attempt { at: want.at, pages: Vec::new(), cost: None, report: None };
-            conn.open.insert(want.name, attempt);
+            (conn.idle_before_request, conn.last_used) = (context.now - conn.last_used, context.now);
+            conn.socket.put(&queued.bytes);
+            conn.last_written = Some(queued.attempt);
+            let attempt =
+                SentAttempt { attempt: queued.attempt, pages: Vec::new(), cost: None, report: None };
+            conn.in_flight.insert(queued.name, attempt);
         }
     }
 }
--- a/src/node/backend/line_protocol/connection_limit.rs
+++ b/src/node/backend/line_protocol/connection_limit.rs
@@ -1,30 +1,32 @@
-//! How many connections each engine may have from here, where the fleet has a budget for them.
+//! Limit of connections per engine under a fleet-wide connection budget.
 
 use super::*;
 
 impl LineProtocolBackend {
-    /// The most connections that one engine has, and whether more were wanted than may be since this was last asked.
+    /// The highest connection count of any engine, and whether a dial reached the limit since the last call.
     pub fn links_used(&mut self) -> (usize, bool) {
-        (self.roster.links_most(), std::mem::take(&mut self.links_vain))
+        (self.engines.max_connections(), std::mem::take(&mut self.connection_limit_hit))
     }
 
-    /// From now on an engine has so many connections at most; those beyond that are idle are closed, and others as they
-    /// fall idle.
-    pub fn keep_links(&mut self, most: Option<usize>, context: &mut BackendContext) {
-        self.links_most = most.map_or(LINKS_MOST, |most| most.min(LINKS_MOST));
-        if most.is_none() || self.roster.links_most() <= self.links_most {
+    /// Sets the maximum number of connections per engine and closes idle connections above the limit. Connections
+    /// with attempts are closed by a later call, once they are idle.
+    pub fn keep_links(&mut self, limit: Option<usize>, context: &mut BackendContext) {
+        self.max_connections_per_engine =
+            limit.map_or(MAX_CONNECTIONS_PER_ENGINE, |limit| limit.min(MAX_CONNECTIONS_PER_ENGINE));
+        if limit.is_none() || self.engines.max_connections() <= self.max_connections_per_engine {
             return;
         }
-        for key in self.conns.keys() {
-            let Some(conn) = self.conns.get(key).filter(|conn| conn.load() == 0) else { continue };
-            if self.roster.links(&conn.engine).len() > self.links_most {
-                self.lose(key, Outcome::Reset, context);
+        for key in self.connections.keys() {
+            let Some(conn) = self.connections.get(key).filter(|conn| conn.load() == 0) else { continue };
+            if self.engines.connections(&conn.engine).len() > self.max_connections_per_engine {
+                self.close(key, Outcome::Reset, context);
             }
         }
     }
 
-    /// Whether the fleet's budget, and not something else, keeps this engine from one more connection.
-    pub(super) fn links_short(&self, id: &EngineId) -> bool {
-        self.links_most < LINKS_MOST && self.roster.links(id).len() >= self.links_most
+    /// Whether the fleet's connection budget prevents another connection to this engine.
+    pub(super) fn fleet_limit_reached(&self, id: &EngineId) -> bool {
+        self.max_connections_per_engine < MAX_CONNECTIONS_PER_ENGINE
+            && self.engines.connections(id).len() >= self.max_connections_per_engine
     }
 }
--- a/src/node/backend/line_protocol/dial.rs
+++ b/src/node/backend/line_protocol/dial.rs
@@ -1,128 +1,162 @@
-//! Which connection an attempt goes by, and when a new one is dialled.
+//! Chooses a connection for an attempt and dials new connections.
 
 use super::*;
 
 impl LineProtocolBackend {
-    /// An idle connection that never carried this name before, else a new one, else the least loaded: a connection
-    /// that is spoilt or cut off takes all that is open on it along, so each is to carry little. What must not run
-    /// twice goes by a new one where it can: one that was idle may be reset as the request comes, and nobody can tell
-    /// whether it was read.
-    pub(super) fn choose(
+    /// Chooses an idle connection on which this request name is unused, else dials a new connection, else takes the
+    /// least loaded one: a broken connection ends all its attempts, so each should have few. A request that must run
+    /// at most once prefers a new connection, because an idle one may be reset while the request is being sent, which
+    /// leaves open whether the engine read the request.
+    pub(super) fn choose_connection(
         &mut self,
         id: &EngineId,
         name: &Arc<str>,
-        once: bool,
+        at_most_once: bool,
         context: &mut BackendContext,
     ) -> Option<SlotKey> {
-        let keeps = self.roster.keeps(id, context.now);
-        let fits = |conn: &Conn| {
-            let quiet = context.now - conn.used > keeps;
-            let suspect = conn.asked.is_some_and(|at| context.now - at > SUSPECT_MS);
-            // A late line of an attempt given up must not pass for the answer of the next.
-            let clean = !conn.spent.contains(name) && !conn.open.contains_key(name);
-            !suspect && !quiet && clean && conn.load() < self.streams && conn.spent.len() < SPENT_MOST
+        let idle_limit = self.engines.idle_limit_ms(id, context.now);
+        let fits = |conn: &Connection| {
+            let idle_too_long = context.now - conn.last_used > idle_limit;
+            let unresponsive = conn.probe_sent_at.is_some_and(|at| context.now - at > PROBE_LATE_MS);
+            // A late answer to a cancelled attempt must not match a new attempt of the same name.
+            let name_unused = !conn.cancelled_names.contains(name) && !conn.in_flight.contains_key(name);
+            !unresponsive
+                && !idle_too_long
+                && name_unused
+                && conn.load() < self.max_load
+                && conn.cancelled_names.len() < MAX_CANCELLED_NAMES
         };
-        let fitting =
-            self.roster.links(id).iter().copied().filter(|key| self.conns.get(*key).is_some_and(fits));
-        let load = |key: &SlotKey| self.conns.get(*key).map_or(0, Conn::load);
-        let least = fitting.min_by_key(load);
-        let spare = self.conns.len() < self.sockets;
-        match least {
-            Some(key) if !spare || (load(&key) == 0 && !once) => Some(key),
-            least => self.dial(id, context).or(least),
+        let candidates = self
+            .engines
+            .connections(id)
+            .iter()
+            .copied()
+            .filter(|key| self.connections.get(*key).is_some_and(fits));
+        let load = |key: &SlotKey| self.connections.get(*key).map_or(0, Connection::load);
+        let least_loaded = candidates.min_by_key(load);
+        let can_dial = self.connections.len() < self.max_connections;
+        match least_loaded {
+            Some(key) if !can_dial || (load(&key) == 0 && !at_most_once) => Some(key),
+            least_loaded => self.dial(id, context).or(least_loaded),
         }
     }
 
+    /// Dials a new connection to an engine, after closing an idle connection if a connection limit is reached.
     pub(super) fn dial(&mut self, id: &EngineId, context: &mut BackendContext) -> Option<SlotKey> {
-        if self.conns.len() >= self.sockets {
-            let idle = self.conns.iter().find(|(_, conn)| conn.load() == 0).map(|(key, _)| key)?;
-            self.lose(idle, Outcome::Reset, context);
+        if self.connections.len() >= self.max_connections {
+            let idle = self.connections.iter().find(|(_, conn)| conn.load() == 0).map(|(key, _)| key)?;
+            self.close(idle, Outcome::Reset, context);
         }
-        if self.roster.links(id).len() >= self.links_most {
-            self.links_vain = true;
-            let idle = |key: &SlotKey| self.conns.get(*key).is_some_and(|conn| conn.load() == 0);
-            let idle = self.roster.links(id).iter().copied().find(idle)?;
-            self.lose(idle, Outcome::Reset, context);
+        if self.engines.connections(id).len() >= self.max_connections_per_engine {
+            self.connection_limit_hit = true;
+            let idle = |key: &SlotKey| self.connections.get(*key).is_some_and(|conn| conn.load() == 0);
+            let idle = self.engines.connections(id).iter().copied().find(idle)?;
+            self.close(idle, Outcome::Reset, context);
         }
-        let engine = self.roster.get_mut(id)?;
-        let link = BufferedSocket::dial(engine.address)
+        let engine = self.engines.get_mut(id)?;
+        let socket = BufferedSocket::dial(engine.address)
             .map_err(|e| context.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
-        let (since, heard) = (context.now, context.now);
-        let key = self.conns.insert(Conn {
+        let (dialed_at, silent_since) = (context.now, context.now);
+        let key = self.connections.insert(Connection {
             engine: id.clone(),
-            link,
-            up: false,
-            late: false,
-            since,
-            heard,
-            next_look: None,
-            used: context.now,
-            quiet: 0.0,
-            asked: None,
-            wants: VecDeque::new(),
-            writing: None,
-            open: HashMap::new(),
-            called_off: VecDeque::new(),
-            spent: HashSet::new(),
+            socket,
+            connected: false,
+            dial_timed_out: false,
+            dialed_at,
+            silent_since,
+            check_timer: None,
+            last_used: context.now,
+            idle_before_request: 0.0,
+            probe_sent_at: None,
+            unsent: VecDeque::new(),
+            last_written: None,
+            in_flight: HashMap::new(),
+            unconfirmed_cancels: VecDeque::new(),
+            cancelled_names: HashSet::new(),
         });
-        engine.links.push(key);
-        trace!(target: ACCOUNT, "dial: engine={} links={} all={}", id.0, engine.links.len(), self.conns.len());
-        let watched = self.conns.get_mut(key)?.link.watch(context.registry, SocketOwner::Warehouse(key));
+        engine.connections.push(key);
+        trace!(
+            target: ACCOUNT,
+            "dial: engine={} links={} all={}",
+            id.0,
+            engine.connections.len(),
+            self.connections.len()
+        );
+        let watched =
+            self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::Warehouse(key));
         if watched.is_err() {
-            self.lose(key, Outcome::ConnectFailed, context);
+            self.close(key, Outcome::ConnectFailed, context);
             return None;
         }
-        self.conns.get_mut(key)?.look_at(context.now + self.dial_ms.min(LATE_MS), key, context.timers);
+        self.connections.get_mut(key)?.schedule_check(
+            context.now + self.dial_timeout_ms.min(SLOW_DIAL_MS),
+            key,
+            context.timers,
+        );
         Some(key)
     }
 
-    /// A dial that is not up yet. What waits behind it goes on by a connection that is, if there is one: that one dial
-    /// is late says nothing of an engine that talks on another. After the time for connecting it has failed.
-    pub(super) fn look_at_dial(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
-        let since = conn.since;
-        if context.now - since >= self.dial_ms {
-            conn.late = true;
-            return self.lose(key, Outcome::ConnectFailed, context);
+    /// Checks a pending dial. Attempts queued on it move to an established connection that recently received data,
+    /// if the engine has one: a slow dial does not mean a failed engine. The dial fails after the connect timeout.
+    pub(super) fn check_dial(&mut self, key: SlotKey, context: &mut BackendContext) {
+        let Some(conn) = self.connections.get_mut(key) else { return };
+        let since = conn.dialed_at;
+        if context.now - since >= self.dial_timeout_ms {
+            conn.dial_timed_out = true;
+            return self.close(key, Outcome::ConnectFailed, context);
         }
-        conn.look_at(since + self.dial_ms, key, context.timers);
-        let (engine, wants) = (conn.engine.clone(), std::mem::take(&mut conn.wants));
-        for want in wants {
-            let to = self.in_use(&engine, &want, since - LIFE_MS).unwrap_or(key);
-            self.hand_over(want, to, context);
+        conn.schedule_check(since + self.dial_timeout_ms, key, context.timers);
+        let (engine, unsent) = (conn.engine.clone(), std::mem::take(&mut conn.unsent));
+        for queued in unsent {
+            let to = self.active_connection(&engine, &queued, since - ENGINE_ALIVE_MS).unwrap_or(key);
+            self.move_to(queued, to, context);
         }
     }
 
-    /// Of an engine's connections that are up and have carried something since then, the least loaded that fits.
-    pub(super) fn in_use(&self, id: &EngineId, want: &Want, since: f64) -> Option<SlotKey> {
-        let fits = |conn: &Conn| {
-            let clean = !conn.spent.contains(&want.name) && !conn.open.contains_key(&want.name);
-            let lives = conn.up && conn.heard >= since && conn.asked.is_none();
-            lives && clean && conn.load() < self.streams && conn.spent.len() < SPENT_MOST
+    /// Returns the least loaded established connection to an engine that received data after `since` and can accept
+    /// the attempt.
+    pub(super) fn active_connection(
+        &self,
+        id: &EngineId,
+        queued: &QueuedAttempt,
+        since: f64,
+    ) -> Option<SlotKey> {
+        let fits = |conn: &Connection| {
+            let name_unused =
+                !conn.cancelled_names.contains(&queued.name) && !conn.in_flight.contains_key(&queued.name);
+            let alive = conn.connected && conn.silent_since >= since && conn.probe_sent_at.is_none();
+            alive
+                && name_unused
+                && conn.load() < self.max_load
+                && conn.cancelled_names.len() < MAX_CANCELLED_NAMES
         };
-        let links = self.roster.links(id).iter().copied();
-        let fitting =
-            links.filter_map(|key| self.conns.get(key).filter(|conn| fits(conn)).map(|c| (c.load(), key)));
-        fitting.min_by_key(|(load, _)| *load).map(|(_, key)| key)
+        let connections = self.engines.connections(id).iter().copied();
+        let candidates = connections
+            .filter_map(|key| self.connections.get(key).filter(|conn| fits(conn)).map(|c| (c.load(), key)));
+        candidates.min_by_key(|(load, _)| *load).map(|(_, key)| key)
     }
 
-    /// Puts a `want` of which no byte is written onto another connection.
-    pub(super) fn hand_over(&mut self, want: Want, to: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get_mut(to) else { return };
-        self.placed.insert(want.at, (to, want.name.clone()));
-        conn.wants.push_back(want);
+    /// Moves an unsent attempt to another connection.
+    pub(super) fn move_to(&mut self, queued: QueuedAttempt, to: SlotKey, context: &mut BackendContext) {
+        let Some(conn) = self.connections.get_mut(to) else { return };
+        self.placements.insert(queued.attempt, (to, queued.name.clone()));
+        conn.unsent.push_back(queued);
         self.flush(to, context);
     }
 
-    /// Guards against connections that die unseen while they are quiet, as behind a box that forgets them: the next
-    /// request on such a one is reset at once, read or not. What one showed holds for the engine's others.
-    pub(super) fn learn_keeps(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get(key).filter(|conn| !conn.open.is_empty()) else { return };
-        let known = self.roster.keeps(&conn.engine, context.now);
-        let Some(engine) = self.roster.get_mut(&conn.engine) else { return };
-        if conn.quiet >= KEEPS_LEAST {
-            engine.keeps = Some((known.min(conn.quiet * KEEPS_PART), context.now + KEEPS_FOR));
+    /// Learns how long connections to an engine may be idle, from a reset of a request on an idle connection. A NAT
+    /// gateway or firewall may silently drop idle connections; the next request is then reset, and whether the engine
+    /// read it is unknown. The learned limit applies to all connections to the engine.
+    pub(super) fn record_idle_loss(&mut self, key: SlotKey, context: &mut BackendContext) {
+        let Some(conn) = self.connections.get(key).filter(|conn| !conn.in_flight.is_empty()) else { return };
+        let known = self.engines.idle_limit_ms(&conn.engine, context.now);
+        let Some(engine) = self.engines.get_mut(&conn.engine) else { return };
+        if conn.idle_before_request >= MIN_IDLE_LOSS_MS {
+            engine.idle_limit = Some((
+                known.min(conn.idle_before_request * IDLE_LIMIT_SHARE),
+                context.now + IDLE_LIMIT_VALID_MS,
+            ));
         }
     }
 }
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Warehouses: their connections, the lines spoken on them, and what each end proves.
+//! Backend for engines that speak the line protocol: connection pool, protocol messages and attempt outcomes.
 
 mod connection_io;
 mod connection_limit;
@@ -20,117 +20,141 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tracing::trace;
-use wire::{line, page, Line, Lost};
+use wire::{parse_line, parse_page, ConnectionLost, Line};
 
-const LOOK_MS: f64 = 250.0; // between looks at a connection: twice as often as notes come
-const QUIET_MS: f64 = 700.0; // without a byte while attempts are out; then `there` asks whether it works
-const SUSPECT_MS: f64 = 500.0; // without an answer to that, nothing new goes onto it; longer than any pause
-const STALL_MS: f64 = 500.0; // in the middle of an answer without a further byte; then the framing is lost
-const DEAD_MS: f64 = 8000.0; // and after this the machine is taken for gone; a short cut mends before
-const IDLE_PART: f64 = 0.6; // of the time after which warehouses close: no `want` may cross their close
-const LINE_MOST: usize = 1024; // longer without an end, the framing is lost
-const BODY_MOST: usize = 6000; // of a page, as the platform promises; more is a length that does not fit
-const PAGES_MOST: usize = 64; // likewise: eight full pages, more where rows are long
-const RESULT_MOST: usize = 48_000; // likewise
-const KEEPS_PART: f64 = 0.8; // of the quiet after which a connection was found dead, others are trusted
-const KEEPS_LEAST: f64 = 50.0; // after less, a reset is no sign that quiet connections die
-const KEEPS_FOR: f64 = 10_000.0; // that this is believed: then one more reset shows whether it still holds
-const SPENT_MOST: usize = 512; // names given up on one connection; beyond, it is left to run dry
-const LINKS_MOST: usize = 12; // connections to one warehouse: as many as a node has attempts there, as a rule
-const CONFIRM_MS: f64 = 100.0; // that a cancel waits for its confirmation: a machine that is cut off gives none
-const LATE_MS: f64 = 80.0; // that a dial may take before what waits behind it looks for another connection
-const LIFE_MS: f64 = 250.0; // before a late dial began, in which a byte of the engine still says that it lives
-const MOVES_MOST: u8 = 2; // connections that a `want` may lose before a byte of it is written
+/// Milliseconds between periodic checks of a connection: half the interval of the engines' progress updates.
+const CHECK_INTERVAL_MS: f64 = 250.0;
+/// Milliseconds without a received byte, with attempts in flight, before a keep-alive probe (`there`) is sent.
+const PROBE_AFTER_MS: f64 = 700.0;
+/// Milliseconds without a probe reply before new attempts avoid the connection; longer than any normal engine pause.
+const PROBE_LATE_MS: f64 = 500.0;
+/// Milliseconds without a further byte of an incomplete answer before the connection is closed.
+const ANSWER_STALL_MS: f64 = 500.0;
+/// Milliseconds without a probe reply before the connection is closed; short network outages end sooner than this.
+const PROBE_TIMEOUT_MS: f64 = 8000.0;
+/// Fraction of the engine idle timeout after which this side closes, so that no request races with the engine's close.
+const IDLE_TIMEOUT_SHARE: f64 = 0.6;
+/// Maximum length of a header line in bytes; a longer line is a protocol error.
+const MAX_LINE_BYTES: usize = 1024;
+/// Maximum bytes of a result page under the platform's protocol; a longer body is a protocol error.
+const MAX_BODY_BYTES: usize = 6000;
+/// Maximum pages of a result under the platform's protocol: eight full pages, or more with long rows.
+const MAX_PAGES: usize = 64;
+/// Maximum bytes of a complete result under the platform's protocol; a larger result closes the connection.
+const MAX_RESULT_BYTES: usize = 48_000;
+/// The learned idle limit of an engine is this fraction of the idle time after which a connection was found dead.
+const IDLE_LIMIT_SHARE: f64 = 0.8;
+/// Minimum idle time in milliseconds for which the reset of a request is attributed to a dropped idle connection.
+const MIN_IDLE_LOSS_MS: f64 = 50.0;
+/// Milliseconds until a learned idle limit expires; if idle connections are still dropped, the next reset renews it.
+const IDLE_LIMIT_VALID_MS: f64 = 10_000.0;
+/// Maximum cancelled request names stored per connection; a connection at the limit receives no new attempts.
+const MAX_CANCELLED_NAMES: usize = 512;
+/// Maximum connections to one engine: usually as many as the attempts that one node has on an engine.
+const MAX_CONNECTIONS_PER_ENGINE: usize = 12;
+/// Milliseconds to wait for the confirmation of a cancel; an unreachable engine never confirms.
+const CANCEL_CONFIRM_TIMEOUT_MS: f64 = 100.0;
+/// Milliseconds that a dial may take before the attempts queued on it try other connections.
+const SLOW_DIAL_MS: f64 = 80.0;
+/// An engine counts as alive during a slow dial if it sent data at most this many milliseconds before the dial began.
+const ENGINE_ALIVE_MS: f64 = 250.0;
+/// Maximum number of times that an unsent attempt moves to another connection after its own was closed.
+const MAX_MOVES: u8 = 2;
 
+/// An attempt whose `want` command was written to the socket or its output buffer.
 #[derive(Debug)]
-struct Attempt {
-    at: AttemptRef,
-    /// Pages in order; empty until the first has come.
+struct SentAttempt {
+    attempt: AttemptRef,
+    /// Result pages in order; the vector is empty until the `served` message arrives.
     pages: Vec<Option<Vec<u8>>>,
     cost: Option<TrueCost>,
     report: Option<LoadReport>,
 }
 
+/// An attempt of which no byte was written.
 #[derive(Debug)]
-struct Want {
-    at: AttemptRef,
+struct QueuedAttempt {
+    attempt: AttemptRef,
     name: Arc<str>,
     bytes: Vec<u8>,
-    once: bool,
+    at_most_once: bool,
     moves: u8,
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     engine: EngineId,
-    link: BufferedSocket,
-    up: bool,
-    /// It did not come up in its time.
-    late: bool,
-    since: f64,
-    heard: f64,
-    next_look: Option<TimerHandle>,
-    /// When it last carried a byte, and how long it had been quiet before the last request, till that is answered.
-    used: f64,
-    quiet: f64,
-    /// When `there` was asked, while it is not answered.
-    asked: Option<f64>,
-    /// Not one byte of these has been written: whatever ends them, they never ran.
-    wants: VecDeque<Want>,
-    /// The last of which bytes were written; its end may wait in the buffer still.
-    writing: Option<AttemptRef>,
-    open: HashMap<Arc<str>, Attempt>,
-    /// Attempts called off, with the tag whose `green` tells that the engine has read so, and since when.
-    called_off: VecDeque<(String, AttemptRef, f64)>,
-    /// Names given up here, of which a late line may still come.
-    spent: HashSet<Arc<str>>,
+    socket: BufferedSocket,
+    connected: bool,
+    /// Whether the dial exceeded the connect timeout.
+    dial_timed_out: bool,
+    dialed_at: f64,
+    /// When the last byte was received, or when the first attempt in flight was written if that is later.
+    silent_since: f64,
+    check_timer: Option<TimerHandle>,
+    /// When a request was last written or a byte was last received.
+    last_used: f64,
+    /// Idle milliseconds before the last request; 0 again once a byte was received.
+    idle_before_request: f64,
+    /// When the unanswered `there` probe was sent.
+    probe_sent_at: Option<f64>,
+    /// Attempts of which no byte was written, so the engine cannot have run them.
+    unsent: VecDeque<QueuedAttempt>,
+    /// The attempt written last; part of it may still be in the output buffer.
+    last_written: Option<AttemptRef>,
+    in_flight: HashMap<Arc<str>, SentAttempt>,
+    /// Cancelled attempts: tag of the `there` probe whose reply confirms the cancel, the attempt, time of the cancel.
+    unconfirmed_cancels: VecDeque<(String, AttemptRef, f64)>,
+    /// Names of cancelled requests, for which late answers may still arrive.
+    cancelled_names: HashSet<Arc<str>>,
 }
 
-impl Conn {
+impl Connection {
     fn load(&self) -> usize {
-        self.wants.len() + self.open.len()
+        self.unsent.len() + self.in_flight.len()
     }
 
-    /// Sets the one look to come.
-    fn look_at(&mut self, at: f64, key: SlotKey, timers: &mut TimerQueue) {
-        self.next_look.take().into_iter().for_each(|before| timers.clear(before));
-        self.next_look = Some(timers.set(at, TimerEvent::Backend(key)));
+    /// Schedules the next check, replacing any that is scheduled.
+    fn schedule_check(&mut self, at: f64, key: SlotKey, timers: &mut TimerQueue) {
+        self.check_timer.take().into_iter().for_each(|before| timers.clear(before));
+        self.check_timer = Some(timers.set(at, TimerEvent::Backend(key)));
     }
 }
 
-/// What giving an attempt up came to.
+/// Result of cancelling an attempt.
 #[derive(Clone, Copy)]
-enum CalledOff {
-    /// Not a byte of it was written.
-    TakenBack,
-    /// The engine is told on this connection.
-    Told(SlotKey),
-    /// A part of it waits to be written, alone on this connection.
-    Stuck(SlotKey),
-    /// It is not known any more.
-    Gone,
+enum CancelResult {
+    /// No byte of the attempt had been written; it was removed from the queue.
+    NotSent,
+    /// A cancel command was buffered on this connection.
+    Sent(SlotKey),
+    /// The attempt is only partly written, and no other attempt is in flight on this connection.
+    PartlySent(SlotKey),
+    /// The attempt is no longer tracked.
+    Unknown,
 }
 
-/// The pool of warehouse connections.
+/// The connection pool for engines that speak the line protocol.
 #[derive(Debug)]
 pub struct LineProtocolBackend {
     classes: Vec<(String, bool)>,
-    dial_ms: f64,
-    idle_ms: f64,
-    streams: usize,
-    sockets: usize,
-    /// Connections to one engine, and whether more were wanted lately.
-    links_most: usize,
-    links_vain: bool,
-    tags: u64,
-    roster: EngineRegistry,
-    conns: Slab<Conn>,
-    placed: HashMap<AttemptRef, (SlotKey, Arc<str>)>,
+    dial_timeout_ms: f64,
+    idle_timeout_ms: f64,
+    /// Maximum attempts per connection, unsent and in flight.
+    max_load: usize,
+    max_connections: usize,
+    max_connections_per_engine: usize,
+    /// Whether a dial reached the limit of connections per engine since the last call of `links_used`.
+    connection_limit_hit: bool,
+    last_tag: u64,
+    engines: EngineRegistry,
+    connections: Slab<Connection>,
+    placements: HashMap<AttemptRef, (SlotKey, Arc<str>)>,
 }
 
 impl LineProtocolBackend {
-    /// A pool with no warehouses yet. Classes by name, and whether they must not run twice; `sockets` is how many
-    /// descriptors it may take.
+    /// Creates a pool without engines. `classes` lists class names and whether a request must run at most once;
+    /// `streams` limits the attempts per connection, `sockets` the descriptors of the pool.
     pub fn new(
         classes: Vec<(String, bool)>,
         dial_ms: f64,
@@ -140,68 +164,76 @@
     ) -> LineProtocolBackend {
         LineProtocolBackend {
             classes,
-            dial_ms,
-            idle_ms: idle_ms * IDLE_PART,
-            streams,
-            sockets,
-            links_most: LINKS_MOST,
-            links_vain: false,
-            tags: 0,
-            roster: EngineRegistry::default(),
-            conns: Slab::default(),
-            placed: HashMap::new(),
+            dial_timeout_ms: dial_ms,
+            idle_timeout_ms: idle_ms * IDLE_TIMEOUT_SHARE,
+            max_load: streams,
+            max_connections: sockets,
+            max_connections_per_engine: MAX_CONNECTIONS_PER_ENGINE,
+            connection_limit_hit: false,
+            last_tag: 0,
+            engines: EngineRegistry::default(),
+            connections: Slab::default(),
+            placements: HashMap::new(),
         }
     }
 
-    /// News of the list. What waits behind a dial to a warehouse that takes no new work is taken back.
+    /// Applies an engine list. Unsent attempts of engines that accept no new work end as overloaded.
     pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
-        for key in self.roster.apply(kind, listings) {
-            self.lose(key, Outcome::Reset, context);
+        for key in self.engines.apply(kind, listings) {
+            self.close(key, Outcome::Reset, context);
         }
-        for key in self.conns.keys() {
-            let Some(conn) = self.conns.get(key) else { continue };
-            if self.roster.serving(&conn.engine).is_none() {
-                self.take_back(key, context);
-                if self.conns.get(key).is_some_and(|conn| conn.open.is_empty()) {
-                    self.lose(key, Outcome::Reset, context);
+        for key in self.connections.keys() {
+            let Some(conn) = self.connections.get(key) else { continue };
+            if self.engines.serving(&conn.engine).is_none() {
+                self.fail_unsent(key, context);
+                if self.connections.get(key).is_some_and(|conn| conn.in_flight.is_empty()) {
+                    self.close(key, Outcome::Reset, context);
                 }
             }
         }
     }
 
-    /// Where an engine listens.
+    /// The address on which an engine listens.
     pub fn address(&self, id: &EngineId) -> Option<SocketAddr> {
-        self.roster.address(id)
+        self.engines.address(id)
     }
 
-    /// Ends what waits unwritten on a connection: turned away unseen.
-    fn take_back(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let wants = self.conns.get_mut(key).map(|conn| std::mem::take(&mut conn.wants));
-        for want in wants.into_iter().flatten() {
-            self.placed.remove(&want.at);
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(want.at, Outcome::Overloaded)));
+    /// Ends the unsent attempts of a connection as overloaded, since the engine has not seen them.
+    fn fail_unsent(&mut self, key: SlotKey, context: &mut BackendContext) {
+        let unsent = self.connections.get_mut(key).map(|conn| std::mem::take(&mut conn.unsent));
+        for queued in unsent.into_iter().flatten() {
+            self.placements.remove(&queued.attempt);
+            context
+                .heard
+                .push(DispatcherEvent::Ended(FinishedAttempt::bare(queued.attempt, Outcome::Overloaded)));
         }
     }
 
-    /// Begins an attempt.
+    /// Starts an attempt: queues it on a connection to its engine, or ends it if no connection is available.
     pub fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
         let at = start.attempt;
-        let once = self.classes.get(start.class.0).is_some_and(|(_, once)| *once);
-        let outcome = match self.roster.serving(&start.engine) {
-            Some(_) => match self.choose(&start.engine, &start.name, once, context) {
-                Some(key) => return self.queue(key, start, once, context),
-                // It says nothing of the engine where the fleet's budget leaves no room.
-                None if self.links_short(&start.engine) => Outcome::Overloaded,
+        let at_most_once = self.classes.get(start.class.0).is_some_and(|(_, at_most_once)| *at_most_once);
+        let outcome = match self.engines.serving(&start.engine) {
+            Some(_) => match self.choose_connection(&start.engine, &start.name, at_most_once, context) {
+                Some(key) => return self.enqueue(key, start, at_most_once, context),
+                // The fleet's connection budget is exhausted, which is no sign of an unhealthy engine.
+                None if self.fleet_limit_reached(&start.engine) => Outcome::Overloaded,
                 None => Outcome::ConnectFailed,
             },
-            // The list changed between the decision and now.
+            // The engine list changed after the engine was chosen.
             None => Outcome::Overloaded,
         };
         context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
     }
 
-    fn queue(&mut self, key: SlotKey, start: AttemptStart, once: bool, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
+    fn enqueue(
+        &mut self,
+        key: SlotKey,
+        start: AttemptStart,
+        at_most_once: bool,
+        context: &mut BackendContext,
+    ) {
+        let Some(conn) = self.connections.get_mut(key) else { return };
         let class = self.classes.get(start.class.0).map_or("", |(name, _)| name);
         let mut head = format!("want {} profile={class},max={}", start.name, start.max_ms.floor().max(1.0));
         if start.memory_mb > 0 {
@@ -210,154 +242,159 @@
         let statement = &start.payload.statement;
         head.push_str(&format!(",prio={} {}\r\n", start.priority.min(3), statement.len()));
         let bytes = [head.as_bytes(), statement, b"\r\n"].concat();
-        self.placed.insert(start.attempt, (key, start.name.clone()));
-        conn.wants.push_back(Want { at: start.attempt, name: start.name, bytes, once, moves: 0 });
+        self.placements.insert(start.attempt, (key, start.name.clone()));
+        let queued =
+            QueuedAttempt { attempt: start.attempt, name: start.name, bytes, at_most_once, moves: 0 };
+        conn.unsent.push_back(queued);
         self.flush(key, context);
     }
 
-    /// Gives an attempt up: takes it back if no byte of it is written, else calls it off. If something waits for its
-    /// end (a further attempt, or the next of its key), it ends when the engine confirms that it has read so: what
-    /// waits goes by another connection, and may be there before the cancel is.
-    pub fn give_up(&mut self, at: AttemptRef, again: bool, context: &mut BackendContext) {
-        let called_off = self.call_off(at, again, context);
-        match called_off {
-            CalledOff::Told(key) => self.flush(key, context),
-            // It has not come whole, and on a connection that takes nothing nobody reads that it is over.
-            CalledOff::Stuck(key) => self.lose(key, Outcome::Reset, context),
-            CalledOff::TakenBack | CalledOff::Gone => {}
+    /// Cancels an attempt: removes it from the queue if no byte was written, else sends a cancel to the engine. With
+    /// `report_end`, another attempt or a request of the same key waits for this one to end. The end is then reported
+    /// once the engine confirms the cancel, because the next attempt could overtake the cancel on another connection.
+    pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
+        let cancelled = self.do_cancel(at, report_end, context);
+        match cancelled {
+            CancelResult::Sent(key) => self.flush(key, context),
+            // The engine lacks part of the attempt, and a cancel could not be written to the blocked socket either.
+            CancelResult::PartlySent(key) => self.close(key, Outcome::Reset, context),
+            CancelResult::NotSent | CancelResult::Unknown => {}
         }
-        let outcome = match called_off {
-            CalledOff::Told(_) => return,
-            CalledOff::TakenBack => Outcome::NotSent,
-            CalledOff::Stuck(_) | CalledOff::Gone => Outcome::Cancelled,
+        let outcome = match cancelled {
+            CancelResult::Sent(_) => return,
+            CancelResult::NotSent => Outcome::NotSent,
+            CancelResult::PartlySent(_) | CancelResult::Unknown => Outcome::Cancelled,
         };
-        if again {
+        if report_end {
             context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
         }
     }
 
-    fn call_off(&mut self, at: AttemptRef, again: bool, context: &mut BackendContext) -> CalledOff {
-        let Some((key, name)) = self.placed.remove(&at) else { return CalledOff::Gone };
-        let Some(conn) = self.conns.get_mut(key) else { return CalledOff::Gone };
-        if let Some(place) = conn.wants.iter().position(|want| want.at == at) {
-            conn.wants.remove(place);
-            return CalledOff::TakenBack;
+    fn do_cancel(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) -> CancelResult {
+        let Some((key, name)) = self.placements.remove(&at) else { return CancelResult::Unknown };
+        let Some(conn) = self.connections.get_mut(key) else { return CancelResult::Unknown };
+        if let Some(index) = conn.unsent.iter().position(|queued| queued.attempt == at) {
+            conn.unsent.remove(index);
+            return CancelResult::NotSent;
         }
-        if conn.open.remove(&name).is_none() {
-            return CalledOff::Gone;
+        if conn.in_flight.remove(&name).is_none() {
+            return CancelResult::Unknown;
         }
-        if conn.writing == Some(at) && conn.link.waiting() > 0 && conn.open.is_empty() {
-            return CalledOff::Stuck(key);
+        if conn.last_written == Some(at) && conn.socket.waiting() > 0 && conn.in_flight.is_empty() {
+            return CancelResult::PartlySent(key);
         }
-        conn.link.put(format!("never_mind {name}\r\n").as_bytes());
-        conn.spent.insert(name);
-        if again {
-            self.tags += 1;
-            let tag = format!("g{}", self.tags);
-            conn.link.put(format!("there {tag}\r\n").as_bytes());
-            conn.called_off.push_back((tag, at, context.now));
-            conn.look_at(context.now + CONFIRM_MS, key, context.timers);
+        conn.socket.put(format!("never_mind {name}\r\n").as_bytes());
+        conn.cancelled_names.insert(name);
+        if report_end {
+            self.last_tag += 1;
+            let tag = format!("g{}", self.last_tag);
+            conn.socket.put(format!("there {tag}\r\n").as_bytes());
+            conn.unconfirmed_cancels.push_back((tag, at, context.now));
+            conn.schedule_check(context.now + CANCEL_CONFIRM_TIMEOUT_MS, key, context.timers);
         }
-        CalledOff::Told(key)
+        CancelResult::Sent(key)
     }
 
-    /// Takes an attempt back if no byte of it is written.
+    /// Ends an attempt as not sent if no byte of it was written; else does nothing.
     pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
-        let Some((key, _)) = self.placed.get(&at) else { return };
-        let Some(conn) = self.conns.get_mut(*key) else { return };
-        let Some(place) = conn.wants.iter().position(|want| want.at == at) else { return };
-        conn.wants.remove(place);
-        self.placed.remove(&at);
+        let Some((key, _)) = self.placements.get(&at) else { return };
+        let Some(conn) = self.connections.get_mut(*key) else { return };
+        let Some(index) = conn.unsent.iter().position(|queued| queued.attempt == at) else { return };
+        conn.unsent.remove(index);
+        self.placements.remove(&at);
         context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
     }
 
-    /// Tells a new priority.
+    /// Sends the engine a new priority for an attempt that has no result yet.
     pub fn hurry(&mut self, at: AttemptRef, priority: u8, context: &mut BackendContext) {
-        let Some((key, name)) = self.placed.get(&at).cloned() else { return };
-        let Some(conn) = self.conns.get_mut(key) else { return };
-        if conn.open.get(&name).is_some_and(|attempt| attempt.pages.is_empty()) {
-            conn.link.put(format!("hurry {name} {}\r\n", priority.min(3)).as_bytes());
+        let Some((key, name)) = self.placements.get(&at).cloned() else { return };
+        let Some(conn) = self.connections.get_mut(key) else { return };
+        if conn.in_flight.get(&name).is_some_and(|attempt| attempt.pages.is_empty()) {
+            conn.socket.put(format!("hurry {name} {}\r\n", priority.min(3)).as_bytes());
             self.flush(key, context);
         }
     }
 
-    /// Closes a warehouse's idle connections.
+    /// Closes the idle connections to an engine.
     pub fn close_idle(&mut self, id: &EngineId, context: &mut BackendContext) {
-        for key in self.roster.links(id).to_vec() {
-            if self.conns.get(key).is_some_and(|conn| conn.load() == 0) {
-                self.lose(key, Outcome::Reset, context);
+        for key in self.engines.connections(id).to_vec() {
+            if self.connections.get(key).is_some_and(|conn| conn.load() == 0) {
+                self.close(key, Outcome::Reset, context);
             }
         }
     }
 
-    /// Drops a connection. What was sent on it ends as `outcome` says. What was not never ran: it goes on by another
-    /// connection, since one that breaks says nothing of the warehouse, or ends so if there was none in time.
-    fn lose(&mut self, key: SlotKey, outcome: Outcome, context: &mut BackendContext) {
-        let Some(conn) = self.conns.remove(key) else { return };
-        let (id, up, ms) = (&conn.engine.0, conn.up, context.now - conn.since);
+    /// Closes a connection. Attempts in flight end with `outcome`. Unsent attempts never ran: each moves to another
+    /// connection, since one broken connection does not mean a failed engine, or ends as a connect failure.
+    fn close(&mut self, key: SlotKey, outcome: Outcome, context: &mut BackendContext) {
+        let Some(conn) = self.connections.remove(key) else { return };
+        let (id, up, ms) = (&conn.engine.0, conn.connected, context.now - conn.dialed_at);
         trace!(target: ACCOUNT, "close: engine={id} up={up} ms={ms:.1} load={}", conn.load());
-        self.roster.unlink(&conn.engine, key);
-        conn.next_look.into_iter().for_each(|look| context.timers.clear(look));
-        let called_off = conn.called_off.into_iter().map(|(_, at, _)| (at, Outcome::Cancelled));
-        let mut ends: Vec<_> = conn.open.into_values().map(|a| (a.at, outcome)).chain(called_off).collect();
-        for mut want in conn.wants {
-            want.moves += 1;
-            // Of a late dial likewise, where the engine was heard of on another connection meanwhile.
-            let lives = conn.up || (conn.late && self.roster.heard(&conn.engine) >= conn.since - LIFE_MS);
-            let serves = lives && want.moves <= MOVES_MOST && self.roster.serving(&conn.engine).is_some();
-            let to = match serves {
-                true if conn.late => self.in_use(&conn.engine, &want, conn.since - LIFE_MS),
+        self.engines.remove_connection(&conn.engine, key);
+        conn.check_timer.into_iter().for_each(|timer| context.timers.clear(timer));
+        let cancelled = conn.unconfirmed_cancels.into_iter().map(|(_, at, _)| (at, Outcome::Cancelled));
+        let mut ends: Vec<_> =
+            conn.in_flight.into_values().map(|a| (a.attempt, outcome)).chain(cancelled).collect();
+        for mut queued in conn.unsent {
+            queued.moves += 1;
+            // After a dial timeout the engine counts as alive if another connection received data recently.
+            let alive = conn.connected
+                || (conn.dial_timed_out
+                    && self.engines.last_received(&conn.engine) >= conn.dialed_at - ENGINE_ALIVE_MS);
+            let can_move = alive && queued.moves <= MAX_MOVES && self.engines.serving(&conn.engine).is_some();
+            let to = match can_move {
+                true if conn.dial_timed_out => {
+                    self.active_connection(&conn.engine, &queued, conn.dialed_at - ENGINE_ALIVE_MS)
+                }
                 _ => None,
             };
             let choose = |pool: &mut LineProtocolBackend, context: &mut BackendContext| {
-                pool.choose(&conn.engine, &want.name, want.once, context)
+                pool.choose_connection(&conn.engine, &queued.name, queued.at_most_once, context)
             };
-            let to = if serves && to.is_none() { choose(self, context) } else { to };
+            let to = if can_move && to.is_none() { choose(self, context) } else { to };
             match to {
-                Some(key) => self.hand_over(want, key, context),
-                None => ends.push((want.at, Outcome::ConnectFailed)),
+                Some(key) => self.move_to(queued, key, context),
+                None => ends.push((queued.attempt, Outcome::ConnectFailed)),
             }
         }
         for (at, outcome) in ends {
-            self.placed.remove(&at);
+            self.placements.remove(&at);
             context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
         }
     }
 
-    /// Looks after a connection: is it up in time, does it still answer, has it long been idle?
+    /// Periodic check of a connection: connect timeout, cancel confirmations, stalled answers, probes, idle timeout.
     pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
-        if !conn.up {
-            return self.look_at_dial(key, context);
+        let Some(conn) = self.connections.get_mut(key) else { return };
+        if !conn.connected {
+            return self.check_dial(key, context);
         }
-        while let Some((_, at, _)) =
-            conn.called_off.pop_front_if(|(.., since)| context.now - *since >= CONFIRM_MS)
+        while let Some((_, at, _)) = conn
+            .unconfirmed_cancels
+            .pop_front_if(|(.., since)| context.now - *since >= CANCEL_CONFIRM_TIMEOUT_MS)
         {
             context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
-        let idle = context.now - conn.heard;
-        if !conn.link.input.is_empty() && idle >= STALL_MS {
-            context.log.push(format!(
-                "lost: engine={} attempts={} in mid-answer",
-                conn.engine.0,
-                conn.load()
-            ));
-            return self.lose(key, Outcome::Reset, context);
+        let idle = context.now - conn.silent_since;
+        if !conn.socket.input.is_empty() && idle >= ANSWER_STALL_MS {
+            let (engine, load) = (&conn.engine.0, conn.load());
+            context.log.push(format!("lost: engine={engine} attempts={load} answer incomplete"));
+            return self.close(key, Outcome::Reset, context);
         }
         if conn.load() == 0 {
-            if idle >= self.idle_ms {
-                return self.lose(key, Outcome::Reset, context);
+            if idle >= self.idle_timeout_ms {
+                return self.close(key, Outcome::Reset, context);
             }
-        } else if conn.asked.is_some_and(|at| context.now - at >= DEAD_MS) {
+        } else if conn.probe_sent_at.is_some_and(|at| context.now - at >= PROBE_TIMEOUT_MS) {
             context.log.push(format!("silent: engine={} attempts={}", conn.engine.0, conn.load()));
-            return self.lose(key, Outcome::Reset, context);
-        } else if idle >= QUIET_MS && conn.asked.is_none() {
-            conn.asked = Some(context.now);
-            conn.link.put(format!("there k{}\r\n", key.slot).as_bytes());
+            return self.close(key, Outcome::Reset, context);
+        } else if idle >= PROBE_AFTER_MS && conn.probe_sent_at.is_none() {
+            conn.probe_sent_at = Some(context.now);
+            conn.socket.put(format!("there k{}\r\n", key.slot).as_bytes());
             self.flush(key, context);
         }
-        if let Some(conn) = self.conns.get_mut(key) {
-            conn.look_at(context.now + LOOK_MS, key, context.timers);
+        if let Some(conn) = self.connections.get_mut(key) {
+            conn.schedule_check(context.now + CHECK_INTERVAL_MS, key, context.timers);
         }
     }
 }
--- a/src/node/backend/line_protocol/wire.rs
+++ b/src/node/backend/line_protocol/wire.rs
@@ -1,53 +1,57 @@
-//! The lines of the wire: what may stand in an answer.
+//! Parser for the messages that engines send in the line protocol.
 
 use super::*;
 
-/// One answer: its words and its body.
+/// One message of an engine: header words and body.
 pub(super) struct Line<'a> {
     pub(super) id: &'a str,
-    pub(super) word: &'a str,
+    pub(super) kind: &'a str,
     pub(super) fields: Vec<(&'a str, &'a str)>,
     pub(super) body: &'a [u8],
 }
 
-/// An answer that can't be: the framing is lost, and with it all that the connection carries.
-pub(super) struct Lost;
+/// The connection is unusable: it was closed, or a message violates the protocol and the next boundary is unknown.
+pub(super) struct ConnectionLost;
 
-const WORDS: [&str; 8] = ["served", "rows", "update", "overload", "nobody", "crashed", "green", "red"];
+const KINDS: [&str; 8] = ["served", "rows", "update", "overload", "nobody", "crashed", "green", "red"];
 
-/// Reads an answer from the front; the number of bytes that it takes. Whatever is not wholly as it should be is lost:
-/// behind a length that does not fit, every byte may pass for something that it is not.
-pub(super) fn line(bytes: &[u8]) -> Result<Option<(usize, Line<'_>)>, Lost> {
-    let Some(end) = bytes.iter().take(LINE_MOST).position(|b| *b == b'\n') else {
-        return if bytes.len() >= LINE_MOST { Err(Lost) } else { Ok(None) };
+/// Parses the first message in `bytes` and returns its length and content, or `None` if it is incomplete. Any deviation
+/// from the format is an error: after a wrong body length, result data could be parsed as messages.
+pub(super) fn parse_line(bytes: &[u8]) -> Result<Option<(usize, Line<'_>)>, ConnectionLost> {
+    let Some(end) = bytes.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
+        return if bytes.len() >= MAX_LINE_BYTES { Err(ConnectionLost) } else { Ok(None) };
     };
     let text = bytes[..end].strip_suffix(b"\r").filter(|text| text.iter().all(|b| matches!(b, b' '..=b'~')));
-    let words = std::str::from_utf8(text.ok_or(Lost)?).map_err(|_| Lost)?.split(' ').collect::<Vec<_>>();
-    let [id, word, fields, length] = words[..] else { return Err(Lost) };
+    let words = std::str::from_utf8(text.ok_or(ConnectionLost)?)
+        .map_err(|_| ConnectionLost)?
+        .split(' ')
+        .collect::<Vec<_>>();
+    let [id, kind, fields, length] = words[..] else { return Err(ConnectionLost) };
     let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
-    let length = length.parse::<usize>().ok().filter(|l| digits && *l <= BODY_MOST).ok_or(Lost)?;
-    if id.is_empty() || !WORDS.contains(&word) {
-        return Err(Lost);
+    let length =
+        length.parse::<usize>().ok().filter(|l| digits && *l <= MAX_BODY_BYTES).ok_or(ConnectionLost)?;
+    if id.is_empty() || !KINDS.contains(&kind) {
+        return Err(ConnectionLost);
     }
     let pairs = fields.split(',').filter(|_| fields != "-");
-    let fields = pairs.map(|f| f.split_once('=').ok_or(Lost)).collect::<Result<Vec<_>, _>>()?;
+    let fields = pairs.map(|f| f.split_once('=').ok_or(ConnectionLost)).collect::<Result<Vec<_>, _>>()?;
     let whole = end + 1 + length;
     match bytes.get(whole..whole + 2) {
         None => Ok(None),
-        Some(b"\r\n") => Ok(Some((whole + 2, Line { id, word, fields, body: &bytes[end + 1..whole] }))),
-        Some(_) => Err(Lost),
+        Some(b"\r\n") => Ok(Some((whole + 2, Line { id, kind, fields, body: &bytes[end + 1..whole] }))),
+        Some(_) => Err(ConnectionLost),
     }
 }
 
-/// A page as the platform promises it: whole rows of three columns, as text.
-pub(super) fn page(body: &[u8]) -> Result<Vec<u8>, Lost> {
-    let text = std::str::from_utf8(body).map_err(|_| Lost)?;
+/// Validates a result page: UTF-8 text of complete rows with three tab-separated columns.
+pub(super) fn parse_page(body: &[u8]) -> Result<Vec<u8>, ConnectionLost> {
+    let text = std::str::from_utf8(body).map_err(|_| ConnectionLost)?;
     let whole = text.is_empty() || text.ends_with('\n');
     let columns = text.lines().all(|row| row.matches('\t').count() == 2);
     if whole && columns {
         Ok(body.to_vec())
     } else {
-        Err(Lost)
+        Err(ConnectionLost)
     }
 }
 
@@ -58,12 +62,12 @@
     pub(super) fn number(&self, name: &str) -> Option<f64> {
         self.field(name)?.parse::<f64>().ok().filter(|v| v.is_finite())
     }
-    /// A whole number from 1 to `most`.
-    pub(super) fn count(&self, name: &str, most: usize) -> Result<usize, Lost> {
+    /// An integer field in the range 1 to `max`.
+    pub(super) fn count(&self, name: &str, max: usize) -> Result<usize, ConnectionLost> {
         let value = self.field(name).and_then(|value| value.parse::<usize>().ok());
-        value.filter(|value| (1..=most).contains(value)).ok_or(Lost)
+        value.filter(|value| (1..=max).contains(value)).ok_or(ConnectionLost)
     }
-    pub(super) fn note(&self) -> Option<Progress> {
+    pub(super) fn progress(&self) -> Option<Progress> {
         let value = self.number("v").unwrap_or(0.0);
         match self.field("remark")? {
             "so_far" => Some(Progress::ShareDone(value)),
--- a/src/node/backend/mod.rs
+++ b/src/node/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Engines as the node reaches them: the platform's warehouses, and boxes that speak MySQL.
+//! Backends: connection pools to the platform's engines over the line protocol, and to MySQL servers.
 
 mod engine_registry;
 pub mod line_protocol;
@@ -9,18 +9,18 @@
 use super::timer_queue::TimerQueue;
 use mio::Registry;
 
-/// What a backend or a front works with while it handles one thing.
+/// Shared state that a backend or a front uses while it handles one event.
 pub struct BackendContext<'a> {
-    /// Now, in Unix milliseconds.
+    /// Current time in Unix milliseconds.
     pub now: f64,
-    /// Where sockets are registered.
+    /// Registry of the event loop for new sockets.
     pub registry: &'a Registry,
-    /// All deadlines.
+    /// Timer queue of the node.
     pub timers: &'a mut TimerQueue,
-    /// Client connections that are being closed.
+    /// Client connections that are closed once their remaining output has been read.
     pub closing: &'a mut ClosingConnections,
-    /// What the core is to hear.
+    /// Events for the request dispatcher.
     pub heard: &'a mut Vec<DispatcherEvent>,
-    /// Lines for the log.
+    /// Log lines to write.
     pub log: &'a mut Vec<String>,
 }
--- a/src/node/backend/mysql/connection.rs
+++ b/src/node/backend/mysql/connection.rs
@@ -1,17 +1,17 @@
-//! What is said to a box on a connection: the commands that lead to an execution.
+//! Commands sent to a MySQL server: schema selection, prepare, execute and kill.
 
 use super::*;
 
-impl Conn {
+impl Connection {
     pub(super) fn command(&mut self, command: Command, body: &[u8]) {
         let mut out = Vec::new();
         mysql_packets::push(&mut out, 0, &[&[command as u8], body].concat());
-        self.link.put(&out);
+        self.socket.put(&out);
     }
 
-    /// Goes on to the next thing that there is to do: a kill first, then what the job needs.
+    /// Sends the next command: a pending kill first, else the next step of the job.
     pub(super) fn advance(&mut self, now: f64) {
-        self.used = now;
+        self.last_used = now;
         self.phase = Phase::Idle;
         if let Some(number) = self.kill {
             self.command(Command::COM_QUERY, format!("KILL QUERY {number}").as_bytes());
@@ -29,7 +29,7 @@
             self.phase = Phase::Running(Course::default());
             return self.command(Command::COM_QUERY, &payload.statement);
         };
-        match self.prepared.get(&text_of(&payload)).copied() {
+        match self.prepared.get(&statement_key(&payload)).copied() {
             Some(id) => self.execute(id, bound),
             None => {
                 self.phase = Phase::Preparing(None);
@@ -38,23 +38,23 @@
         }
     }
 
-    /// Notes what was just prepared, and lets the oldest go where there are too many.
-    pub(super) fn keep_prepared(&mut self) {
+    /// Records the statement just prepared, and closes the oldest one if the connection has too many.
+    pub(super) fn record_prepared(&mut self) {
         let Phase::Preparing(Some((id, _))) = self.phase else { return };
         let Some(job) = &self.job else { return };
-        let text = text_of(&job.payload);
-        self.prepared.insert(text.clone(), id);
-        self.order.push(text);
-        if self.order.len() > PREPARED_MOST {
-            let oldest = self.order.remove(0);
+        let statement = statement_key(&job.payload);
+        self.prepared.insert(statement.clone(), id);
+        self.prepare_order.push(statement);
+        if self.prepare_order.len() > MAX_PREPARED {
+            let oldest = self.prepare_order.remove(0);
             if let Some(id) = self.prepared.remove(&oldest) {
                 self.command(Command::COM_STMT_CLOSE, &id.to_le_bytes());
             }
         }
     }
 
-    /// Executes when the last definition has come.
-    pub(super) fn advance_prepared(&mut self, now: f64) {
+    /// Executes the statement once all definition packets of the prepare reply have arrived.
+    pub(super) fn execute_if_prepared(&mut self, now: f64) {
         if matches!(self.phase, Phase::Preparing(Some((_, 0)))) {
             self.advance(now);
         }
@@ -64,15 +64,15 @@
         if let Some(job) = &mut self.job {
             job.sent = true;
         }
-        for (place, value) in &bound.long {
-            let body = [&id.to_le_bytes()[..], &place.to_le_bytes(), value].concat();
+        for (index, value) in &bound.long {
+            let body = [&id.to_le_bytes()[..], &index.to_le_bytes(), value].concat();
             self.command(Command::COM_STMT_SEND_LONG_DATA, &body);
         }
         let mut body = id.to_le_bytes().to_vec();
         body.extend([0, 1, 0, 0, 0]);
         if bound.count > 0 {
             body.extend_from_slice(&bound.nulls);
-            body.push(1); // The types always go along: this box may not have seen them.
+            body.push(1); // Always sends the parameter types: this server may not have received them before.
             body.extend_from_slice(&bound.types);
             body.extend_from_slice(&bound.values);
         }
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -1,5 +1,5 @@
-//! Boxes that speak MySQL: logging in, preparing a statement on whichever box runs its next execution, and what
-//! each end proves. A connection carries one attempt at a time.
+//! Backend for MySQL servers: login, prepared statements and attempt outcomes. A statement is prepared on the server
+//! that executes it. A connection has at most one attempt at a time.
 
 use super::engine_registry::EngineRegistry;
 use super::BackendContext;
@@ -24,167 +24,174 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-const LOGIN_MS: f64 = 1500.0; // from connecting to the end of the login; a standing box needs some hundred
-const LOOK_MS: f64 = 1000.0; // between looks at a connection
-const IDLE_PART: f64 = 0.6; // of the time after which boxes close: nothing may cross their close
-const RESULT_MOST: usize = 4 << 20; // a larger result is not kept in memory
-const PREPARED_MOST: usize = 64; // statements kept prepared on one connection
-const NATIVE: &[u8] = b"mysql_native_password";
-const SHA2: &[u8] = b"caching_sha2_password";
+/// Milliseconds from the start of a dial to the end of the login; a server under load may need several hundred.
+const LOGIN_TIMEOUT_MS: f64 = 1500.0;
+/// Milliseconds between periodic checks of a connection.
+const CHECK_INTERVAL_MS: f64 = 1000.0;
+/// Fraction of the server idle timeout after which this side closes, so that no command races with the server's close.
+const IDLE_TIMEOUT_SHARE: f64 = 0.6;
+/// Maximum bytes of a result that is buffered in memory; a larger result fails the statement.
+const MAX_RESULT_BYTES: usize = 4 << 20;
+/// Maximum number of prepared statements per connection; the oldest is closed beyond this.
+const MAX_PREPARED: usize = 64;
+const NATIVE_PLUGIN: &[u8] = b"mysql_native_password";
+const SHA2_PLUGIN: &[u8] = b"caching_sha2_password";
 
-/// Errors that say no more than that the box had no place for us: nothing ran.
-const NO_PLACE: &[u16] = &[1040, 1203, 1226];
-/// Errors of a box in trouble, or of an attempt cut short: it may have run.
-const BOX_TROUBLE: &[u16] = &[1053, 1077, 1079, 1152, 1158, 1159, 1160, 1161, 1317, 2006, 2013, 3024, 3169];
-/// The box does not know the statement any more: it did not run.
-const NOT_PREPARED: u16 = 1243;
+/// Error codes for exceeded connection or user limits of the server; the statement did not run.
+const CONNECTION_LIMIT_ERRORS: &[u16] = &[1040, 1203, 1226];
+/// Error codes for a failing server or an interrupted statement; the statement may have run.
+const SERVER_ERRORS: &[u16] = &[1053, 1077, 1079, 1152, 1158, 1159, 1160, 1161, 1317, 2006, 2013, 3024, 3169];
+/// Error code for an unknown prepared statement handle; the statement did not run.
+const UNKNOWN_STATEMENT: u16 = 1243;
 
-/// A statement as it is prepared: under a schema, with a text.
-type Text = (Option<String>, Vec<u8>);
+/// Identifies a prepared statement: schema and statement text.
+type StatementKey = (Option<String>, Vec<u8>);
 
 #[derive(Debug)]
 struct Job {
-    at: AttemptRef,
+    attempt: AttemptRef,
     payload: Rc<Payload>,
-    /// The execution or the query is written, at least in part: from here on it may run.
+    /// Whether the query or execute command was written, at least in part; the server may run it from then on.
     sent: bool,
-    /// The statement was prepared anew for this job, so that it can't have been lost again.
-    renewed: bool,
+    /// Whether the statement was already prepared again for this job, which happens at most once.
+    reprepared: bool,
 }
 
 #[derive(Debug)]
 enum Phase {
     Dialling,
     Greeting,
-    /// The login is sent; what the plugin in use needs is kept for a switch.
+    /// The login response was sent; the server may still request another authentication plugin.
     Login,
     Idle,
-    /// The schema is being chosen.
+    /// Waiting for the reply to `COM_INIT_DB`.
     Schema,
-    /// The statement is being prepared; so many packets of definitions are still to come.
+    /// Waiting for the prepare reply (`None`), then for definition packets (statement id, packets left).
     Preparing(Option<(u32, u64)>),
-    /// The answer is coming.
+    /// Receiving the result of a query or an execution.
     Running(Course),
-    /// A kill was sent for another connection; its answer is of no use.
+    /// Waiting for the reply to `KILL QUERY` for another connection; the reply is ignored.
     Killing,
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     engine: EngineId,
-    link: BufferedSocket,
+    socket: BufferedSocket,
     phase: Phase,
-    since: f64,
-    used: f64,
-    /// The box's own number of the connection, for a kill.
-    number: u32,
+    dialed_at: f64,
+    last_used: f64,
+    /// The server's id of this connection, for `KILL QUERY`.
+    server_connection_id: u32,
     nonce: Vec<u8>,
     schema: Option<String>,
-    prepared: HashMap<Text, u32>,
-    order: Vec<Text>,
+    prepared: HashMap<StatementKey, u32>,
+    prepare_order: Vec<StatementKey>,
     job: Option<Job>,
+    /// Connection id for a `KILL QUERY` that this connection has to send.
     kill: Option<u32>,
     answer: Vec<u8>,
 }
 
-fn text_of(payload: &Payload) -> Text {
+fn statement_key(payload: &Payload) -> StatementKey {
     (payload.schema.clone(), payload.statement.clone())
 }
 
-/// The pool of connections to boxes.
+/// The pool of connections to MySQL servers.
 pub struct MysqlBackend {
     settings: MysqlSettings,
-    dial_ms: f64,
-    idle_ms: f64,
-    sockets: usize,
-    answers_most: usize,
-    roster: EngineRegistry,
-    conns: Slab<Conn>,
-    placed: HashMap<AttemptRef, SlotKey>,
+    dial_timeout_ms: f64,
+    idle_timeout_ms: f64,
+    max_connections: usize,
+    max_result_bytes_total: usize,
+    engines: EngineRegistry,
+    connections: Slab<Connection>,
+    placements: HashMap<AttemptRef, SlotKey>,
 }
 
-/// What becomes of a connection after a packet.
-enum Next {
-    Go,
-    Lose,
+/// Whether a connection stays open after a packet.
+enum AfterPacket {
+    KeepOpen,
+    Close,
 }
 
 impl MysqlBackend {
-    /// A pool with no boxes yet. `sockets` is how many descriptors it may take, `answers_most` how many bytes the
-    /// answers that are coming in may take together.
+    /// Creates a pool without servers. `sockets` limits the descriptors of the pool, `max_result_bytes_total`
+    /// the total bytes of partially received results.
     pub fn new(
         settings: MysqlSettings,
         dial_ms: f64,
         idle_ms: f64,
         sockets: usize,
-        answers_most: usize,
+        max_result_bytes_total: usize,
     ) -> MysqlBackend {
         MysqlBackend {
             settings,
-            dial_ms,
-            idle_ms: idle_ms * IDLE_PART,
-            sockets,
-            answers_most,
-            roster: EngineRegistry::default(),
-            conns: Slab::default(),
-            placed: HashMap::new(),
+            dial_timeout_ms: dial_ms,
+            idle_timeout_ms: idle_ms * IDLE_TIMEOUT_SHARE,
+            max_connections: sockets,
+            max_result_bytes_total,
+            engines: EngineRegistry::default(),
+            connections: Slab::default(),
+            placements: HashMap::new(),
         }
     }
 
-    /// News of the list. What a box that takes no new work has not been sent yet is taken back.
+    /// Applies an engine list. Unsent attempts of servers that accept no new work end as overloaded.
     pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
-        for key in self.roster.apply(kind, listings) {
-            self.lose(key, Outcome::Reset, context);
+        for key in self.engines.apply(kind, listings) {
+            self.close(key, Outcome::Reset, context);
         }
-        for key in self.conns.keys() {
-            let Some(conn) = self.conns.get_mut(key) else { continue };
-            if self.roster.serving(&conn.engine).is_some() || conn.kill.is_some() {
+        for key in self.connections.keys() {
+            let Some(conn) = self.connections.get_mut(key) else { continue };
+            if self.engines.serving(&conn.engine).is_some() || conn.kill.is_some() {
                 continue;
             }
             if !conn.job.as_ref().is_some_and(|job| job.sent) {
                 if let Some(job) = conn.job.take() {
-                    self.placed.remove(&job.at);
-                    context
-                        .heard
-                        .push(DispatcherEvent::Ended(FinishedAttempt::bare(job.at, Outcome::Overloaded)));
+                    self.placements.remove(&job.attempt);
+                    let ended = FinishedAttempt::bare(job.attempt, Outcome::Overloaded);
+                    context.heard.push(DispatcherEvent::Ended(ended));
                 }
-                self.lose(key, Outcome::Reset, context);
+                self.close(key, Outcome::Reset, context);
             }
         }
     }
 
-    /// Begins an attempt.
+    /// Starts an attempt on an idle or new connection to its server, or ends it if neither is available.
     pub fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
         let at = start.attempt;
-        let job = Job { at, payload: start.payload, sent: false, renewed: false };
-        let outcome = if self.roster.serving(&start.engine).is_none() {
-            Outcome::Overloaded // The list changed between the decision and now.
-        } else if let Some(key) = self.idle(&start.engine, &job) {
-            return self.take(key, job, context);
-        } else if self.roster.links(&start.engine).len() >= self.settings.box_connections {
+        let job = Job { attempt: at, payload: start.payload, sent: false, reprepared: false };
+        let outcome = if self.engines.serving(&start.engine).is_none() {
+            Outcome::Overloaded // The engine list changed after the server was chosen.
+        } else if let Some(key) = self.idle_connection(&start.engine, &job) {
+            return self.assign(key, job, context);
+        } else if self.engines.connections(&start.engine).len() >= self.settings.box_connections {
             Outcome::Overloaded
         } else {
             match self.dial(&start.engine, context) {
-                Some(key) => return self.take(key, job, context),
+                Some(key) => return self.assign(key, job, context),
                 None => Outcome::ConnectFailed,
             }
         };
         context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
     }
 
-    /// An idle connection, best one on which the statement is prepared already.
-    fn idle(&self, engine: &EngineId, job: &Job) -> Option<SlotKey> {
-        let text = text_of(&job.payload);
-        let idle =
-            |key: &&SlotKey| self.conns.get(**key).is_some_and(|conn| matches!(conn.phase, Phase::Idle));
-        let known =
-            |key: &&SlotKey| self.conns.get(**key).is_some_and(|conn| conn.prepared.contains_key(&text));
-        self.roster.links(engine).iter().filter(idle).max_by_key(known).copied()
+    /// An idle connection, preferably one on which the statement is already prepared.
+    fn idle_connection(&self, engine: &EngineId, job: &Job) -> Option<SlotKey> {
+        let statement = statement_key(&job.payload);
+        let idle = |key: &&SlotKey| {
+            self.connections.get(**key).is_some_and(|conn| matches!(conn.phase, Phase::Idle))
+        };
+        let known = |key: &&SlotKey| {
+            self.connections.get(**key).is_some_and(|conn| conn.prepared.contains_key(&statement))
+        };
+        self.engines.connections(engine).iter().filter(idle).max_by_key(known).copied()
     }
 
-    fn take(&mut self, key: SlotKey, job: Job, context: &mut BackendContext) {
-        self.placed.insert(job.at, key);
-        let Some(conn) = self.conns.get_mut(key) else { return };
+    fn assign(&mut self, key: SlotKey, job: Job, context: &mut BackendContext) {
+        self.placements.insert(job.attempt, key);
+        let Some(conn) = self.connections.get_mut(key) else { return };
         conn.job = Some(job);
         if matches!(conn.phase, Phase::Idle) {
             conn.advance(context.now);
@@ -193,69 +200,71 @@
     }
 
     fn dial(&mut self, id: &EngineId, context: &mut BackendContext) -> Option<SlotKey> {
-        if self.conns.len() >= self.sockets {
-            let idle = self.conns.iter().find(|(_, conn)| matches!(conn.phase, Phase::Idle));
+        if self.connections.len() >= self.max_connections {
+            let idle = self.connections.iter().find(|(_, conn)| matches!(conn.phase, Phase::Idle));
             let idle = idle.map(|(key, _)| key)?;
-            self.lose(idle, Outcome::Reset, context);
+            self.close(idle, Outcome::Reset, context);
         }
-        let engine = self.roster.get_mut(id)?;
-        let link = BufferedSocket::dial(engine.address)
+        let engine = self.engines.get_mut(id)?;
+        let socket = BufferedSocket::dial(engine.address)
             .map_err(|e| context.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
-        let key = self.conns.insert(Conn {
+        let key = self.connections.insert(Connection {
             engine: id.clone(),
-            link,
+            socket,
             phase: Phase::Dialling,
-            since: context.now,
-            used: context.now,
-            number: 0,
+            dialed_at: context.now,
+            last_used: context.now,
+            server_connection_id: 0,
             nonce: Vec::new(),
             schema: None,
             prepared: HashMap::new(),
-            order: Vec::new(),
+            prepare_order: Vec::new(),
             job: None,
             kill: None,
             answer: Vec::new(),
         });
-        engine.links.push(key);
-        if self.conns.get_mut(key)?.link.watch(context.registry, SocketOwner::MysqlBox(key)).is_err() {
-            self.lose(key, Outcome::ConnectFailed, context);
+        engine.connections.push(key);
+        if self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::MysqlBox(key)).is_err()
+        {
+            self.close(key, Outcome::ConnectFailed, context);
             return None;
         }
-        context.timers.set(context.now + self.dial_ms, TimerEvent::MysqlBox(key));
+        context.timers.set(context.now + self.dial_timeout_ms, TimerEvent::MysqlBox(key));
         Some(key)
     }
 
-    /// Whether an attempt is here.
+    /// Whether an attempt is assigned to a connection of this backend.
     pub fn carries(&self, at: AttemptRef) -> bool {
-        self.placed.contains_key(&at)
+        self.placements.contains_key(&at)
     }
 
-    /// Gives an attempt up: takes it back if it is not sent, else has the box kill it. The connection goes with it,
-    /// so that a late answer finds nobody.
-    pub fn give_up(&mut self, at: AttemptRef, again: bool, context: &mut BackendContext) {
-        if again {
+    /// Cancels an attempt. A sent attempt is killed over another connection and its own connection is closed, so that
+    /// a late result cannot match another statement. With `report_end`, the end is reported at once.
+    pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
+        if report_end {
             context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
-        let Some(key) = self.placed.remove(&at) else { return };
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(key) = self.placements.remove(&at) else { return };
+        let Some(conn) = self.connections.get_mut(key) else { return };
         let sent = conn.job.take().is_some_and(|job| job.sent);
         if !sent {
-            // A login under way may serve the next; anything else stands between two commands.
+            // A connection that is still logging in stays usable; in other phases a reply is outstanding.
             if !matches!(conn.phase, Phase::Dialling | Phase::Greeting | Phase::Login) {
-                self.lose(key, Outcome::Cancelled, context);
+                self.close(key, Outcome::Cancelled, context);
             }
             return;
         }
-        let (engine, number) = (conn.engine.clone(), conn.number);
-        self.lose(key, Outcome::Cancelled, context);
-        let idle = self.roster.links(&engine).iter().copied();
-        let mut idle = idle.filter(|k| self.conns.get(*k).is_some_and(|c| matches!(c.phase, Phase::Idle)));
+        let (engine, number) = (conn.engine.clone(), conn.server_connection_id);
+        self.close(key, Outcome::Cancelled, context);
+        let idle = self.engines.connections(&engine).iter().copied();
+        let mut idle =
+            idle.filter(|k| self.connections.get(*k).is_some_and(|c| matches!(c.phase, Phase::Idle)));
         let Some(by) = idle.next().or_else(|| self.dial(&engine, context)) else {
             context.log.push(format!("kill: engine={} connection={number} not sent", engine.0));
             return;
         };
-        if let Some(conn) = self.conns.get_mut(by) {
+        if let Some(conn) = self.connections.get_mut(by) {
             conn.kill = Some(number);
             if matches!(conn.phase, Phase::Idle) {
                 conn.advance(context.now);
@@ -264,64 +273,64 @@
         }
     }
 
-    /// Takes an attempt back if it is not sent.
+    /// Ends an attempt as not sent if its command was not written; else does nothing.
     pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
-        let Some(key) = self.placed.get(&at) else { return };
-        if self.conns.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
+        let Some(key) = self.placements.get(&at) else { return };
+        if self.connections.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
             self.give_up(at, false, context);
             context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
         }
     }
 
-    /// Closes a box's idle connections.
+    /// Closes the idle connections to a server.
     pub fn close_idle(&mut self, id: &EngineId, context: &mut BackendContext) {
-        for key in self.roster.links(id).to_vec() {
-            if self.conns.get(key).is_some_and(|conn| matches!(conn.phase, Phase::Idle)) {
-                self.lose(key, Outcome::Reset, context);
+        for key in self.engines.connections(id).to_vec() {
+            if self.connections.get(key).is_some_and(|conn| matches!(conn.phase, Phase::Idle)) {
+                self.close(key, Outcome::Reset, context);
             }
         }
     }
 
     fn flush(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let broken = self.conns.get_mut(key).is_some_and(|conn| conn.link.flush().is_err());
+        let broken = self.connections.get_mut(key).is_some_and(|conn| conn.socket.flush().is_err());
         if broken {
-            self.lose(key, Outcome::Reset, context);
+            self.close(key, Outcome::Reset, context);
         }
     }
 
-    /// A socket has something to say.
+    /// Handles a readiness event of a connection: completes the dial, reads packets and writes buffered commands.
     pub fn ready(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.connections.get_mut(key) else { return };
         if matches!(conn.phase, Phase::Dialling) {
-            match conn.link.connected() {
+            match conn.socket.connected() {
                 None => return,
-                Some(Err(_)) => return self.lose(key, Outcome::ConnectFailed, context),
+                Some(Err(_)) => return self.close(key, Outcome::ConnectFailed, context),
                 Some(Ok(())) => {
                     conn.phase = Phase::Greeting;
-                    context.timers.set(conn.since + LOGIN_MS, TimerEvent::MysqlBox(key));
+                    context.timers.set(conn.dialed_at + LOGIN_TIMEOUT_MS, TimerEvent::MysqlBox(key));
                 }
             }
         }
         loop {
-            let Some(conn) = self.conns.get_mut(key) else { return };
-            let end = conn.link.read(PACKET_MOST + 8);
-            let input = std::mem::take(&mut conn.link.input);
+            let Some(conn) = self.connections.get_mut(key) else { return };
+            let end = conn.socket.read(PACKET_MOST + 8);
+            let input = std::mem::take(&mut conn.socket.input);
             let mut used = 0;
-            let mut lost = false;
-            while let Ok(Some((number, body))) = mysql_packets::packet(&input[used..]) {
+            let mut failed = false;
+            while let Ok(Some((sequence, body))) = mysql_packets::packet(&input[used..]) {
                 used += 4 + body.len();
-                if matches!(self.packet(key, number, body, context), Next::Lose) {
-                    lost = true;
+                if matches!(self.handle_packet(key, sequence, body, context), AfterPacket::Close) {
+                    failed = true;
                     break;
                 }
             }
-            lost |= mysql_packets::packet(&input[used..]).is_err();
-            let Some(conn) = self.conns.get_mut(key) else { return };
-            conn.link.input = input;
-            conn.link.used(used);
-            let more = conn.link.has_more();
-            if lost || !matches!(end, Ok(ReadEnd::Open)) {
-                return self.lose(key, Outcome::Reset, context);
+            failed |= mysql_packets::packet(&input[used..]).is_err();
+            let Some(conn) = self.connections.get_mut(key) else { return };
+            conn.socket.input = input;
+            conn.socket.used(used);
+            let more = conn.socket.has_more();
+            if failed || !matches!(end, Ok(ReadEnd::Open)) {
+                return self.close(key, Outcome::Reset, context);
             }
             if !more {
                 return self.flush(key, context);
@@ -329,57 +338,61 @@
         }
     }
 
-    /// Ends the attempt on a connection, which is free again.
-    fn end(
+    /// Ends the attempt on a connection and makes the connection available for the next command.
+    fn end_attempt(
         &mut self,
         key: SlotKey,
         outcome: Outcome,
         answer: Option<FinalResponse>,
         context: &mut BackendContext,
-    ) -> Next {
-        let Some(conn) = self.conns.get_mut(key) else { return Next::Lose };
+    ) -> AfterPacket {
+        let Some(conn) = self.connections.get_mut(key) else { return AfterPacket::Close };
         conn.answer = Vec::new();
         if let Some(job) = conn.job.take() {
-            self.placed.remove(&job.at);
-            let ended = FinishedAttempt { answer, ..FinishedAttempt::bare(job.at, outcome) };
+            self.placements.remove(&job.attempt);
+            let ended = FinishedAttempt { answer, ..FinishedAttempt::bare(job.attempt, outcome) };
             context.heard.push(DispatcherEvent::Ended(ended));
         }
         conn.advance(context.now);
-        let serving = self.roster.serving(&conn.engine).is_some();
+        let serving = self.engines.serving(&conn.engine).is_some();
         if serving || conn.kill.is_some() {
-            Next::Go
+            AfterPacket::KeepOpen
         } else {
-            Next::Lose
+            AfterPacket::Close
         }
     }
 
-    /// Drops a connection. An attempt that was sent on it ends as `outcome` says; one that was not never ran.
-    fn lose(&mut self, key: SlotKey, outcome: Outcome, context: &mut BackendContext) {
-        let Some(conn) = self.conns.remove(key) else { return };
-        self.roster.unlink(&conn.engine, key);
+    /// Closes a connection. An attempt that was sent ends with `outcome`; an unsent one ends as a connect failure.
+    fn close(&mut self, key: SlotKey, outcome: Outcome, context: &mut BackendContext) {
+        let Some(conn) = self.connections.remove(key) else { return };
+        self.engines.remove_connection(&conn.engine, key);
         if let Some(number) = conn.kill {
             context.log.push(format!("kill: engine={} connection={number} not sent", conn.engine.0));
         }
         if let Some(job) = conn.job {
-            self.placed.remove(&job.at);
+            self.placements.remove(&job.attempt);
             let outcome = if job.sent { outcome } else { Outcome::ConnectFailed };
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(job.at, outcome)));
+            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(job.attempt, outcome)));
         }
     }
 
-    /// Looks after a connection: did it come up in time, has it long been idle?
+    /// Periodic check of a connection: connect, login and idle timeouts.
     pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get(key) else { return };
-        let age = context.now - conn.since;
+        let Some(conn) = self.connections.get(key) else { return };
+        let age = context.now - conn.dialed_at;
         match conn.phase {
-            Phase::Dialling if age >= self.dial_ms => self.lose(key, Outcome::ConnectFailed, context),
-            Phase::Greeting | Phase::Login if age >= LOGIN_MS => {
-                self.lose(key, Outcome::ConnectFailed, context)
+            Phase::Dialling if age >= self.dial_timeout_ms => {
+                self.close(key, Outcome::ConnectFailed, context)
+            }
+            Phase::Greeting | Phase::Login if age >= LOGIN_TIMEOUT_MS => {
+                self.close(key, Outcome::ConnectFailed, context)
             }
             Phase::Dialling | Phase::Greeting | Phase::Login => {}
-            Phase::Idle if context.now - conn.used >= self.idle_ms => self.lose(key, Outcome::Reset, context),
+            Phase::Idle if context.now - conn.last_used >= self.idle_timeout_ms => {
+                self.close(key, Outcome::Reset, context)
+            }
             _ => {
-                context.timers.set(context.now + LOOK_MS, TimerEvent::MysqlBox(key));
+                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBox(key));
             }
         }
     }
