--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -1,7 +1,8 @@
-//! The MySQL front: sessions of clients that speak the MySQL wire, with prepared statements.
+//! The MySQL front: client sessions over the MySQL protocol, with prepared statements.
 //!
-//! A prepared statement belongs to the session. The front keeps its text and the types of its parameters, and each
-//! execution carries them to whichever box it goes to. What would leave state in a box's session is refused.
+//! A prepared statement belongs to the client session. The front stores its text and parameter types and sends them
+//! with each execution, because every execution may run on another engine. Statements that would leave state in an
+//! engine's session are refused.
 mod login;
 mod run;
 mod session;
@@ -31,14 +32,21 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-const LOGIN_MS: f64 = 10_000.0; // from connecting to the end of the login, as MySQL's connect_timeout
-const STATEMENTS_MOST: usize = 256; // prepared at one time in one session
-const SESSION_MOST: usize = 2 << 20; // bytes of their texts and long values
-const SESSION_LIGHT: usize = 32 * 1024; // bytes of one session that call for no look at all of them
-const PARAMETERS_MOST: usize = 65_535; // the wire counts them in 16 bits
-const OUT_HIGH: usize = 256 * 1024; // unwritten bytes past which no further command is taken
+/// Milliseconds from accepting a connection to the end of the login; the default of MySQL's `connect_timeout`.
+const LOGIN_TIMEOUT_MS: f64 = 10_000.0;
+/// Maximum number of prepared statements per session.
+const MAX_STATEMENTS: usize = 256;
+/// Maximum total bytes of the texts, types and long values of the prepared statements of a session.
+const MAX_STATEMENT_BYTES: usize = 2 << 20;
+/// Sessions that use at most this many bytes of memory do not trigger a check of the total of all sessions.
+const SMALL_SESSION_BYTES: usize = 32 * 1024;
+/// Maximum number of parameters of a statement; the protocol has a 16-bit field for the count.
+const MAX_PARAMETERS: usize = 65_535;
+/// Unwritten output bytes of a session above which its further commands wait.
+const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
 const PLUGIN: &[u8] = b"mysql_native_password";
-const COLLATION: u8 = 45; // utf8mb4_general_ci
+/// Protocol id of the collation `utf8mb4_general_ci`.
+const COLLATION: u8 = 45;
 
 const QUIT: u8 = Command::COM_QUIT as u8;
 const PING: u8 = Command::COM_PING as u8;
@@ -60,36 +68,38 @@
 const UNKNOWN_STATEMENT: (u16, &str, &str) = (1243, "HY000", "Unknown prepared statement handler");
 const UNKNOWN_COMMAND: (u16, &str, &str) = (1047, "08S01", "Unknown command");
 const WRONG_ARGUMENTS: (u16, &str, &str) = (1210, "HY000", "Incorrect arguments to EXECUTE");
-const TOO_MANY: (u16, &str, &str) = (1461, "42000", "Too many prepared statements in this session");
-const TOO_LONG: (u16, &str, &str) = (1153, "08S01", "Got a packet bigger than is taken");
-const DENIED: (u16, &str, &str) = (1045, "28000", "Access denied");
+const TOO_MANY_STATEMENTS: (u16, &str, &str) =
+    (1461, "42000", "Too many prepared statements in this session");
+const PACKET_TOO_LARGE: (u16, &str, &str) =
+    (1153, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
+const ACCESS_DENIED: (u16, &str, &str) = (1045, "28000", "Access denied");
 const REFUSED: (u16, &str) = (1040, "08004");
 const UNSUPPORTED: (u16, &str) = (1235, "42000");
-const FAILED: (u16, &str, &str) = (1105, "HY000", "failed; it may have run");
-const TIMED_OUT: (u16, &str, &str) = (3024, "HY000", "no answer in time; it may have run");
+const FAILED: (u16, &str, &str) = (1105, "HY000", "the statement failed; it may have run");
+const TIMED_OUT: (u16, &str, &str) = (3024, "HY000", "the statement timed out; it may have run");
 
 #[derive(Debug)]
 struct Statement {
     text: Vec<u8>,
-    parameters: usize,
+    parameter_count: usize,
     types: Vec<u8>,
-    long: BTreeMap<u16, Vec<u8>>,
+    long_data: BTreeMap<u16, Vec<u8>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The greeting is sent.
+    /// The server greeting was sent; waiting for the login response.
     Greeted,
-    /// The client was asked to answer in our way.
-    Switched,
-    /// Logged in.
+    /// The client was asked to switch to `mysql_native_password`; waiting for its reply.
+    AuthSwitched,
+    /// Logged in and waiting for a command.
     Ready,
-    /// A request is out; its answer follows the packet of this number.
+    /// A request is in flight; contains the sequence number of its packet, which the response continues.
     Busy(u8),
 }
 
 struct Session {
-    link: BufferedSocket,
+    socket: BufferedSocket,
     phase: Phase,
     nonce: [u8; 20],
     user: Vec<u8>,
@@ -101,55 +111,57 @@
 }
 
 impl Session {
-    fn weight(&self) -> usize {
-        self.link.waiting() + self.link.input.len() + self.bytes()
+    fn memory_bytes(&self) -> usize {
+        self.socket.waiting() + self.socket.input.len() + self.statement_bytes()
     }
-    fn bytes(&self) -> usize {
-        let long = |s: &Statement| s.long.values().map(Vec::len).sum::<usize>();
+    fn statement_bytes(&self) -> usize {
+        let long = |s: &Statement| s.long_data.values().map(Vec::len).sum::<usize>();
         self.statements.values().map(|s| s.text.len() + s.types.len() + long(s)).sum()
     }
     fn reply(&mut self, after: u8, body: &[u8]) {
         let mut out = Vec::new();
         mysql_packets::push(&mut out, after.wrapping_add(1), body);
-        self.link.put(&out);
+        self.socket.put(&out);
     }
-    fn wrong(&mut self, after: u8, (code, state, message): (u16, &str, &str)) {
+    fn send_error(&mut self, after: u8, (code, state, message): (u16, &str, &str)) {
         self.reply(after, &error(code, state, message));
     }
 }
 
-/// The clients of the MySQL front.
+/// The MySQL front with its client sessions.
 pub struct MysqlFront {
     settings: MysqlSettings,
-    /// Whether a class may be repeated, its time, and whether it keeps the order of a key.
+    /// Per class: whether requests may be repeated, the default deadline in milliseconds, and whether requests of the
+    /// same key run in order.
     classes: Vec<(Repeat, f64, bool)>,
     sessions: Slab<Session>,
     connections: u32,
-    total_most: usize,
+    max_total_bytes: usize,
 }
 
 impl MysqlFront {
-    /// A front without clients. What waits and is kept in all sessions is bounded by `total_most` bytes.
-    pub fn new(settings: MysqlSettings, module: &Settings, total_most: usize) -> MysqlFront {
+    /// Creates a front without clients. `max_total_bytes` limits the bytes of buffers and prepared statements of all
+    /// sessions together.
+    pub fn new(settings: MysqlSettings, module: &Settings, max_total_bytes: usize) -> MysqlFront {
         let classes = module.classes.iter().map(|c| (c.repeat, c.deadline.as_millis(), c.in_order)).collect();
-        MysqlFront { settings, classes, sessions: Slab::default(), connections: 0, total_most }
+        MysqlFront { settings, classes, sessions: Slab::default(), connections: 0, max_total_bytes }
     }
 
-    /// Connected clients.
+    /// The number of connected clients.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there are none.
+    /// Whether no client is connected.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// A client has connected: greets it.
+    /// Creates a session for a new client connection and sends the server greeting.
     pub fn accept(&mut self, stream: TcpStream, context: &mut BackendContext) {
         self.connections = self.connections.wrapping_add(1);
         let nonce = nonce();
-        let mut link = BufferedSocket::new(stream);
+        let mut socket = BufferedSocket::new(stream);
         let (first, rest) = nonce.split_at(8);
         let first: [u8; 8] = first.try_into().unwrap_or_default();
         let greeting = HandshakePacket::new(
@@ -166,9 +178,9 @@
         let (mut body, mut out) = (Vec::new(), Vec::new());
         greeting.serialize(&mut body);
         mysql_packets::push(&mut out, 0, &body);
-        link.put(&out);
+        socket.put(&out);
         let key = self.sessions.insert(Session {
-            link,
+            socket,
             phase: Phase::Greeted,
             nonce,
             user: Vec::new(),
@@ -179,56 +191,56 @@
             requests: 0,
         });
         let Some(session) = self.sessions.get_mut(key) else { return };
-        if session.link.watch(context.registry, SocketOwner::Mysql(key)).is_err() {
+        if session.socket.watch(context.registry, SocketOwner::Mysql(key)).is_err() {
             self.sessions.remove(key);
             return;
         }
-        context.timers.set(context.now + LOGIN_MS, TimerEvent::MysqlLogin(key));
+        context.timers.set(context.now + LOGIN_TIMEOUT_MS, TimerEvent::MysqlLogin(key));
         self.ready(key, false, context);
     }
 
-    /// Lets a client go that has not logged in.
+    /// Closes a session that did not complete its login within the timeout.
     pub fn login_over(&mut self, key: SlotKey, context: &mut BackendContext) {
-        if self.sessions.get(key).is_some_and(|s| matches!(s.phase, Phase::Greeted | Phase::Switched)) {
+        if self.sessions.get(key).is_some_and(|s| matches!(s.phase, Phase::Greeted | Phase::AuthSwitched)) {
             self.close(key, context);
         }
     }
 
-    /// A socket has something to say, or a command may be taken again. A client that has closed its side is gone, however
-    /// much it has sent before.
+    /// Handles a readiness event, or resumes command processing after a response. When the client has closed its side,
+    /// the session is closed without processing commands that are still buffered.
     pub fn ready(&mut self, key: SlotKey, read_closed: bool, context: &mut BackendContext) {
         if read_closed {
             return self.close(key, context);
         }
         loop {
             let Some(session) = self.sessions.get_mut(key) else { return };
-            if session.link.flush().is_err() {
+            if session.socket.flush().is_err() {
                 return self.close(key, context);
             }
-            let end = session.link.read(PACKET_MOST + 8);
-            let mut more = session.link.has_more();
+            let end = session.socket.read(PACKET_MOST + 8);
+            let mut more = session.socket.has_more();
             while let Some(session) = self.sessions.get_mut(key) {
-                if matches!(session.phase, Phase::Busy(_)) || session.link.waiting() > OUT_HIGH {
-                    more = false; // The answer, or a client that takes it, brings us back here.
+                if matches!(session.phase, Phase::Busy(_)) || session.socket.waiting() > MAX_UNWRITTEN_BYTES {
+                    more = false; // Resumes after the response, or when the client has read more output.
                     break;
                 }
-                match mysql_packets::packet(&session.link.input) {
+                match mysql_packets::packet(&session.socket.input) {
                     Ok(None) => break,
-                    Ok(Some((number, body))) => {
+                    Ok(Some((sequence, body))) => {
                         let body = body.to_vec();
-                        session.link.used(4 + body.len());
-                        if !self.packet(key, number, &body, context) {
-                            return self.part(key, context);
+                        session.socket.used(4 + body.len());
+                        if !self.handle_packet(key, sequence, &body, context) {
+                            return self.close_after_flush(key, context);
                         }
                     }
                     Err(too_long) => {
-                        session.wrong(too_long.0, TOO_LONG);
-                        return self.part(key, context);
+                        session.send_error(too_long.0, PACKET_TOO_LARGE);
+                        return self.close_after_flush(key, context);
                     }
                 }
             }
             let Some(session) = self.sessions.get_mut(key) else { return };
-            let broken = session.link.flush().is_err();
+            let broken = session.socket.flush().is_err();
             if broken || !matches!(end, Ok(ReadEnd::Open)) {
                 return self.close(key, context);
             }
@@ -236,15 +248,15 @@
                 break;
             }
         }
-        if self.sessions.get(key).is_some_and(|session| session.weight() > SESSION_LIGHT) {
-            self.bound_total(context);
+        if self.sessions.get(key).is_some_and(|session| session.memory_bytes() > SMALL_SESSION_BYTES) {
+            self.enforce_memory_limit(context);
         }
     }
 
-    /// Lets a client go, which may first read what is written.
-    fn part(&mut self, key: SlotKey, context: &mut BackendContext) {
+    /// Closes a session after the client has read the remaining output.
+    fn close_after_flush(&mut self, key: SlotKey, context: &mut BackendContext) {
         if let Some(session) = self.remove(key, context) {
-            context.closing.add(session.link, context.now, context.registry, context.timers);
+            context.closing.add(session.socket, context.now, context.registry, context.timers);
         }
     }
 
@@ -260,53 +272,53 @@
         Some(session)
     }
 
-    /// Writes an answer, if its client still waits for it, and takes the next command.
+    /// Sends a response if the client still waits for it, then continues with the next command.
     pub fn answer(&mut self, asker: ClientHandle, answer: FinalResponse, context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(asker.conn).filter(|s| s.requests == asker.id) else {
             return;
         };
-        let Phase::Busy(number) = session.phase else { return };
+        let Phase::Busy(sequence) = session.phase else { return };
         session.phase = Phase::Ready;
         match answer {
             FinalResponse::Served(mut body) => {
-                mysql_packets::renumber(&mut body, number.wrapping_add(1));
-                session.link.put(&body);
+                mysql_packets::renumber(&mut body, sequence.wrapping_add(1));
+                session.socket.put(&body);
             }
-            FinalResponse::Error(body) => session.reply(number, &body),
+            FinalResponse::Error(body) => session.reply(sequence, &body),
             FinalResponse::Refused { backoff_ms } => {
                 let back = backoff_ms.ceil().max(1.0);
                 let message = format!("refused, not run; come back in {back} ms");
-                session.wrong(number, (REFUSED.0, REFUSED.1, &message));
+                session.send_error(sequence, (REFUSED.0, REFUSED.1, &message));
             }
-            FinalResponse::TimedOut => session.wrong(number, TIMED_OUT),
-            FinalResponse::Failed => session.wrong(number, FAILED),
+            FinalResponse::TimedOut => session.send_error(sequence, TIMED_OUT),
+            FinalResponse::Failed => session.send_error(sequence, FAILED),
         }
         self.ready(asker.conn, false, context);
     }
 
-    /// Guards the memory limit against many sessions that take nothing or keep much: the heaviest goes.
-    fn bound_total(&mut self, context: &mut BackendContext) {
-        let (total, most) = heaviest(self.sessions.iter().map(|(key, s)| (s.weight(), key)));
-        if let Some(key) = most.filter(|_| total > self.total_most) {
+    /// Enforces the memory limit over all sessions: above it, the session that uses the most memory is closed.
+    fn enforce_memory_limit(&mut self, context: &mut BackendContext) {
+        let (total, most) = heaviest(self.sessions.iter().map(|(key, s)| (s.memory_bytes(), key)));
+        if let Some(key) = most.filter(|_| total > self.max_total_bytes) {
             context.log.push(format!("slow client: closed, bytes={total}"));
             self.close(key, context);
         }
     }
 
-    /// Closes the sessions in which nothing is open or half said; used in a graceful shutdown.
+    /// Closes sessions without a request in flight or partial input or output; used by the graceful shutdown.
     pub fn close_quiet(&mut self, context: &mut BackendContext) {
         for key in self.sessions.keys() {
-            self.ready(key, false, context); // What came since the poll is not to be lost by a close over it.
+            self.ready(key, false, context); // Handles input received since the poll, lest closing discard it.
             let is_busy = |s: &Session| matches!(s.phase, Phase::Busy(_));
-            let is_quiet = |s: &Session| !is_busy(s) && s.link.waiting() == 0 && s.link.input.is_empty();
+            let is_quiet = |s: &Session| !is_busy(s) && s.socket.waiting() == 0 && s.socket.input.is_empty();
             if self.sessions.get(key).is_some_and(is_quiet) {
-                self.part(key, context);
+                self.close_after_flush(key, context);
             }
         }
     }
 }
 
-/// Twenty bytes that nobody can foresee, none of them zero, from the system's own randomness.
+/// Generates the 20-byte authentication challenge: unpredictable nonzero bytes seeded by the system.
 fn nonce() -> [u8; 20] {
     let mut nonce = [0; 20];
     for chunk in nonce.chunks_mut(8) {
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -1,91 +1,91 @@
-//! What a client asks for: commands, statements, and the request that comes of one.
+//! Handles client commands and turns statements into requests for the dispatcher.
 
 use super::*;
 
 impl MysqlFront {
-    pub(super) fn command(
+    pub(super) fn handle_command(
         &mut self,
         key: SlotKey,
-        number: u8,
+        sequence: u8,
         body: &[u8],
         context: &mut BackendContext,
     ) -> bool {
         let Some(session) = self.sessions.get_mut(key) else { return false };
         let Some((command, rest)) = body.split_first() else {
-            session.wrong(number, MALFORMED);
+            session.send_error(sequence, MALFORMED);
             return false;
         };
         let handle = rest.first_chunk::<4>().map(|id| u32::from_le_bytes(*id));
         match *command {
             QUIT => return false,
-            PING => session.reply(number, &mysql_packets::ok()),
-            INIT_DB => session.choose_schema(number, rest),
+            PING => session.reply(sequence, &mysql_packets::ok()),
+            INIT_DB => session.choose_schema(sequence, rest),
             RESET_CONNECTION => {
                 session.statements.clear();
                 session.schema = None;
-                session.reply(number, &mysql_packets::ok());
+                session.reply(sequence, &mysql_packets::ok());
             }
-            QUERY => self.query(key, number, rest, context),
-            STMT_PREPARE => session.prepare(number, rest),
-            STMT_EXECUTE => self.execute(key, number, rest, context),
-            STMT_SEND_LONG_DATA => session.long_data(rest), // Gets no answer.
+            QUERY => self.query(key, sequence, rest, context),
+            STMT_PREPARE => session.prepare(sequence, rest),
+            STMT_EXECUTE => self.execute(key, sequence, rest, context),
+            STMT_SEND_LONG_DATA => session.append_long_data(rest), // The protocol defines no reply.
             STMT_CLOSE => {
-                handle.and_then(|handle| session.statements.remove(&handle)); // Gets no answer.
+                handle.and_then(|handle| session.statements.remove(&handle)); // The protocol defines no reply.
             }
             STMT_RESET => match handle.and_then(|id| session.statements.get_mut(&id)) {
                 Some(statement) => {
-                    statement.long.clear();
-                    session.reply(number, &mysql_packets::ok());
+                    statement.long_data.clear();
+                    session.reply(sequence, &mysql_packets::ok());
                 }
-                None => session.wrong(number, UNKNOWN_STATEMENT),
+                None => session.send_error(sequence, UNKNOWN_STATEMENT),
             },
             STMT_FETCH | CHANGE_USER | SET_OPTION | PROCESS_KILL | FIELD_LIST => {
-                session.unsupported(number, "this command")
+                session.send_unsupported(sequence, "this command")
             }
-            _ => session.wrong(number, UNKNOWN_COMMAND),
+            _ => session.send_error(sequence, UNKNOWN_COMMAND),
         }
         true
     }
 
-    pub(super) fn query(&mut self, key: SlotKey, number: u8, text: &[u8], context: &mut BackendContext) {
+    pub(super) fn query(&mut self, key: SlotKey, sequence: u8, text: &[u8], context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let words = statement::words(text);
         if words.first().is_some_and(|w| w == "USE") {
             let name = String::from_utf8_lossy(&text[3.min(text.len())..]).into_owned();
             let name = name.trim().trim_end_matches(';').trim().trim_matches('`');
-            return session.choose_schema(number, name.as_bytes());
+            return session.choose_schema(sequence, name.as_bytes());
         }
-        if let Err(bound) = statement::movable(&words) {
-            return session.unsupported(number, bound.0);
+        if let Err(feature) = statement::movable(&words) {
+            return session.send_unsupported(sequence, feature.0);
         }
-        self.ask(key, number, text.to_vec(), &words, None, context);
+        self.dispatch(key, sequence, text.to_vec(), &words, None, context);
     }
 
-    pub(super) fn execute(&mut self, key: SlotKey, number: u8, rest: &[u8], context: &mut BackendContext) {
+    pub(super) fn execute(&mut self, key: SlotKey, sequence: u8, rest: &[u8], context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         let Some((handle, after)) = rest.split_first_chunk::<4>() else {
-            return session.wrong(number, MALFORMED);
+            return session.send_error(sequence, MALFORMED);
         };
         let Some(statement) = session.statements.get_mut(&u32::from_le_bytes(*handle)) else {
-            return session.wrong(number, UNKNOWN_STATEMENT);
+            return session.send_error(sequence, UNKNOWN_STATEMENT);
         };
         match statement.bind(after) {
             Ok(bound) => {
                 let text = statement.text.clone();
                 let words = statement::words(&text);
-                self.ask(key, number, text, &words, Some(bound), context);
+                self.dispatch(key, sequence, text, &words, Some(bound), context);
             }
-            Err(wrong) if wrong == UNSUPPORTED.0 => session.unsupported(number, "a cursor"),
-            Err(wrong) if wrong == WRONG_ARGUMENTS.0 => session.wrong(number, WRONG_ARGUMENTS),
-            Err(_) => session.wrong(number, MALFORMED),
+            Err(code) if code == UNSUPPORTED.0 => session.send_unsupported(sequence, "a cursor"),
+            Err(code) if code == WRONG_ARGUMENTS.0 => session.send_error(sequence, WRONG_ARGUMENTS),
+            Err(_) => session.send_error(sequence, MALFORMED),
         }
     }
 
-    /// Hands a request to the core, under the class that the operator's rules give it.
-    pub(super) fn ask(
+    /// Sends a request to the dispatcher with the class that the operator's rules assign to it.
+    pub(super) fn dispatch(
         &mut self,
         key: SlotKey,
-        number: u8,
+        sequence: u8,
         text: Vec<u8>,
         words: &[String],
         bound: Option<Bound>,
@@ -99,11 +99,11 @@
             let verb = rule.verb.as_deref().is_none_or(|v| v == verb);
             verb && rule.mentions.as_deref().is_none_or(|m| lower.contains(m))
         });
-        // Guards against a rule that is too wide: what does more than read is never run twice.
+        // Ignores a rule that would assign a statement that is not read-only to a class with retries.
         let rule = rule.filter(|rule| reads || self.classes[rule.class.0].0 == Repeat::Unsafe);
         let class = rule.map_or(self.settings.default_class, |rule| rule.class);
         session.requests += 1;
-        session.phase = Phase::Busy(number);
+        session.phase = Phase::Busy(sequence);
         let id = session.requests;
         let tables = table_group::table_group(&text).unwrap_or(0);
         context.heard.push(DispatcherEvent::Asked(ClientRequest {
@@ -118,7 +118,7 @@
             memory_mb: rule.and_then(|rule| rule.memory_mb),
             tenant: session.tenant.clone(),
             order: self.classes[class.0].2.then(|| {
-                // Each kind has a letter of its own, so that an account named as a group is no such group.
+                // Each kind of key has its own prefix, so that an account name cannot collide with a table group.
                 Arc::from(match rule.map(|rule| rule.order_by).unwrap_or_default() {
                     OrderBy::Account => format!("a{}", String::from_utf8_lossy(&session.user)),
                     OrderBy::Tables => format!("t{tables}"),
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -1,85 +1,86 @@
-//! What a session keeps: its schema, its prepared statements and what is bound to them.
+//! State of a client session: schema, prepared statements and bound parameter values.
 
 use super::*;
 
 impl Session {
-    pub(super) fn unsupported(&mut self, number: u8, what: &str) {
-        let message = format!("beamgap does not support {what}: it would not move from box to box");
-        self.wrong(number, (UNSUPPORTED.0, UNSUPPORTED.1, &message));
+    pub(super) fn send_unsupported(&mut self, sequence: u8, what: &str) {
+        let message = format!("beamgap does not support {what}: engines do not share session state");
+        self.send_error(sequence, (UNSUPPORTED.0, UNSUPPORTED.1, &message));
     }
 
-    pub(super) fn choose_schema(&mut self, number: u8, name: &[u8]) {
+    pub(super) fn choose_schema(&mut self, sequence: u8, name: &[u8]) {
         match std::str::from_utf8(name) {
             Ok(name) if !name.is_empty() => {
                 self.schema = Some(name.to_owned());
-                self.reply(number, &mysql_packets::ok());
+                self.reply(sequence, &mysql_packets::ok());
             }
-            _ => self.wrong(number, (1049, "42000", "Unknown database")),
+            _ => self.send_error(sequence, (1049, "42000", "Unknown database")),
         }
     }
 
-    /// Keeps a statement. No box has seen it yet, so its columns are told only with the first result.
-    pub(super) fn prepare(&mut self, number: u8, text: &[u8]) {
+    /// Stores a prepared statement and replies with its parameter count. The reply declares no result columns,
+    /// because they are unknown until an engine executes the statement.
+    pub(super) fn prepare(&mut self, sequence: u8, text: &[u8]) {
         let words = statement::words(text);
-        if let Err(bound) = statement::movable(&words) {
-            return self.unsupported(number, bound.0);
+        if let Err(feature) = statement::movable(&words) {
+            return self.send_unsupported(sequence, feature.0);
         }
-        let parameters = statement::parameters(&words);
-        if self.statements.len() >= STATEMENTS_MOST
-            || self.bytes() + text.len() > SESSION_MOST
-            || parameters > PARAMETERS_MOST
+        let parameter_count = statement::parameters(&words);
+        if self.statements.len() >= MAX_STATEMENTS
+            || self.statement_bytes() + text.len() > MAX_STATEMENT_BYTES
+            || parameter_count > MAX_PARAMETERS
         {
-            return self.wrong(number, TOO_MANY);
+            return self.send_error(sequence, TOO_MANY_STATEMENTS);
         }
         let handle = self.next_statement;
         self.next_statement = self.next_statement.wrapping_add(1).max(1);
-        let (types, long) = (Vec::new(), BTreeMap::new());
-        self.statements.insert(handle, Statement { text: text.to_vec(), parameters, types, long });
+        let (types, long_data) = (Vec::new(), BTreeMap::new());
+        self.statements.insert(handle, Statement { text: text.to_vec(), parameter_count, types, long_data });
         let mut body = vec![0];
         body.extend(handle.to_le_bytes());
         body.extend(0u16.to_le_bytes());
-        body.extend((parameters as u16).to_le_bytes());
+        body.extend((parameter_count as u16).to_le_bytes());
         body.extend([0, 0, 0]);
-        let (mut out, mut number) = (Vec::new(), number.wrapping_add(1));
-        mysql_packets::push(&mut out, number, &body);
-        if parameters > 0 {
+        let (mut out, mut sequence) = (Vec::new(), sequence.wrapping_add(1));
+        mysql_packets::push(&mut out, sequence, &body);
+        if parameter_count > 0 {
             let parameter = parameter_definition();
-            for _ in 0..parameters {
-                number = number.wrapping_add(1);
-                mysql_packets::push(&mut out, number, &parameter);
+            for _ in 0..parameter_count {
+                sequence = sequence.wrapping_add(1);
+                mysql_packets::push(&mut out, sequence, &parameter);
             }
-            mysql_packets::push(&mut out, number.wrapping_add(1), &mysql_packets::eof());
+            mysql_packets::push(&mut out, sequence.wrapping_add(1), &mysql_packets::eof());
         }
-        self.link.put(&out);
+        self.socket.put(&out);
     }
 
-    /// Adds to a long value. Nothing is answered; what is wrong shows when the statement is executed.
-    pub(super) fn long_data(&mut self, rest: &[u8]) {
-        let room = SESSION_MOST.saturating_sub(self.bytes());
+    /// Appends data to a long parameter value. The command has no reply, so the next execution reports any error.
+    pub(super) fn append_long_data(&mut self, rest: &[u8]) {
+        let room = MAX_STATEMENT_BYTES.saturating_sub(self.statement_bytes());
         let Some((handle, rest)) = rest.split_first_chunk::<4>() else { return };
-        let Some((place, data)) = rest.split_first_chunk::<2>() else { return };
+        let Some((index, data)) = rest.split_first_chunk::<2>() else { return };
         let Some(statement) = self.statements.get_mut(&u32::from_le_bytes(*handle)) else { return };
-        let place = u16::from_le_bytes(*place);
-        if usize::from(place) >= statement.parameters || data.len() > room {
-            statement.long.insert(u16::MAX, Vec::new()); // No parameter has this place: `bind` refuses it.
+        let index = u16::from_le_bytes(*index);
+        if usize::from(index) >= statement.parameter_count || data.len() > room {
+            statement.long_data.insert(u16::MAX, Vec::new()); // `bind` rejects this invalid parameter index.
             return;
         }
-        statement.long.entry(place).or_default().extend_from_slice(data);
+        statement.long_data.entry(index).or_default().extend_from_slice(data);
     }
 }
 
 impl Statement {
-    /// Reads what an execution binds: flags, null bits, types where they are new, values. Else an error's code.
+    /// Parses the body of `COM_STMT_EXECUTE`: flags, null bitmap, optional types and values. Fails with an error code.
     pub(super) fn bind(&mut self, rest: &[u8]) -> Result<Bound, u16> {
-        let long: Vec<(u16, Vec<u8>)> = std::mem::take(&mut self.long).into_iter().collect();
-        if long.iter().any(|(place, _)| usize::from(*place) >= self.parameters) {
+        let long: Vec<(u16, Vec<u8>)> = std::mem::take(&mut self.long_data).into_iter().collect();
+        if long.iter().any(|(index, _)| usize::from(*index) >= self.parameter_count) {
             return Err(WRONG_ARGUMENTS.0);
         }
         let (flags, rest) = rest.split_first_chunk::<5>().ok_or(MALFORMED.0)?;
         if flags[0] != 0 {
             return Err(UNSUPPORTED.0);
         }
-        let count = self.parameters;
+        let count = self.parameter_count;
         if count == 0 {
             return Ok(Bound::default());
         }
@@ -97,7 +98,7 @@
     }
 }
 
-/// A parameter's definition: a nameless string of the widest kind, as servers tell it.
+/// The definition packet of a parameter: an unnamed string of maximum width, as MySQL servers send it.
 fn parameter_definition() -> Vec<u8> {
     let mut body = Vec::new();
     for text in [&b"def"[..], b"", b"", b"", b"?", b""] {
--- a/src/node/front/mysql/statement.rs
+++ b/src/node/front/mysql/statement.rs
@@ -1,18 +1,18 @@
-//! What a statement is, as far as the front must know: its parameters, whether it moves between boxes, and
-//! whether it only reads.
+//! Statement analysis for the MySQL front: parameter count, dependence on session state, and whether a statement is
+//! read-only.
 
-/// Why a statement can't be taken: it would leave state in a session that the next statement may not meet.
+/// The feature for which a statement is refused: it depends on session state, which is not shared between engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound(pub &'static str);
+pub struct Unsupported(pub &'static str);
 
-/// Words and marks of a statement, upper case; strings, quoted names and comments are left out.
+/// Splits a statement into words and punctuation, in upper case, without strings, quoted names and comments.
 pub fn words(sql: &[u8]) -> Vec<String> {
     let mut words = Vec::new();
     let mut word = String::new();
     let mut i = 0;
     while i < sql.len() {
         let (byte, next) = (sql[i], sql.get(i + 1).copied());
-        let behind = |what: &[u8], from: usize| {
+        let after = |what: &[u8], from: usize| {
             let rest = sql.get(from..).unwrap_or_default();
             let at = rest.windows(what.len()).position(|w| w == what);
             at.map_or(sql.len(), |at| from + at + what.len())
@@ -26,20 +26,20 @@
             words.push(std::mem::take(&mut word));
         }
         match (byte, next) {
-            // What follows `/*!` is run by the box, so it counts.
+            // MySQL executes the content of `/*! ... */`, so it is not skipped like a comment.
             (b'/', Some(b'*')) if sql.get(i + 2) == Some(&b'!') => {
                 let version = sql[i + 3..].iter().take_while(|b| b.is_ascii_digit()).count();
                 i += 3 + version;
             }
-            (b'/', Some(b'*')) => i = behind(b"*/", i + 2),
-            (b'-', Some(b'-')) if sql.get(i + 2).is_none_or(u8::is_ascii_whitespace) => i = behind(b"\n", i),
-            (b'#', _) => i = behind(b"\n", i),
+            (b'/', Some(b'*')) => i = after(b"*/", i + 2),
+            (b'-', Some(b'-')) if sql.get(i + 2).is_none_or(u8::is_ascii_whitespace) => i = after(b"\n", i),
+            (b'#', _) => i = after(b"\n", i),
             (b'\'' | b'"' | b'`', _) => {
                 i += 1;
                 while i < sql.len() && sql[i] != byte {
                     i += if sql[i] == b'\\' && byte != b'`' { 2 } else { 1 };
                 }
-                i += 1; // A doubled quote opens the next string, which ends where this one does.
+                i += 1; // A doubled quote is handled as the end of one string and the start of the next.
             }
             _ => {
                 if !byte.is_ascii_whitespace() {
@@ -53,47 +53,47 @@
     words
 }
 
-/// How many parameters a statement has.
+/// Counts the parameter markers (`?`) of a statement.
 pub fn parameters(words: &[String]) -> usize {
     words.iter().filter(|w| *w == "?").count()
 }
 
-/// Whether a statement can run on any box, with nothing left behind that the next would need.
-pub fn movable(words: &[String]) -> Result<(), Bound> {
+/// Checks that a statement can run on any engine because it neither reads nor changes session state.
+pub fn movable(words: &[String]) -> Result<(), Unsupported> {
     let word = |i: usize| words.get(i).map_or("", String::as_str);
     let first = words.iter().position(|w| w != "(" && w != ";").unwrap_or(0);
     match (word(first), word(first + 1)) {
         ("BEGIN" | "COMMIT" | "ROLLBACK" | "SAVEPOINT" | "RELEASE" | "XA", _) | ("START", "TRANSACTION") => {
-            return Err(Bound("transactions"));
+            return Err(Unsupported("transactions"));
         }
-        ("SET", _) => return Err(Bound("SET")),
-        ("LOCK" | "UNLOCK", _) => return Err(Bound("table locks")),
-        ("PREPARE" | "EXECUTE" | "DEALLOCATE", _) => return Err(Bound("PREPARE as a statement")),
-        ("HANDLER", _) => return Err(Bound("HANDLER")),
-        ("LOAD", _) => return Err(Bound("LOAD")),
-        ("CREATE" | "DROP", "TEMPORARY") => return Err(Bound("temporary tables")),
-        ("KILL", _) => return Err(Bound("KILL")),
+        ("SET", _) => return Err(Unsupported("SET")),
+        ("LOCK" | "UNLOCK", _) => return Err(Unsupported("table locks")),
+        ("PREPARE" | "EXECUTE" | "DEALLOCATE", _) => return Err(Unsupported("PREPARE as an SQL statement")),
+        ("HANDLER", _) => return Err(Unsupported("HANDLER")),
+        ("LOAD", _) => return Err(Unsupported("LOAD")),
+        ("CREATE" | "DROP", "TEMPORARY") => return Err(Unsupported("temporary tables")),
+        ("KILL", _) => return Err(Unsupported("KILL")),
         _ => {}
     }
     let pair = |a: &str, b: &str| words.windows(2).any(|w| w[0] == a && w[1] == b);
-    // `@x` belongs to a session; `@@x` is the box's own and may be read anywhere.
+    // A user variable `@x` is session state; a system variable `@@x` can be read on any engine.
     let at = |i: usize| words.get(i).is_some_and(|w| w == "@");
     if (0..words.len()).any(|i| at(i) && !at(i + 1) && (i == 0 || !at(i - 1))) {
-        return Err(Bound("user variables"));
+        return Err(Unsupported("user variables"));
     }
     if pair("GET_LOCK", "(") || pair("RELEASE_LOCK", "(") || pair("RELEASE_ALL_LOCKS", "(") {
-        return Err(Bound("named locks"));
+        return Err(Unsupported("named locks"));
     }
     if pair("LAST_INSERT_ID", "(") || pair("FOUND_ROWS", "(") || pair("ROW_COUNT", "(") {
-        return Err(Bound("what the statement before has left"));
+        return Err(Unsupported("functions that depend on the previous statement"));
     }
     if words.iter().rev().skip_while(|w| *w == ";").any(|w| w == ";") {
-        return Err(Bound("several statements in one"));
+        return Err(Unsupported("multiple statements in one query"));
     }
     Ok(())
 }
 
-/// Whether a statement does nothing but read, so that running it again is harmless.
+/// Whether a statement is read-only, so that it can safely run again.
 pub fn only_reads(words: &[String]) -> bool {
     const OPENS: &[&str] = &["SELECT", "SHOW", "EXPLAIN", "DESCRIBE", "DESC", "VALUES", "TABLE", "WITH"];
     const WRITES: &[&str] =
--- a/src/node/mysql_packets.rs
+++ b/src/node/mysql_packets.rs
@@ -1,11 +1,12 @@
-//! What the MySQL front and its boxes share of the wire: packets, their heads, and the few bodies written here.
+//! MySQL protocol code shared by the front and the backend: packet framing, common packets and result parsing.
 
 use mysql_common::constants::{CapabilityFlags, StatusFlags};
 
-/// A longer packet is not taken: its body comes in one piece, and buffers stay bounded.
+/// Maximum packet body in bytes. It bounds the read buffers, since a packet is processed only once it is complete.
 pub const PACKET_MOST: usize = 1 << 20;
 
-/// What both sides of the program can do; no end-of-file packets are left out, so results pass on unchanged.
+/// Capability flags for both clients and servers. `CLIENT_DEPRECATE_EOF` is not set, so both sides use EOF packets and
+/// results are forwarded unchanged.
 pub fn capabilities() -> CapabilityFlags {
     CapabilityFlags::CLIENT_LONG_PASSWORD
         | CapabilityFlags::CLIENT_LONG_FLAG
@@ -18,11 +19,11 @@
         | CapabilityFlags::CLIENT_PLUGIN_AUTH
 }
 
-/// A packet longer than is taken; its number is that which an answer must follow.
+/// A packet exceeds [`PACKET_MOST`]; contains its sequence number, which the error packet continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLong(pub u8);
 
-/// The first packet in `bytes`: its number and body, and the bytes that it takes. `None` while it is not whole.
+/// Parses the first packet in `bytes` and returns its sequence number and body, or `None` if it is incomplete.
 pub fn packet(bytes: &[u8]) -> Result<Option<(u8, &[u8])>, TooLong> {
     let Some([a, b, c, number]) = bytes.first_chunk::<4>().copied() else { return Ok(None) };
     let length = usize::from(a) | usize::from(b) << 8 | usize::from(c) << 16;
@@ -32,14 +33,14 @@
     Ok(bytes.get(4..4 + length).map(|body| (number, body)))
 }
 
-/// Appends a packet.
+/// Appends a packet with the given sequence number and body to `out`.
 pub fn push(out: &mut Vec<u8>, number: u8, body: &[u8]) {
     out.extend_from_slice(&(body.len() as u32).to_le_bytes()[..3]);
     out.push(number);
     out.extend_from_slice(body);
 }
 
-/// Numbers the packets of an answer anew, from `first` on, each behind a head as [`push`] writes it.
+/// Renumbers a sequence of packets, each with a header as written by [`push`], starting with `first`.
 pub fn renumber(answer: &mut [u8], first: u8) {
     let (mut at, mut number) = (0, first);
     while let Some([a, b, c]) = answer.get(at..).and_then(|rest| rest.first_chunk::<3>()).copied() {
@@ -50,7 +51,7 @@
     }
 }
 
-/// A number in MySQL's own form, and the bytes that it takes.
+/// Parses a length-encoded integer and returns its value and the number of bytes read.
 pub fn length_encoded(bytes: &[u8]) -> Option<(u64, usize)> {
     let wide = |n: usize| {
         let digits = bytes.get(1..1 + n)?;
@@ -65,13 +66,13 @@
     }
 }
 
-/// The body of an OK packet that tells of no rows.
+/// The body of an OK packet without affected rows.
 pub fn ok() -> Vec<u8> {
     let [a, b] = StatusFlags::SERVER_STATUS_AUTOCOMMIT.bits().to_le_bytes();
     vec![0, 0, 0, a, b, 0, 0]
 }
 
-/// The body of an end-of-file packet.
+/// The body of an EOF packet.
 pub fn eof() -> Vec<u8> {
     let [a, b] = StatusFlags::SERVER_STATUS_AUTOCOMMIT.bits().to_le_bytes();
     vec![0xfe, 0, 0, a, b]
@@ -87,7 +88,7 @@
     body
 }
 
-/// The code of an error packet's body.
+/// The error code in the body of an error packet.
 pub fn error_code(body: &[u8]) -> Option<u16> {
     match body {
         [0xff, a, b, ..] => Some(u16::from_le_bytes([*a, *b])),
@@ -95,33 +96,33 @@
     }
 }
 
-/// Follows an answer packet by packet to its end, over results with rows, without, and several in turn.
+/// Parser state for the response to a query or execution, which may consist of several results with or without rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Course {
-    /// The next packet opens a result.
+    /// The next packet is the first of a result.
     #[default]
     Head,
-    /// So many column definitions come, and then an end-of-file packet.
+    /// This many column definitions and then an EOF packet follow.
     Columns(u64),
-    /// Rows come.
+    /// Rows follow, up to an EOF or error packet.
     Rows,
 }
 
-/// What a packet of an answer means for its course.
+/// The effect of a packet on the parsing of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// More packets come.
+    /// More packets follow.
     More,
-    /// It was the last.
+    /// The packet was the last of the response.
     Done,
-    /// It is an error, and the last.
+    /// The packet is an error packet and the last of the response.
     Error,
-    /// No answer goes on like this.
+    /// The packet violates the protocol.
     Broken,
 }
 
 impl Course {
-    /// Takes the next packet in.
+    /// Updates the state with the next packet body.
     pub fn step(&mut self, body: &[u8]) -> Step {
         let more = |status: Option<&[u8]>| match status.and_then(|s| s.first_chunk::<2>()) {
             Some(s) => u16::from_le_bytes(*s) & StatusFlags::SERVER_MORE_RESULTS_EXISTS.bits() != 0,
