--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -10,8 +10,7 @@
             match conn.socket.connected() {
                 None => return,
                 Some(Err(e)) => {
-                    // A reset shows that the connection had been established, so its unsent attempts may move to
-                    // another connection.
+                    // A reset shows that the dial had succeeded, so unsent attempts may move to another connection.
                     conn.connected = e.kind() == ErrorKind::ConnectionReset;
                     return self.close(key, Outcome::ConnectFailed, context);
                 }
@@ -76,9 +75,9 @@
     ) -> Result<(), ConnectionLost> {
         let Some(conn) = self.connections.get_mut(key) else { return Ok(()) };
         if matches!(line.kind, "green" | "red") {
-            // Either reply to a `there` probe shows only that the connection works; engine health is derived from the
-            // engine list and attempt outcomes. Replies may arrive out of order, but the engine reads commands in
-            // order, so the reply to a probe confirms all cancels that were sent before that probe.
+            // Both replies to a `there` probe show only that the connection works, not whether the engine is healthy.
+            // The engine reads commands in order, so the reply confirms all cancels that were sent before the probe,
+            // although replies to different commands may arrive in any order.
             if let Some(index) = conn.unconfirmed_cancels.iter().position(|(tag, ..)| tag == line.id) {
                 let read = conn.unconfirmed_cancels.drain(..=index).map(|(_, at, _)| at);
                 context.heard.extend(read.map(|at| DispatcherEvent::Ended(FinishedAttempt::confirmed(at))));
@@ -154,8 +153,8 @@
         Ok(())
     }
 
-    /// Writes buffered output until the socket blocks. The next unsent attempt enters the output buffer only when that
-    /// is empty, so that a drain of the engine can still withdraw the attempt as unsent.
+    /// Writes buffered output until the socket blocks. The next unsent attempt is buffered only once the output buffer
+    /// is empty, so that an attempt can still be withdrawn as unsent when its engine starts draining.
     pub(super) fn flush(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get_mut(key).filter(|conn| conn.connected) else { return };
         loop {
--- a/src/node/backend/line_protocol/connection_limit.rs
+++ b/src/node/backend/line_protocol/connection_limit.rs
@@ -8,8 +8,8 @@
         (self.engines.max_connections(), std::mem::take(&mut self.connection_limit_hit))
     }
 
-    /// Sets the maximum number of connections per engine and closes idle connections above the limit. Connections
-    /// with attempts are closed by a later call, once they are idle.
+    /// Sets the maximum number of connections per engine and closes idle connections above the limit.
+    /// Connections above the limit that have attempts are closed by a later call, once they are idle.
     pub fn keep_links(&mut self, limit: Option<usize>, context: &mut BackendContext) {
         self.max_connections_per_engine =
             limit.map_or(MAX_CONNECTIONS_PER_ENGINE, |limit| limit.min(MAX_CONNECTIONS_PER_ENGINE));
--- a/src/node/backend/line_protocol/dial.rs
+++ b/src/node/backend/line_protocol/dial.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 impl LineProtocolBackend {
-    /// Chooses an idle connection on which this request name is unused, else dials a new connection, else takes the
-    /// least loaded one: a broken connection ends all its attempts, so each should have few. A request that must run
-    /// at most once prefers a new connection, because an idle one may be reset while the request is being sent, which
-    /// leaves open whether the engine read the request.
+    /// Chooses an idle connection on which this request name is unused, else dials a new connection, else chooses the
+    /// least loaded connection. Attempts are spread because a broken connection ends all of its attempts.
+    /// A request that must run at most once prefers a new connection: an idle connection may be reset while the
+    /// request is being sent, and then it is unknown whether the engine read the request.
     pub(super) fn choose_connection(
         &mut self,
         id: &EngineId,
@@ -114,8 +114,7 @@
         }
     }
 
-    /// Returns the least loaded established connection to an engine that received data after `since` and can accept
-    /// the attempt.
+    /// Returns the least loaded connection to an engine that can accept the attempt and received data after `since`.
     pub(super) fn active_connection(
         &self,
         id: &EngineId,
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -1,5 +1,5 @@
-//! Backend for MySQL servers: login, prepared statements and attempt outcomes. A statement is prepared on the server
-//! that executes it. A connection has at most one attempt at a time.
+//! Backend for MySQL servers: login, prepared statements and attempt outcomes.
+//! A statement is prepared on the server that executes it; a connection runs at most one attempt at a time.
 
 use super::engine_registry::EngineRegistry;
 use super::BackendContext;
@@ -116,8 +116,8 @@
 }
 
 impl MysqlBackend {
-    /// Creates a pool without servers. `sockets` limits the descriptors of the pool, `max_result_bytes_total`
-    /// the total bytes of partially received results.
+    /// Creates a pool without servers. `sockets` limits the descriptors of the pool;
+    /// `max_result_bytes_total` limits the bytes of all partially received results together.
     pub fn new(
         settings: MysqlSettings,
         dial_ms: f64,
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -1,8 +1,8 @@
 //! The MySQL front: client sessions over the MySQL protocol, with prepared statements.
 //!
-//! A prepared statement belongs to the client session. The front stores its text and parameter types and sends them
-//! with each execution, because every execution may run on another engine. Statements that would leave state in an
-//! engine's session are refused.
+//! A prepared statement belongs to the client session: the front stores its text and parameter types.
+//! Each execution includes the text and the types, because it may run on any engine.
+//! Statements that would leave state in an engine's session are refused.
 mod login;
 mod run;
 mod session;
@@ -131,8 +131,7 @@
 /// The MySQL front with its client sessions.
 pub struct MysqlFront {
     settings: MysqlSettings,
-    /// Per class: whether requests may be repeated, the default deadline in milliseconds, and whether requests of the
-    /// same key run in order.
+    /// Per class: whether repeats are allowed, default deadline in ms, whether requests of a key run in order.
     classes: Vec<(Repeat, f64, bool)>,
     sessions: Slab<Session>,
     connections: u32,
@@ -140,8 +139,8 @@
 }
 
 impl MysqlFront {
-    /// Creates a front without clients. `max_total_bytes` limits the bytes of buffers and prepared statements of all
-    /// sessions together.
+    /// Creates a front without clients.
+    /// `max_total_bytes` limits the memory for buffers and prepared statements of all sessions together.
     pub fn new(settings: MysqlSettings, module: &Settings, max_total_bytes: usize) -> MysqlFront {
         let classes = module.classes.iter().map(|c| (c.repeat, c.deadline.as_millis(), c.in_order)).collect();
         MysqlFront { settings, classes, sessions: Slab::default(), connections: 0, max_total_bytes }
@@ -206,8 +205,8 @@
         }
     }
 
-    /// Handles a readiness event, or resumes command processing after a response. When the client has closed its side,
-    /// the session is closed without processing commands that are still buffered.
+    /// Handles a readiness event, or resumes command processing after a response.
+    /// If the client has closed its side, the session is closed and buffered commands are not processed.
     pub fn ready(&mut self, key: SlotKey, read_closed: bool, context: &mut BackendContext) {
         if read_closed {
             return self.close(key, context);
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Stores a prepared statement and replies with its parameter count. The reply declares no result columns,
-    /// because they are unknown until an engine executes the statement.
+    /// Stores a prepared statement and replies with its parameter count.
+    /// The reply declares no result columns: they are unknown until an engine executes the statement.
     pub(super) fn prepare(&mut self, sequence: u8, text: &[u8]) {
         let words = statement::words(text);
         if let Err(feature) = statement::movable(&words) {
--- a/src/node/front/mysql/statement.rs
+++ b/src/node/front/mysql/statement.rs
@@ -1,5 +1,4 @@
-//! Statement analysis for the MySQL front: parameter count, dependence on session state, and whether a statement is
-//! read-only.
+//! Statement analysis for the MySQL front: parameter count, use of session state, and read-only statements.
 
 /// The feature for which a statement is refused: it depends on session state, which is not shared between engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/node/mysql_packets.rs
+++ b/src/node/mysql_packets.rs
@@ -5,8 +5,8 @@
 /// Maximum packet body in bytes. It bounds the read buffers, since a packet is processed only once it is complete.
 pub const PACKET_MOST: usize = 1 << 20;
 
-/// Capability flags for both clients and servers. `CLIENT_DEPRECATE_EOF` is not set, so both sides use EOF packets and
-/// results are forwarded unchanged.
+/// Capability flags for clients and servers. Neither side uses `CLIENT_DEPRECATE_EOF`, so that results are forwarded
+/// unchanged, with their EOF packets.
 pub fn capabilities() -> CapabilityFlags {
     CapabilityFlags::CLIENT_LONG_PASSWORD
         | CapabilityFlags::CLIENT_LONG_FLAG
