--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -1,55 +1,58 @@
-//! The one clock: Unix milliseconds with fractions. Tests set it by hand.
+//! The node's clock, in Unix milliseconds with fractions. Tests replace it with a clock that they advance by hand.
 
 use crate::Micros;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Where the node takes the time from. Copies of a set clock share its hand.
+/// Time source of the node. Clones of a manual clock share its time.
 #[derive(Clone, Debug)]
 pub struct Clock(Source);
 
 #[derive(Clone, Debug)]
 enum Source {
+    /// Wall clock time when the clock was created, plus the monotonic time elapsed since then.
     System { start: f64, since: Instant },
-    Set(Rc<Cell<f64>>),
+    /// A time that changes only by [`Clock::set`].
+    Manual(Rc<Cell<f64>>),
 }
 
 impl Clock {
-    /// The system's clock, read once and then carried on steadily: a step of the wall clock moves no deadline.
+    /// A clock that reads the wall clock once and then follows the monotonic clock, so that a step of the wall clock
+    /// moves no deadline.
     pub fn system() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock(Source::System { start: unix.as_secs_f64() * 1000.0, since: Instant::now() })
     }
-    /// A clock that stands until [`Clock::set`] moves it.
+    /// A manual clock that shows `at` until [`Clock::set`] changes it.
     pub fn fixed(at: f64) -> Clock {
-        Clock(Source::Set(Rc::new(Cell::new(at))))
+        Clock(Source::Manual(Rc::new(Cell::new(at))))
     }
-    /// Now, in Unix milliseconds.
+    /// Current time in Unix milliseconds.
     pub fn now(&self) -> f64 {
         match &self.0 {
             Source::System { start, since } => start + since.elapsed().as_secs_f64() * 1000.0,
-            Source::Set(at) => at.get(),
+            Source::Manual(at) => at.get(),
         }
     }
-    /// Moves a set clock; the system's stays as it is.
+    /// Sets the time of a manual clock; has no effect on a system clock.
     pub fn set(&self, to: f64) {
-        if let Source::Set(at) = &self.0 {
+        if let Source::Manual(at) = &self.0 {
             at.set(to);
         }
     }
-    /// Whether time passes only by [`Clock::set`].
+    /// Whether this is a manual clock, whose time changes only by [`Clock::set`].
     pub fn is_set(&self) -> bool {
-        matches!(self.0, Source::Set(_))
+        matches!(self.0, Source::Manual(_))
     }
 }
 
-/// To the module's time, where it is called.
+/// Converts Unix milliseconds to the decision module's time; negative values become 0.
 pub fn to_micros(ms: f64) -> Micros {
     Micros((ms.max(0.0) * 1000.0).round() as u64)
 }
 
-/// From the module's time.
+/// Converts the decision module's time to Unix milliseconds.
 pub fn from_micros(time: Micros) -> f64 {
     time.as_millis()
 }
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -1,6 +1,8 @@
-//! The bulletin: numbered events that tell which warehouses there are. Reads its frames, and keeps its
-//! connection: a silent one is dropped, and the next goes on from the last number had. Tries are drawn apart, as a
-//! whole fleet loses it at once.
+//! Client of the service discovery server, which sends numbered events with changes to the engine list.
+//!
+//! A watch that receives no frame for `SILENCE_TIMEOUT_MS` is closed and reopened; the new watch resumes after the
+//! last revision received. Delays between connection attempts are randomized, because a restart of the discovery
+//! server disconnects all front ends at the same time and they would otherwise reconnect in step.
 
 use super::clock::to_micros;
 use super::reactor::{BufferedSocket, ReadEnd, SocketOwner};
@@ -11,42 +13,60 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-const SILENT_MS: f64 = 2300.0; // an empty frame comes each second; two missed are a dead connection
-const AGAIN_MS: f64 = 200.0; // between two tries to connect, at first: news is owed within seconds
-const AGAIN_MOST: f64 = 800.0; // and as they go on failing: a fleet's tries cost the bulletin, one's delay costs little
-const AGAIN_GROWS: f64 = 1.5; // times longer after each that failed
-const MOVED_MS: f64 = 150.0; // over which a fleet that is told at once of a new address comes there
-const LOOK_MS: f64 = 400.0; // between looks at a connection that stands
-const SPREAD: f64 = 0.5; // of each of these pauses, up and down by lot: what starts together does not dial together
-const RECORD: usize = 27;
-const FRAME_MOST: usize = 4 << 20; // 150,000 warehouses; a longer frame is a lost framing
-
-/// A warehouse as listed, with its address.
+/// Time without a frame after which a connection counts as dead, in milliseconds. The server sends an empty frame
+/// every second, so a connection is closed after two missing frames.
+const SILENCE_TIMEOUT_MS: f64 = 2300.0;
+/// Delay after the first failed connection attempt, in milliseconds. Short, because changes to the engine list must
+/// reach the front end within seconds.
+const INITIAL_RECONNECT_MS: f64 = 200.0;
+/// Upper bound of the delay between connection attempts, in milliseconds. Attempts from a whole fleet load the
+/// discovery server, while a longer delay costs a single front end little.
+const MAX_RECONNECT_MS: f64 = 800.0;
+/// Factor by which the reconnect delay grows with each failed attempt.
+const RECONNECT_GROWTH: f64 = 1.5;
+/// Upper bound of the random delay before connecting to a changed server address, in milliseconds. All front ends
+/// learn the new address at the same time, so the delay spreads their connections.
+const ADDRESS_CHANGE_SPREAD_MS: f64 = 150.0;
+/// Interval between silence checks of an established watch, in milliseconds.
+const CHECK_INTERVAL_MS: f64 = 400.0;
+/// Relative jitter of the delays above: each delay is multiplied by a random factor from `1 - JITTER` to
+/// `1 + JITTER`, so that front ends that start together do not connect together.
+const JITTER: f64 = 0.5;
+/// Size of one engine's record in a frame, in bytes.
+const RECORD_BYTES: usize = 27;
+/// Upper bound of a frame's length field, in bytes: about 150,000 engines. A larger value means that the stream is
+/// no longer aligned to frames.
+const MAX_FRAME_BYTES: usize = 4 << 20;
+
+/// An entry of the engine list together with the engine's address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
-    /// What the decision module is told.
+    /// The entry as passed to the decision module.
     pub member: EngineEntry,
-    /// Where it listens.
+    /// Address on which the engine accepts connections.
     pub address: SocketAddr,
 }
 
-/// One event of the bulletin.
+/// A change to the engine list, as sent by the discovery server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
-    /// Its number.
+    /// Revision of the list after this event; increases with every event.
     pub number: u64,
-    /// How its list is to be read.
+    /// Whether the entries are the complete list or only the changed ones.
     pub kind: ListKind,
-    /// The entries.
+    /// The listed engines.
     pub listings: Vec<ListedEngine>,
 }
 
-/// A frame that can't be read: the connection is of no more use.
+/// A malformed frame. The stream can't be resynchronized, so its connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadFrame;
 
-/// Reads one frame from the front of `bytes`: how long it was, and what it told.
-pub fn frame(
+/// Parses the first frame in `bytes`. Returns the frame's length in bytes and its event, which is `None` for a
+/// keepalive frame. Returns `Ok(None)` while the frame is incomplete.
+///
+/// `zones` and `kinds` are the names that a record refers to by index.
+pub fn parse_frame(
     bytes: &[u8],
     zones: &[String],
     kinds: &[String],
@@ -54,11 +74,11 @@
     let Some(length) = bytes.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) else {
         return Ok(None);
     };
-    if !(9..=FRAME_MOST).contains(&length) {
+    if !(9..=MAX_FRAME_BYTES).contains(&length) {
         return Err(BadFrame);
     }
     let Some(body) = bytes.get(4..4 + length) else { return Ok(None) };
-    let number = unsigned(&body[..8]);
+    let number = big_endian(&body[..8]);
     let kind = match body[8] {
         0 => return Ok(Some((4 + length, None))),
         1 => ListKind::Full,
@@ -66,61 +86,67 @@
         _ => return Err(BadFrame),
     };
     let records = &body[9..];
-    if records.len() % RECORD != 0 {
+    if records.len() % RECORD_BYTES != 0 {
         return Err(BadFrame);
     }
-    let listings =
-        records.chunks_exact(RECORD).map(|r| record(r, zones, kinds)).collect::<Result<Vec<_>, _>>()?;
+    let records = records.chunks_exact(RECORD_BYTES);
+    let listings = records.map(|record| parse_record(record, zones, kinds)).collect::<Result<Vec<_>, _>>()?;
     Ok(Some((4 + length, Some(ListEvent { number, kind, listings }))))
 }
 
-fn unsigned(bytes: &[u8]) -> u64 {
+/// Reads an unsigned big-endian integer of up to eight bytes.
+fn big_endian(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-fn record(r: &[u8], zones: &[String], kinds: &[String]) -> Result<ListedEngine, BadFrame> {
-    let name = |list: &[String], place: u8| list.get(usize::from(place)).cloned().unwrap_or_default();
+fn parse_record(r: &[u8], zones: &[String], kinds: &[String]) -> Result<ListedEngine, BadFrame> {
+    let name = |names: &[String], index: u8| names.get(usize::from(index)).cloned().unwrap_or_default();
     let state = match r[10] {
         0 => EngineState::Serving,
         1 => EngineState::Draining,
         2 => EngineState::Removed,
         _ => return Err(BadFrame),
     };
-    let started = unsigned(&r[19..27]);
-    let address = Ipv4Addr::from(unsigned(&r[4..8]) as u32);
+    let started = big_endian(&r[19..27]);
+    let address = Ipv4Addr::from(big_endian(&r[4..8]) as u32);
     Ok(ListedEngine {
-        address: SocketAddr::from((address, unsigned(&r[8..10]) as u16)),
+        address: SocketAddr::from((address, big_endian(&r[8..10]) as u16)),
         member: EngineEntry {
-            engine: EngineId(Arc::from(format!("s-{:08x}", unsigned(&r[..4])))),
+            engine: EngineId(Arc::from(format!("s-{:08x}", big_endian(&r[..4])))),
             zone: name(zones, r[11]),
             kind: name(kinds, r[12]),
-            cell: unsigned(&r[13..15]),
-            size_hint: unsigned(&r[15..19]) as f64 / 1000.0,
+            cell: big_endian(&r[13..15]),
+            size_hint: big_endian(&r[15..19]) as f64 / 1000.0,
             started: (started > 0).then(|| to_micros(started as f64)),
             state,
         },
     })
 }
 
-/// The connection to the bulletin.
+/// Client of the service discovery server: one watch on the engine list, reopened when it fails.
 #[derive(Debug)]
 pub struct DiscoveryClient {
     address: SocketAddr,
     zones: Vec<String>,
     kinds: Vec<String>,
-    last: u64,
-    link: Option<BufferedSocket>,
-    greeted: bool,
+    /// Highest revision received so far; a new watch resumes after this revision.
+    last_revision: u64,
+    socket: Option<BufferedSocket>,
+    /// Whether the resume request was sent on the current connection.
+    subscribed: bool,
+    /// Number of the current connection, by which events of earlier sockets are recognized and ignored.
     generation: u32,
-    heard: f64,
-    next_look: Option<TimerHandle>,
-    /// Tries to connect since one last succeeded.
-    failed: i32,
-    random: u64,
+    /// When the current connection was opened, was established or last received a frame, in Unix milliseconds.
+    last_frame_at: f64,
+    next_check: Option<TimerHandle>,
+    /// Connection attempts since the last successful one.
+    connect_attempts: i32,
+    random_state: u64,
 }
 
 impl DiscoveryClient {
-    /// A bulletin not yet connected to; `last` is the number of the last event had, `seed` feeds the pauses' draws.
+    /// Creates a client that is not connected yet. The first watch resumes after revision `last`; `seed` initializes
+    /// the random delays.
     pub fn new(
         address: SocketAddr,
         zones: Vec<String>,
@@ -128,58 +154,59 @@
         last: u64,
         seed: u64,
     ) -> DiscoveryClient {
-        let (link, greeted, generation, heard, next_look) = (None, false, 0, 0.0, None);
-        let (failed, random) = (0, seed);
         DiscoveryClient {
             address,
             zones,
             kinds,
-            last,
-            link,
-            greeted,
-            generation,
-            heard,
-            next_look,
-            failed,
-            random,
+            last_revision: last,
+            socket: None,
+            subscribed: false,
+            generation: 0,
+            last_frame_at: 0.0,
+            next_check: None,
+            connect_attempts: 0,
+            random_state: seed,
         }
     }
 
-    /// Connects where there is no connection, drops one that has fallen silent, and comes back.
+    /// Handles the check timer: closes a silent watch, connects if no connection exists, and schedules the next check.
     pub fn look(&mut self, now: f64, registry: &Registry, timers: &mut TimerQueue) {
-        if self.link.is_some() && now - self.heard > SILENT_MS {
-            self.link = None;
+        if self.socket.is_some() && now - self.last_frame_at > SILENCE_TIMEOUT_MS {
+            self.socket = None;
         }
-        if self.link.is_none() {
+        if self.socket.is_none() {
             self.generation = self.generation.wrapping_add(1);
-            (self.greeted, self.heard) = (false, now);
-            self.link = BufferedSocket::dial(self.address)
-                .and_then(|mut link| {
-                    link.watch(registry, SocketOwner::Bulletin(self.generation)).map(|()| link)
+            (self.subscribed, self.last_frame_at) = (false, now);
+            self.socket = BufferedSocket::dial(self.address)
+                .and_then(|mut socket| {
+                    socket.watch(registry, SocketOwner::Bulletin(self.generation)).map(|()| socket)
                 })
                 .ok();
-            self.failed = (self.failed + 1).min(16);
+            self.connect_attempts = (self.connect_attempts + 1).min(16);
         }
-        let again = (AGAIN_MS * AGAIN_GROWS.powi(self.failed - 1)).min(AGAIN_MOST);
-        let pause = if self.greeted { LOOK_MS } else { again };
-        let lot = 1.0 - SPREAD + 2.0 * SPREAD * self.lot();
-        self.look_in(now, pause * lot, timers);
+        let reconnect_ms =
+            (INITIAL_RECONNECT_MS * RECONNECT_GROWTH.powi(self.connect_attempts - 1)).min(MAX_RECONNECT_MS);
+        let delay = if self.subscribed { CHECK_INTERVAL_MS } else { reconnect_ms };
+        let factor = 1.0 - JITTER + 2.0 * JITTER * self.random();
+        self.schedule_check(now, delay * factor, timers);
     }
 
-    /// A draw from 0 to 1.
-    fn lot(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.random) as f64 / u64::MAX as f64
+    /// Returns a pseudo-random number from 0 to 1.
+    fn random(&mut self) -> f64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        mix(self.random_state) as f64 / u64::MAX as f64
     }
 
-    /// Sets the one look to come: a second chain of looks would drop what the first has just dialled.
-    fn look_in(&mut self, now: f64, ms: f64, timers: &mut TimerQueue) {
-        self.next_look.take().into_iter().for_each(|before| timers.clear(before));
-        self.next_look = Some(timers.set(now + ms, TimerEvent::Bulletin));
+    /// Replaces the scheduled check. At most one check may be scheduled: with two, the later check would close the
+    /// connection that the earlier check has just opened.
+    fn schedule_check(&mut self, now: f64, ms: f64, timers: &mut TimerQueue) {
+        self.next_check.take().into_iter().for_each(|previous| timers.clear(previous));
+        self.next_check = Some(timers.set(now + ms, TimerEvent::Bulletin));
     }
 
-    /// The bulletin has moved: the old connection is dropped, the new address dialled at once, and the news go on
-    /// from the last number had. Gives the events of `known` that are new; the rest are out of date.
+    /// Applies a reloaded configuration: if the server's address has changed, closes the old connection and schedules
+    /// a connection to the new address, which resumes after the last revision received. Returns the events of `known`
+    /// that are newer than this revision.
     pub fn moved(
         &mut self,
         now: f64,
@@ -188,56 +215,61 @@
         timers: &mut TimerQueue,
     ) -> Vec<ListEvent> {
         if address != self.address {
-            (self.address, self.link, self.failed) = (address, None, 0);
-            let spread = MOVED_MS * self.lot();
-            self.look_in(now, spread, timers);
+            (self.address, self.socket, self.connect_attempts) = (address, None, 0);
+            let delay = ADDRESS_CHANGE_SPREAD_MS * self.random();
+            self.schedule_check(now, delay, timers);
         }
-        known.into_iter().filter_map(|news| self.take(news)).collect()
+        known.into_iter().filter_map(|event| self.accept_if_new(event)).collect()
     }
 
-    /// Lets an event through once: what comes twice or out of date is told by its number.
-    fn take(&mut self, news: ListEvent) -> Option<ListEvent> {
-        let new = news.number > self.last;
-        self.last = self.last.max(news.number);
-        Some(news).filter(|_| new)
+    /// Returns the event and advances the last revision if the event is newer than that; drops duplicates and outdated
+    /// events.
+    fn accept_if_new(&mut self, event: ListEvent) -> Option<ListEvent> {
+        let is_new = event.number > self.last_revision;
+        self.last_revision = self.last_revision.max(event.number);
+        Some(event).filter(|_| is_new)
     }
 
-    /// The socket has something to say: gives the events that came.
+    /// Handles readiness of the socket of connection `generation`. Returns the new events that were received.
     pub fn ready(&mut self, now: f64, generation: u32) -> Vec<ListEvent> {
-        let mut news = Vec::new();
-        if generation == self.generation && self.link.is_some() && self.step(now, &mut news).is_none() {
-            self.link = None; // The next look connects again.
+        let mut events = Vec::new();
+        if generation == self.generation
+            && self.socket.is_some()
+            && self.process_socket(now, &mut events).is_none()
+        {
+            self.socket = None; // The next scheduled check reconnects.
         }
-        news
+        events
     }
 
-    /// `None` when the connection is of no more use.
-    fn step(&mut self, now: f64, news: &mut Vec<ListEvent>) -> Option<()> {
-        let link = self.link.as_mut()?;
-        if !self.greeted {
-            match link.connected() {
+    /// Sends the resume request on a newly established connection and reads all frames that have arrived. Returns
+    /// `None` if the connection has failed or was closed by the server.
+    fn process_socket(&mut self, now: f64, events: &mut Vec<ListEvent>) -> Option<()> {
+        let socket = self.socket.as_mut()?;
+        if !self.subscribed {
+            match socket.connected() {
                 None => return Some(()),
-                Some(up) => up.ok()?,
+                Some(result) => result.ok()?,
             }
-            link.put(&self.last.to_be_bytes());
-            (self.greeted, self.heard, self.failed) = (true, now, 0);
+            socket.put(&self.last_revision.to_be_bytes());
+            (self.subscribed, self.last_frame_at, self.connect_attempts) = (true, now, 0);
         }
-        link.flush().ok()?;
-        let mut taken = Vec::new();
-        let mut step = || loop {
-            let end = link.read(FRAME_MOST + 16);
-            while let Some((used, event)) = frame(&link.input, &self.zones, &self.kinds).ok()? {
-                link.used(used);
-                self.heard = now;
-                taken.extend(event);
+        socket.flush().ok()?;
+        let mut received = Vec::new();
+        let mut read_frames = || loop {
+            let end = socket.read(MAX_FRAME_BYTES + 16);
+            while let Some((length, event)) = parse_frame(&socket.input, &self.zones, &self.kinds).ok()? {
+                socket.used(length);
+                self.last_frame_at = now;
+                received.extend(event);
             }
-            if !link.has_more() {
+            if !socket.has_more() {
                 return end.ok().filter(|end| *end == ReadEnd::Open).map(|_| ());
             }
         };
-        let end = step();
-        // What came whole before a break or a bad frame counts all the same.
-        news.extend(taken.into_iter().filter_map(|event| self.take(event)));
-        end
+        let status = read_frames();
+        // Complete frames that precede a connection error or a malformed frame are still applied.
+        events.extend(received.into_iter().filter_map(|event| self.accept_if_new(event)));
+        status
     }
 }
--- a/src/node/json.rs
+++ b/src/node/json.rs
@@ -1,12 +1,13 @@
-//! Reading JSON with simd-json: a value, and its members by name.
+//! JSON parsing with simd-json, with a limit on nesting, and escaping of JSON strings.
 
 pub use simd_json::prelude::{ValueAsArray, ValueAsObject, ValueAsScalar, ValueObjectAccess};
 pub use simd_json::{OwnedValue, StaticNode};
 
-/// Nested deeper than this, a text is taken for malformed: the reader must not run out of stack.
-const DEPTH_MOST: usize = 64;
+/// Maximum nesting depth of objects and arrays. Deeper input is rejected, because parsing is recursive and could
+/// overflow the stack.
+const MAX_DEPTH: usize = 64;
 
-/// Reads a whole text; the bytes are used up by the reading.
+/// Parses a complete JSON document. Consumes the buffer, because simd-json parses in place.
 pub fn read(mut text: Vec<u8>) -> Result<OwnedValue, String> {
     let (mut depth, mut in_string, mut escaped) = (0usize, false, false);
     for byte in &text {
@@ -19,19 +20,19 @@
             (false, b'}' | b']') => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEPTH_MOST {
-            return Err(format!("is nested deeper than {DEPTH_MOST}"));
+        if depth > MAX_DEPTH {
+            return Err(format!("is nested deeper than {MAX_DEPTH}"));
         }
     }
     simd_json::to_owned_value(&mut text).map_err(|e| format!("is not JSON: {e}"))
 }
 
-/// A number, whole or not.
+/// Returns a JSON number, integer or floating point; `None` if the value is not a finite number.
 pub fn number(value: &OwnedValue) -> Option<f64> {
     value.cast_f64().filter(|v| v.is_finite())
 }
 
-/// Text as a JSON string, quotes included.
+/// Encodes a text as a JSON string literal, including the quotation marks.
 pub fn quoted(text: &str) -> String {
     let mut out = String::with_capacity(text.len() + 2);
     out.push('"');
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -1,49 +1,51 @@
-//! The operator's file in HCL: how it is read by a schema, and how it joins the platform's configuration.
+//! The operator's file in HCL: validation against a schema, and merging into the platform's configuration.
 //!
-//! Its blocks become sections of the settings, which their readers check for their meaning. So an operator's file and the
-//! JSON form of these sections mean the same.
+//! Each block of the file becomes a section of the settings, which the reader of that section then validates. A block
+//! in the operator's file and the same section in JSON are therefore equivalent.
 
 use super::json::{self, OwnedValue, ValueAsObject};
 use super::section::ConfigError;
 use beamgap_config::schema::Block;
 use beamgap_config::Document;
 
-/// Reads an operator's file.
+/// Parses an operator's file and checks it against `schema`. `file` is the name that errors refer to.
 ///
 /// # Errors
-/// All that does not fit the schema: the first as the error, the others in its text.
+/// Returns all violations of the schema as one error: the key and location of the first, and the others in its text.
 pub fn read(file: &str, text: &str, schema: &Block) -> Result<Document, ConfigError> {
     beamgap_config::read(file, text, schema).map_err(|problems| {
         let mut lines = problems.iter();
-        let Some(first) = lines.next() else { return ConfigError::new("(file)", "can't be read") };
-        let more: String = lines.map(|problem| format!("\n  {problem}")).collect();
+        let Some(first) = lines.next() else { return ConfigError::new("(file)", "could not be parsed") };
+        let others: String = lines.map(|problem| format!("\n  {problem}")).collect();
         ConfigError {
             key: first.key.clone(),
-            problem: format!("{}; {}{more}", first.problem, first.fix),
+            problem: format!("{}; {}{others}", first.problem, first.fix),
             place: Some(format!("{}:{}:{}", first.file, first.place.line, first.place.column)),
         }
     })
 }
 
-/// Adds the operator's sections to the platform's configuration.
+/// Adds the sections of the operator's file to the platform's configuration.
 ///
 /// # Errors
-/// If a section stands in both.
+/// Returns an error if a section is present in both.
 pub fn merge(document: &Document, root: &mut OwnedValue) -> Result<(), ConfigError> {
-    let OwnedValue::Object(of) = root else { return Err(ConfigError::new("(file)", "is not an object")) };
+    let OwnedValue::Object(settings) = root else {
+        return Err(ConfigError::new("(file)", "is not a JSON object"));
+    };
     let sections = json::read(document.root.json().into_bytes());
     let sections = sections.map_err(|e| ConfigError::new(document.file.clone(), e))?;
     for (name, section) in sections.as_object().into_iter().flatten() {
-        if of.contains_key(name) {
-            let problem = "stands in the platform's configuration too; keep it in the operator's file alone";
+        if settings.contains_key(name) {
+            let problem = "stands in the platform's configuration too; keep it in the operator's file only";
             return Err(ConfigError::new(name.clone(), problem));
         }
-        of.insert(name.clone(), section.clone());
+        settings.insert(name.clone(), section.clone());
     }
     Ok(())
 }
 
-/// Adds the place in the operator's file to an error about what stands there.
+/// Adds the location in the operator's file to an error whose key was read from this file.
 pub fn located(document: &Document, error: ConfigError) -> ConfigError {
     match document.place(&error.key).filter(|_| error.place.is_none()) {
         Some(at) => {
--- a/src/node/reactor.rs
+++ b/src/node/reactor.rs
@@ -1,4 +1,4 @@
-//! Sockets under mio's poll: links with bounded buffers, and the tokens that name their owners.
+//! Non-blocking TCP sockets with read and write buffers, and the mio tokens that identify their owners.
 
 use super::slab::SlotKey;
 use mio::net::TcpStream;
@@ -6,29 +6,29 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
 
-/// Who owns a socket.
+/// The part of the node that handles the events of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketOwner {
-    /// A listener or the signal pipe, by its number.
+    /// A listener, the signal pipe or the waker, each with a fixed number.
     Fixed(u32),
-    /// A client of the platform's front.
+    /// A client connection of the JSON-RPC front.
     JsonRpc(SlotKey),
-    /// A client of the MySQL front.
+    /// A client connection of the MySQL front.
     Mysql(SlotKey),
-    /// A connection to a warehouse.
+    /// A connection of the line protocol backend to an engine.
     Warehouse(SlotKey),
-    /// A connection to a box that speaks MySQL.
+    /// A connection of the MySQL backend to an engine.
     MysqlBox(SlotKey),
-    /// The connection to the bulletin, by its generation.
+    /// The connection with this generation to the service discovery server.
     Bulletin(u32),
-    /// A balancer's check or an xDS client.
+    /// A connection of a load balancer's health check or of a client that polls endpoints over HTTP.
     Control(SlotKey),
-    /// A client's connection that is being closed.
+    /// A client connection that is being closed.
     Closing(SlotKey),
 }
 
 impl SocketOwner {
-    /// The token that names this owner: eight bits of kind, 24 of generation, 32 of slot.
+    /// Encodes the owner as a token: 8 bits of kind, 24 bits of generation and 32 bits of slot number.
     pub fn token(self) -> Token {
         let (kind, generation, slot) = match self {
             SocketOwner::Fixed(n) => (0, 0, n),
@@ -43,7 +43,7 @@
         Token((kind << 56) | ((generation as usize & 0x00ff_ffff) << 32) | slot as usize)
     }
 
-    /// The owner that a token names.
+    /// Decodes a token; returns `None` if its kind is unknown.
     pub fn of(token: Token) -> Option<SocketOwner> {
         let (slot, generation) = (token.0 as u32, (token.0 >> 32) as u32 & 0x00ff_ffff);
         let key = SlotKey { slot, generation };
@@ -61,64 +61,75 @@
     }
 }
 
-/// A connection with its buffers. What is read is bounded by the reader, what is written by whoever writes.
+/// A TCP connection with a read buffer and a write buffer. [`BufferedSocket::read`] bounds the read buffer by the
+/// limit that its caller passes; the write buffer is unbounded, so callers must check [`BufferedSocket::waiting`].
 #[derive(Debug)]
 pub struct BufferedSocket {
     stream: TcpStream,
-    /// What has come and is not yet used.
+    /// Bytes that were received and not yet consumed by [`BufferedSocket::used`].
     pub input: Vec<u8>,
     output: Vec<u8>,
+    /// Bytes at the front of `output` that the socket has already accepted.
     written: usize,
-    more: bool,
+    /// Whether the last read stopped at its limit.
+    read_limit_reached: bool,
 }
 
-/// Sums up what waits on many links, and names the one on which the most does.
-pub fn heaviest(links: impl Iterator<Item = (usize, SlotKey)>) -> (usize, Option<SlotKey>) {
-    let (mut total, mut most) = (0, (0, None));
-    for (waiting, key) in links {
-        total += waiting;
-        if waiting > most.0 {
-            most = (waiting, Some(key));
+/// Sums the buffered bytes of all connections. Returns the sum and the connection with the most buffered bytes, or
+/// `None` if no connection has any.
+pub fn heaviest(connections: impl Iterator<Item = (usize, SlotKey)>) -> (usize, Option<SlotKey>) {
+    let (mut total, mut largest) = (0, (0, None));
+    for (bytes, key) in connections {
+        total += bytes;
+        if bytes > largest.0 {
+            largest = (bytes, Some(key));
         }
     }
-    (total, most.1)
+    (total, largest.1)
 }
 
-/// How a read went.
+/// State of the connection after a read without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
-    /// All that there was is read, or the bound is reached.
+    /// The connection is open: the read has received all available bytes or stopped at its limit.
     Open,
-    /// The other side has closed.
+    /// The peer has closed the connection or its write side.
     Closed,
 }
 
 impl BufferedSocket {
-    /// A link on a connected stream.
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> BufferedSocket {
-        // Small messages must not wait for an acknowledgement; where it can't be set they only come later.
+        // Without TCP_NODELAY, Nagle's algorithm delays small messages. A failure to set the option is ignored,
+        // because it only costs latency.
         let _ = stream.set_nodelay(true);
-        BufferedSocket { stream, input: Vec::new(), output: Vec::new(), written: 0, more: false }
+        BufferedSocket {
+            stream,
+            input: Vec::new(),
+            output: Vec::new(),
+            written: 0,
+            read_limit_reached: false,
+        }
     }
-    /// Begins to connect; [`BufferedSocket::connected`] tells how that goes.
+    /// Starts a non-blocking connect; [`BufferedSocket::connected`] returns its result.
     pub fn dial(address: SocketAddr) -> io::Result<BufferedSocket> {
         TcpStream::connect(address).map(|stream| BufferedSocket {
             stream,
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
-            more: false,
+            read_limit_reached: false,
         })
     }
-    /// Has the poll watch it for its owner.
+    /// Registers the socket with the poll, so that its events carry the owner's token.
     pub fn watch(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
         registry.register(&mut self.stream, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
-    /// Has the poll watch it for another owner from now on.
+    /// Changes the token of a registered socket to that of another owner.
     pub fn rewatch(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
         registry.reregister(&mut self.stream, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
-    /// Whether a dialled link is up: `None` while it is not known.
+    /// Result of a connect started by [`BufferedSocket::dial`]; `None` while it is in progress.
     pub fn connected(&mut self) -> Option<io::Result<()>> {
         match self.stream.take_error() {
             Ok(Some(error)) | Err(error) => return Some(Err(error)),
@@ -133,13 +144,13 @@
             Err(error) => Some(Err(error)),
         }
     }
-    /// Reads until there is no more, or until `most` bytes wait to be used.
-    pub fn read(&mut self, most: usize) -> io::Result<ReadEnd> {
-        self.more = false;
+    /// Reads until the socket has no more bytes or until the read buffer contains at least `limit` bytes.
+    pub fn read(&mut self, limit: usize) -> io::Result<ReadEnd> {
+        self.read_limit_reached = false;
         let mut chunk = [0u8; 16 * 1024];
         loop {
-            if self.input.len() >= most {
-                self.more = true;
+            if self.input.len() >= limit {
+                self.read_limit_reached = true;
                 return Ok(ReadEnd::Open);
             }
             match self.stream.read(&mut chunk) {
@@ -151,26 +162,28 @@
             }
         }
     }
-    /// Whether a read stopped at its bound, so that the poll will not tell of what is left.
+    /// Whether the last read stopped at its limit. The socket may then have more bytes for which the poll reports no
+    /// further event, because registrations are edge-triggered, so the caller must read again.
     pub fn has_more(&self) -> bool {
-        self.more
+        self.read_limit_reached
     }
-    /// Drops so many bytes of the input.
+    /// Removes consumed bytes from the front of the read buffer, and frees a large buffer once it is empty.
     pub fn used(&mut self, bytes: usize) {
         self.input.drain(..bytes);
         if self.input.is_empty() && self.input.capacity() > 64 * 1024 {
             self.input = Vec::new();
         }
     }
-    /// Puts bytes behind those that wait to be written.
+    /// Appends bytes to the write buffer; [`BufferedSocket::flush`] sends them.
     pub fn put(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
-    /// Bytes that wait to be written.
+    /// Number of bytes in the write buffer that the socket has not yet accepted.
     pub fn waiting(&self) -> usize {
         self.output.len() - self.written
     }
-    /// Writes what the socket takes.
+    /// Writes buffered bytes until the buffer is empty or the socket would block, and frees a large buffer once it is
+    /// empty.
     pub fn flush(&mut self) -> io::Result<()> {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
@@ -188,9 +201,9 @@
         }
         Ok(())
     }
-    /// Says that nothing more will be written.
+    /// Shuts down the write side of the connection.
     pub fn finish(&mut self) {
-        // A link that is already broken has nothing to finish.
+        // Fails only on a connection that is already broken, which needs no shutdown.
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 }
--- a/src/node/section.rs
+++ b/src/node/section.rs
@@ -1,22 +1,22 @@
-//! Reading a section of the settings: what the readers of all sections share.
+//! Helpers shared by the readers of all sections of the settings, and the error type for invalid settings.
 
 use super::json::{self, OwnedValue, StaticNode, ValueAsScalar, ValueObjectAccess};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A setting that is missing or wrong.
+/// A setting that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The faulty key, as a path.
+    /// Path of the setting's key, such as `limits.sockets`.
     pub key: String,
-    /// What is wrong with it, and what to do where that is known.
+    /// Description of the problem, phrased to follow the key, with a remedy if one is known.
     pub problem: String,
-    /// Its place as `FILE:LINE:COLUMN`, if that is in an operator's file.
+    /// Location as `FILE:LINE:COLUMN` if the setting was read from an operator's file.
     pub place: Option<String>,
 }
 
 impl ConfigError {
-    /// An error at a key whose place is not known.
+    /// Creates an error without a location.
     pub fn new(key: impl Into<String>, problem: impl Into<String>) -> ConfigError {
         ConfigError { key: key.into(), problem: problem.into(), place: None }
     }
@@ -34,21 +34,21 @@
 
 impl std::error::Error for ConfigError {}
 
-/// What was read, or the faulty setting.
+/// Result of reading settings: the value read, or the invalid setting.
 pub type ReadResult<T> = Result<T, ConfigError>;
 
-/// Reports a faulty setting.
+/// Returns an error about the setting `key`, for use as the result of a reader.
 ///
 /// # Errors
-/// Always.
+/// Always returns an error.
 pub fn wrong<T>(key: &str, problem: impl Into<String>) -> ReadResult<T> {
     Err(ConfigError::new(key, problem))
 }
 
-/// A text; none if it is absent or null.
+/// Reads an optional string; `None` if the key is absent or null.
 ///
 /// # Errors
-/// If it is no text.
+/// Returns an error if the value is not a string.
 pub fn text_of<'a>(section: &'a OwnedValue, key: &str) -> ReadResult<Option<&'a str>> {
     match section.get(key) {
         None | Some(OwnedValue::Static(StaticNode::Null)) => Ok(None),
@@ -59,27 +59,27 @@
     }
 }
 
-/// An address with a port.
+/// Parses an IP address with a port. `key` is the setting that an error names.
 ///
 /// # Errors
-/// If the text is no such address.
+/// Returns an error if the text is not such an address.
 pub fn address(text: &str, key: &str) -> ReadResult<SocketAddr> {
-    text.parse().or_else(|_| wrong(key, format!("is '{text}', not an address with a port")))
+    text.parse().or_else(|_| wrong(key, format!("is '{text}', not an IP address with a port")))
 }
 
-/// Bounds of a number.
+/// Inclusive range of valid values of a number.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The least that is accepted.
+    /// Smallest valid value.
     pub least: f64,
-    /// The most that is accepted.
+    /// Largest valid value.
     pub most: f64,
 }
 
-/// A number within bounds, or the default if it is absent. `path` is the key's path in an error.
+/// Reads a number, or returns `default` if the key is absent. `path` is the full path of the key, for errors.
 ///
 /// # Errors
-/// If it is no number or out of bounds.
+/// Returns an error if the value is not a number or is out of bounds.
 pub fn number_of(
     section: &OwnedValue,
     key: &str,
--- a/src/node/slab.rs
+++ b/src/node/slab.rs
@@ -1,18 +1,21 @@
-//! Tables of numbered slots. A slot that is used again has a new generation, so an old number finds nothing.
+//! Slab allocator whose keys include a generation. Reusing a slot increments its generation, so a key of a removed item
+//! never refers to the item that replaced it.
 
-/// Names a slot and its generation.
+/// Key of an item: a slot number and the slot's generation when the item was inserted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotKey {
-    /// The slot's number.
+    /// Index of the slot.
     pub slot: u32,
-    /// How often it was used before.
+    /// Number of items that were removed from the slot before, modulo 2^24.
     pub generation: u32,
 }
 
-/// A table of numbered slots.
+/// A collection that stores items in reusable slots and identifies them by [`SlotKey`].
 #[derive(Debug)]
 pub struct Slab<T> {
+    /// Generation and item of each slot.
     slots: Vec<(u32, Option<T>)>,
+    /// Slots without an item.
     free: Vec<u32>,
 }
 
@@ -23,54 +26,55 @@
 }
 
 impl<T> Slab<T> {
-    /// Puts an item into a free slot.
+    /// Inserts an item and returns its key.
     pub fn insert(&mut self, item: T) -> SlotKey {
         self.insert_with(|_| item)
     }
-    /// Puts an item into a free slot that has to know its own key.
+    /// Inserts an item that is built from its own key, and returns the key.
     pub fn insert_with(&mut self, item: impl FnOnce(SlotKey) -> T) -> SlotKey {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push((0, None));
             self.slots.len() as u32 - 1
         });
-        let place = &mut self.slots[slot as usize];
-        let key = SlotKey { slot, generation: place.0 };
-        place.1 = Some(item(key));
+        let entry = &mut self.slots[slot as usize];
+        let key = SlotKey { slot, generation: entry.0 };
+        entry.1 = Some(item(key));
         key
     }
-    /// The item under a key, while it is there.
+    /// Returns the item with this key, or `None` if it was removed.
     pub fn get(&self, key: SlotKey) -> Option<&T> {
-        let place = self.slots.get(key.slot as usize)?;
-        place.1.as_ref().filter(|_| place.0 == key.generation)
+        let entry = self.slots.get(key.slot as usize)?;
+        entry.1.as_ref().filter(|_| entry.0 == key.generation)
     }
-    /// The same, to change it.
+    /// Returns a mutable reference to the item with this key, or `None` if it was removed.
     pub fn get_mut(&mut self, key: SlotKey) -> Option<&mut T> {
-        let place = self.slots.get_mut(key.slot as usize)?;
-        place.1.as_mut().filter(|_| place.0 == key.generation)
+        let entry = self.slots.get_mut(key.slot as usize)?;
+        entry.1.as_mut().filter(|_| entry.0 == key.generation)
     }
-    /// Takes an item out; its key never finds anything again.
+    /// Removes and returns the item with this key. The key is invalid afterwards.
     pub fn remove(&mut self, key: SlotKey) -> Option<T> {
-        let place = self.slots.get_mut(key.slot as usize).filter(|place| place.0 == key.generation)?;
-        let item = place.1.take()?;
-        place.0 = place.0.wrapping_add(1) & 0x00ff_ffff; // Tokens carry 24 bits of it.
+        let entry = self.slots.get_mut(key.slot as usize).filter(|entry| entry.0 == key.generation)?;
+        let item = entry.1.take()?;
+        // Socket tokens have room for 24 bits of the generation.
+        entry.0 = entry.0.wrapping_add(1) & 0x00ff_ffff;
         self.free.push(key.slot);
         Some(item)
     }
-    /// How many slots are in use.
+    /// Number of items.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
-    /// Whether none is.
+    /// Whether the slab contains no items.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// All items, by slot.
+    /// Iterates over all keys and items in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (SlotKey, &T)> {
         self.slots.iter().enumerate().filter_map(|(slot, (generation, item))| {
             Some((SlotKey { slot: slot as u32, generation: *generation }, item.as_ref()?))
         })
     }
-    /// The keys in use, by slot.
+    /// Returns the keys of all items in slot order.
     pub fn keys(&self) -> Vec<SlotKey> {
         self.iter().map(|(key, _)| key).collect()
     }
--- a/src/node/table_group.rs
+++ b/src/node/table_group.rs
@@ -1,17 +1,22 @@
-//! Which group of tables a statement reads or writes: the number after the underscore in the name of its schema.
+//! Extracts from a SQL statement the group of tables that the statement reads or writes. The group is the number after
+//! the last underscore of a schema name, such as 17 in `sales_17.orders`.
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Token<'a> {
+    /// A keyword or an unquoted identifier.
     Word(&'a [u8]),
-    Quoted(&'a [u8]),
-    Mark(u8),
+    /// A quoted identifier, without its quotation marks.
+    QuotedName(&'a [u8]),
+    /// A punctuation character; the quotation mark stands for a whole string literal.
+    Symbol(u8),
 }
 
 impl<'a> Token<'a> {
+    /// Returns the name if the token can be an identifier.
     fn name(self) -> Option<&'a [u8]> {
         match self {
-            Token::Word(name) | Token::Quoted(name) => Some(name),
-            Token::Mark(_) => None,
+            Token::Word(name) | Token::QuotedName(name) => Some(name),
+            Token::Symbol(_) => None,
         }
     }
     fn is_one_of(self, words: &[&str]) -> bool {
@@ -19,19 +24,20 @@
     }
 }
 
-/// Splits a statement; strings and comments leave nothing but a mark.
-fn tokens(sql: &[u8]) -> Vec<Token<'_>> {
+/// Splits a statement into tokens. A string literal becomes a single symbol, and comments are skipped.
+fn tokenize(sql: &[u8]) -> Vec<Token<'_>> {
     let mut out = Vec::new();
     let mut i = 0;
-    let word = |b: u8| b.is_ascii_alphanumeric() || b == b'_' || b == b'$' || b >= 0x80;
-    let find = |from: usize, what: &[u8]| {
+    let is_word = |b: u8| b.is_ascii_alphanumeric() || b == b'_' || b == b'$' || b >= 0x80;
+    let find_end = |from: usize, terminator: &[u8]| {
         let rest = sql.get(from..).unwrap_or_default();
-        rest.windows(what.len()).position(|w| w == what).map_or(sql.len(), |at| from + at + what.len())
+        let at = rest.windows(terminator.len()).position(|w| w == terminator);
+        at.map_or(sql.len(), |at| from + at + terminator.len())
     };
     while i < sql.len() {
         match (sql[i], sql.get(i + 1)) {
-            (b'-', Some(b'-')) | (b'#', _) => i = find(i, b"\n"),
-            (b'/', Some(b'*')) => i = find(i + 2, b"*/"),
+            (b'-', Some(b'-')) | (b'#', _) => i = find_end(i, b"\n"),
+            (b'/', Some(b'*')) => i = find_end(i + 2, b"*/"),
             (quote @ (b'\'' | b'"' | b'`' | b'['), _) => {
                 let close = if quote == b'[' { b']' } else { quote };
                 let mut end = i + 1;
@@ -42,22 +48,22 @@
                         if sql.get(end + 1) != Some(&close) {
                             break;
                         }
-                        end += 1; // Doubled, it stands for itself.
+                        end += 1; // A doubled quotation mark is an escaped one.
                     }
                     end += 1;
                 }
                 let inner = &sql[i + 1..end.min(sql.len())];
-                out.push(if quote == b'\'' { Token::Mark(b'\'') } else { Token::Quoted(inner) });
+                out.push(if quote == b'\'' { Token::Symbol(b'\'') } else { Token::QuotedName(inner) });
                 i = end + 1;
             }
-            (b, _) if word(b) => {
-                let end = sql[i..].iter().position(|b| !word(*b)).map_or(sql.len(), |n| i + n);
+            (b, _) if is_word(b) => {
+                let end = sql[i..].iter().position(|b| !is_word(*b)).map_or(sql.len(), |n| i + n);
                 out.push(Token::Word(&sql[i..end]));
                 i = end;
             }
             (b, _) if b.is_ascii_whitespace() => i += 1,
             (b, _) => {
-                out.push(Token::Mark(b));
+                out.push(Token::Symbol(b));
                 i += 1;
             }
         }
@@ -65,35 +71,37 @@
     out
 }
 
+/// Returns the table group of a schema name. The schema `staging` and names without a numeric suffix have no group.
 fn group_of(schema: &[u8]) -> Option<u64> {
     if schema.eq_ignore_ascii_case(b"staging") {
         return None;
     }
     let at = schema.iter().rposition(|b| *b == b'_')?;
     let digits = &schema[at + 1..];
-    let all = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
-    std::str::from_utf8(digits).ok().filter(|_| all)?.parse().ok()
+    let is_number = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
+    std::str::from_utf8(digits).ok().filter(|_| is_number)?.parse().ok()
 }
 
-/// The group of tables of a statement. Names of tables stand behind words such as FROM; only where none of these
-/// tells, a qualified name elsewhere does (it may be a column of an alias).
+/// Returns the table group of a statement. Table names are the names that follow a keyword such as FROM. If none of
+/// them has a group, the first qualified name elsewhere that has one counts; it may be a column of a table alias.
 pub fn table_group(sql: &[u8]) -> Option<u64> {
+    // Keywords that a table name follows, and keywords that end a list of table names.
     const BEFORE: &[&str] = &["from", "join", "into", "update", "table", "using", "only", "call"];
     const AFTER: &[&str] = &["where", "set", "on", "group", "order", "having", "limit", "values", "select"];
-    let tokens = tokens(sql);
-    let mut elsewhere = None;
-    let (mut i, mut in_list, mut named) = (0, false, false);
+    let tokens = tokenize(sql);
+    let mut fallback = None;
+    let (mut i, mut in_table_list, mut expects_table) = (0, false, false);
     while i < tokens.len() {
         let token = tokens[i];
         if token.is_one_of(BEFORE) {
-            (in_list, named) = (true, true);
+            (in_table_list, expects_table) = (true, true);
         } else if token.is_one_of(AFTER) {
-            (in_list, named) = (false, false);
-        } else if token == Token::Mark(b',') {
-            named = in_list;
+            (in_table_list, expects_table) = (false, false);
+        } else if token == Token::Symbol(b',') {
+            expects_table = in_table_list;
         } else if let Some(first) = token.name() {
             let mut parts = vec![first];
-            while let (Some(Token::Mark(b'.')), Some(next)) =
+            while let (Some(Token::Symbol(b'.')), Some(next)) =
                 (tokens.get(i + 1), tokens.get(i + 2).and_then(|t| t.name()))
             {
                 parts.push(next);
@@ -101,13 +109,13 @@
             }
             let schema = parts.len().checked_sub(2).and_then(|at| group_of(parts[at]));
             match schema {
-                Some(group) if named => return Some(group),
-                Some(group) => elsewhere = elsewhere.or(Some(group)),
+                Some(group) if expects_table => return Some(group),
+                Some(group) => fallback = fallback.or(Some(group)),
                 None => {}
             }
-            named = false;
+            expects_table = false;
         }
         i += 1;
     }
-    elsewhere
+    fallback
 }
--- a/src/node/timer_queue.rs
+++ b/src/node/timer_queue.rs
@@ -1,90 +1,92 @@
-//! The one ordered structure that all deadlines hang in.
+//! Timer queue of the event loop: all pending deadlines of the node, ordered by time.
 
 use super::slab::SlotKey;
 use crate::{Attempt, TimerId};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// What falls due.
+/// The event that a timer triggers at its deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TimerEvent {
-    /// A timer of the decision module.
+    /// A timer that the decision module has set.
     Module(TimerId),
-    /// The client of a request has stopped waiting.
+    /// The deadline of a request has passed, after which its client no longer waits for a response.
     RequestOver(SlotKey),
-    /// An attempt has had its time.
+    /// An attempt has reached its time limit.
     AttemptOver(SlotKey, Attempt),
-    /// A backend connection: is it up, does it still answer, is it idle?
+    /// Checks a connection of the line protocol backend for a connect timeout, an unresponsive engine and idleness.
     Backend(SlotKey),
-    /// A connection to a box of the MySQL kind: likewise.
+    /// Checks a connection of the MySQL backend for connect and login timeouts, an unresponsive engine and idleness.
     MysqlBox(SlotKey),
-    /// The bulletin: connect, or see whether it has fallen silent.
+    /// Connects the service discovery client or checks its watch for silence.
     Bulletin,
-    /// A client connection of the platform's front that has not asked, stands in mid-message, or is let go.
+    /// A client connection of the JSON-RPC front has sent no request or no complete message in time.
     Client(SlotKey),
-    /// A client connection that is being closed.
+    /// The linger time of a client connection that is being closed has passed.
     ClosingConnection(SlotKey),
-    /// A client connection of the MySQL front that has not logged in.
+    /// A client connection of the MySQL front has not logged in in time.
     MysqlLogin(SlotKey),
-    /// A connection of a balancer's check or of an xDS client.
+    /// Checks a connection to the health and discovery endpoints for idleness.
     Control(SlotKey),
-    /// Time to see whether proxies are to be told anything.
+    /// Publishes changed engine health and capacity to the xDS server.
     Xds,
-    /// The right to admit is to be renewed.
+    /// Polls the fleet's leader to renew the lease to admit requests.
     Fleet,
-    /// Accepting was paused for want of descriptors.
+    /// Resumes accepting connections after a pause caused by a shortage of file descriptors.
     AcceptAgain,
-    /// A graceful shutdown is to be taken further.
+    /// Advances a graceful shutdown to its next step.
     Shutdown,
 }
 
+/// Sort key of a timer: its deadline in Unix milliseconds, then a sequence number that orders timers with equal
+/// deadlines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Due(f64, u64);
+struct Deadline(f64, u64);
 
-impl Eq for Due {}
+impl Eq for Deadline {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<Ordering> {
+impl PartialOrd for Deadline {
+    fn partial_cmp(&self, other: &Deadline) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> Ordering {
+impl Ord for Deadline {
+    fn cmp(&self, other: &Deadline) -> Ordering {
         self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
     }
 }
 
-/// Names a deadline, to take it back.
+/// Identifies a timer, so that it can be canceled.
 #[derive(Clone, Copy, Debug)]
-pub struct TimerHandle(Due);
+pub struct TimerHandle(Deadline);
 
-/// Deadlines in order; those of one time in the order in which they were set.
+/// Pending timers ordered by deadline; timers with the same deadline expire in the order in which they were set.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
-    due: BTreeMap<Due, TimerEvent>,
-    next: u64,
+    timers: BTreeMap<Deadline, TimerEvent>,
+    last_sequence: u64,
 }
 
 impl TimerQueue {
-    /// Sets a deadline.
-    pub fn set(&mut self, at: f64, wake: TimerEvent) -> TimerHandle {
-        self.next += 1;
-        let due = Due(at, self.next);
-        self.due.insert(due, wake);
-        TimerHandle(due)
+    /// Adds a timer that expires at `at`, in Unix milliseconds.
+    pub fn set(&mut self, at: f64, event: TimerEvent) -> TimerHandle {
+        self.last_sequence += 1;
+        let deadline = Deadline(at, self.last_sequence);
+        self.timers.insert(deadline, event);
+        TimerHandle(deadline)
     }
-    /// Takes one back; nothing happens if it is past.
+    /// Cancels a timer. Does nothing if the timer has already expired.
     pub fn clear(&mut self, handle: TimerHandle) {
-        self.due.remove(&handle.0);
+        self.timers.remove(&handle.0);
     }
-    /// When the first one falls due.
+    /// Returns the earliest deadline, in Unix milliseconds.
     pub fn first(&self) -> Option<f64> {
-        self.due.first_key_value().map(|(due, _)| due.0)
+        self.timers.first_key_value().map(|(deadline, _)| deadline.0)
     }
-    /// Takes the first one out if it is due.
+    /// Removes the timer with the earliest deadline and returns its event, if this deadline is not after `now`.
     pub fn pop(&mut self, now: f64) -> Option<TimerEvent> {
-        let first = self.due.first_entry().filter(|first| first.key().0 <= now)?;
+        let first = self.timers.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
 }
--- a/tests/discovery_frames.rs
+++ b/tests/discovery_frames.rs
@@ -1,10 +1,10 @@
-//! Frames of discovery: read whole or not at all.
+//! Parsing of the discovery server's frames.
 
 use beamgap::node::clock::to_micros;
-use beamgap::node::discovery::{frame, BadFrame};
+use beamgap::node::discovery::{parse_frame, BadFrame};
 use beamgap::{EngineState, ListKind};
 
-fn bytes(number: u64, kind: u8, records: &[u8]) -> Vec<u8> {
+fn encode_frame(number: u64, kind: u8, records: &[u8]) -> Vec<u8> {
     let mut out = (9 + records.len() as u32).to_be_bytes().to_vec();
     out.extend(number.to_be_bytes());
     out.push(kind);
@@ -17,16 +17,16 @@
     let mut r = vec![0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x27, 0x60, 1, 1, 0, 0, 2];
     r.extend(4000u32.to_be_bytes());
     r.extend(77u64.to_be_bytes());
-    let whole = bytes(5, 2, &r);
+    let whole = encode_frame(5, 2, &r);
     let names = |list: &[&str]| list.iter().map(|n| n.to_string()).collect::<Vec<_>>();
     let (zones, kinds) = (names(&["a", "b"]), names(&["std"]));
     for cut in 0..whole.len() {
-        assert_eq!(frame(&whole[..cut], &zones, &kinds), Ok(None));
+        assert_eq!(parse_frame(&whole[..cut], &zones, &kinds), Ok(None));
     }
-    let (used, news) = frame(&whole, &zones, &kinds).unwrap().unwrap();
-    let news = news.unwrap();
-    let listing = &news.listings[0];
-    assert_eq!((used, news.number, news.kind), (whole.len(), 5, ListKind::Changes));
+    let (length, event) = parse_frame(&whole, &zones, &kinds).unwrap().unwrap();
+    let event = event.unwrap();
+    let listing = &event.listings[0];
+    assert_eq!((length, event.number, event.kind), (whole.len(), 5, ListKind::Changes));
     assert_eq!(listing.address, "10.1.0.9:10080".parse().unwrap());
     let m = &listing.member;
     assert_eq!((&*m.engine.0, &*m.zone, &*m.kind, m.cell), ("s-00c41f7a", "b", "std", 2));
@@ -35,8 +35,8 @@
 
 #[test]
 fn frames_that_cannot_be_are_told_from_frames_that_are_not_whole() {
-    assert_eq!(frame(&bytes(1, 0, &[]), &[], &[]), Ok(Some((13, None))));
-    for bad in [bytes(1, 3, &[]), bytes(1, 1, &[0; 26]), vec![0xff; 8], vec![0, 0, 0, 1, 0]] {
-        assert_eq!(frame(&bad, &[], &[]), Err(BadFrame));
+    assert_eq!(parse_frame(&encode_frame(1, 0, &[]), &[], &[]), Ok(Some((13, None))));
+    for bad in [encode_frame(1, 3, &[]), encode_frame(1, 1, &[0; 26]), vec![0xff; 8], vec![0, 0, 0, 1, 0]] {
+        assert_eq!(parse_frame(&bad, &[], &[]), Err(BadFrame));
     }
 }
--- a/tests/slab.rs
+++ b/tests/slab.rs
@@ -1,4 +1,4 @@
-//! Tables of numbered slots.
+//! Slab with generational keys.
 
 use beamgap::node::slab::Slab;
 
--- a/tests/table_groups.rs
+++ b/tests/table_groups.rs
@@ -1,4 +1,4 @@
-//! Which group of tables a statement reads or writes.
+//! Extraction of the table group from SQL statements.
 
 use beamgap::node::table_group::table_group;
 
