--- a/src/node/config/control.rs
+++ b/src/node/config/control.rs
@@ -1,40 +1,40 @@
-//! The `control` section: where balancers and proxies ask.
+//! The `control` section: addresses of the endpoints for load balancers and proxies.
 
-use super::schema::key;
+use super::schema::optional_key;
 use crate::node::json::{OwnedValue, ValueObjectAccess};
 use crate::node::section::{address, text_of, ConfigError, ReadResult};
 use beamgap_config::schema::{Block, Shape};
 use std::net::SocketAddr;
 
-/// The cluster's name where none is given.
+/// Default name of the cluster in xDS resources.
 const DEFAULT_CLUSTER: &str = "query-boxes";
 
-/// Where balancers and proxies ask.
+/// Settings of the endpoints that load balancers and proxies query.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlSettings {
-    /// Health over HTTP, and xDS.
+    /// Address for HTTP health checks and xDS polling over HTTP; `None` if disabled.
     pub http: Option<SocketAddr>,
-    /// The agent check.
+    /// Address for agent checks; `None` if disabled.
     pub agent: Option<SocketAddr>,
-    /// The name of the cluster that xDS serves.
+    /// Name of the cluster in xDS resources.
     pub cluster: String,
 }
 
-/// What may stand in the operator's block.
+/// Schema of the `control` block in the operator's file.
 pub(super) fn schema() -> Block {
     Block {
         name: "control",
         setting: "control",
         keys: vec![
-            key("http", "http", Shape::Address),
-            key("agent", "agent", Shape::Address),
-            key("cluster", "cluster", Shape::Text),
+            optional_key("http", "http", Shape::Address),
+            optional_key("agent", "agent", Shape::Address),
+            optional_key("cluster", "cluster", Shape::Text),
         ],
         ..Block::default()
     }
 }
 
-/// Reads the section of the settings' root; the defaults if it is absent.
+/// Reads the `control` section of the settings `root`. Without this section, both endpoints are disabled.
 pub(super) fn read_control(root: &OwnedValue) -> ReadResult<ControlSettings> {
     let Some(control) = root.get("control") else {
         return Ok(ControlSettings { cluster: DEFAULT_CLUSTER.to_owned(), ..ControlSettings::default() });
--- a/src/node/config/initial_list.rs
+++ b/src/node/config/initial_list.rs
@@ -1,4 +1,4 @@
-//! The bulletin's events of the start, in JSON.
+//! The `known` section: events of the engine list, in JSON, that the node applies at its start or on a reload.
 
 use crate::node::discovery::{ListEvent, ListedEngine};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
@@ -6,12 +6,13 @@
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
 use std::sync::Arc;
 
-/// Reads `known`: the bulletin's events so far, in JSON.
-pub(super) fn read_known(known: &OwnedValue) -> ReadResult<Vec<ListEvent>> {
+/// Reads the events in the `known` section. A complete list that comes first is marked as cached, because it may be
+/// outdated.
+pub(super) fn read_initial_events(known: &OwnedValue) -> ReadResult<Vec<ListEvent>> {
     let Some(items) = known.get("items").and_then(|items| items.as_array()) else {
         return wrong("known.items", "is not a list");
     };
-    let mut news = Vec::new();
+    let mut events = Vec::new();
     for (i, item) in items.iter().enumerate() {
         let at = |key: &str| format!("known.items[{i}].{key}");
         let Some(number) = item.get("no").and_then(|no| no.as_u64()) else {
@@ -21,21 +22,22 @@
         let Some(targets) = roster.get("targets").and_then(|t| t.as_array()) else {
             return wrong(&at("roster.targets"), "is not a list");
         };
-        let whole = roster.get("all").and_then(|all| all.as_bool()).unwrap_or(false);
+        let is_complete = roster.get("all").and_then(|all| all.as_bool()).unwrap_or(false);
         let mut listings = Vec::new();
         for (j, target) in targets.iter().enumerate() {
             listings.push(read_target(target, &format!("known.items[{i}].roster.targets[{j}]"))?);
         }
-        let kind = match (whole, news.is_empty()) {
+        let kind = match (is_complete, events.is_empty()) {
             (true, true) => ListKind::Cached,
             (true, false) => ListKind::Full,
             (false, _) => ListKind::Changes,
         };
-        news.push(ListEvent { number, kind, listings });
+        events.push(ListEvent { number, kind, listings });
     }
-    Ok(news)
+    Ok(events)
 }
 
+/// Reads one engine; `path` is the path of `target` in the settings, for errors.
 fn read_target(target: &OwnedValue, path: &str) -> ReadResult<ListedEngine> {
     let at = |key: &str| format!("{path}.{key}");
     let text = |key: &str| match target.get(key).and_then(|v| v.as_str()) {
@@ -47,7 +49,7 @@
         "in_service" => EngineState::Serving,
         "terminating" => EngineState::Draining,
         "terminated" => EngineState::Removed,
-        other => return wrong(&at("state"), format!("is '{other}'")),
+        other => return wrong(&at("state"), format!("is '{other}', not an engine state")),
     };
     Ok(ListedEngine {
         address: address(text("endpoint")?, &at("endpoint"))?,
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -1,5 +1,5 @@
-//! The one place where the settings are read as a whole: it joins the sections, each of which is read, checked and given
-//! its defaults by a module of its own. Every error names the faulty key.
+//! Loading of the node's configuration. Each section is read, validated and completed with defaults by its own module,
+//! and [`Config`] combines the sections. Every error names the key of the invalid setting.
 
 mod control;
 mod flat_settings;
@@ -19,8 +19,8 @@
 use beamgap_config::Document;
 use beamgap_xds::transport::Service;
 pub use control::ControlSettings;
-use flat_settings::Pairs;
-use initial_list::read_known;
+use flat_settings::FlatSettings;
+use initial_list::read_initial_events;
 use mysql::read_mysql;
 pub use mysql::{Account, MysqlSettings, OrderBy, Rule};
 use std::collections::BTreeMap;
@@ -28,122 +28,125 @@
 
 pub use super::section::ConfigError;
 
-/// File descriptors where no limit is given: the usual soft limit of a process.
+/// Default maximum number of file descriptors, which is the usual soft limit of a process.
 const DEFAULT_SOCKETS: f64 = 1024.0;
-/// Fewest file descriptors to serve with.
+/// Smallest number of file descriptors with which the node starts.
 const MIN_SOCKETS: usize = 32;
-/// Memory where no limit is given, in megabytes: the least that the platform gives.
+/// Default memory limit in megabytes, which is the least that the platform assigns to a node.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// Time to connect where none is given, in milliseconds.
+/// Default timeout of a connect to an engine, in milliseconds.
 const DEFAULT_DIAL_MS: f64 = 250.0;
-/// Time after which engines close an idle connection, where none is given, in milliseconds.
+/// Default time after which engines close an idle connection, in milliseconds.
 const DEFAULT_IDLE_MS: f64 = 15_000.0;
-/// Attempts on one connection where no number is given.
+/// Default maximum number of concurrent attempts on one connection.
 const DEFAULT_STREAMS: f64 = 100.0;
-/// Open requests where no limit is given.
+/// Default maximum number of open requests.
 const DEFAULT_MAX_OPEN: f64 = 30_000.0;
-/// Addition to the rest of an ordered key: what ended here may end later at the engine.
+/// Added to the configured pause of an ordering key after an attempt that may still be running. The attempt may end at
+/// the engine slightly later than at the node, and the next request with the same key must not overtake it.
 const EXTRA_KEY_REST: Micros = Micros::from_millis(100);
-/// Longest Retry-After of a rejection where none is given.
+/// Default upper bound of the Retry-After in a rejection.
 const DEFAULT_MAX_RETRY_AFTER: Micros = Micros::from_millis(1000);
 
-/// The settings of the node.
+/// Configuration of the node.
 #[derive(Clone)]
 pub struct Config {
-    /// The node's name, for its log.
+    /// Name of the node in its log.
     pub name: String,
-    /// Where the platform's clients connect; none if that front is off.
+    /// Address on which the JSON-RPC front accepts clients; `None` if this front is disabled.
     pub listen: Option<SocketAddr>,
-    /// Seed of all random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of open file descriptors of the process.
     pub sockets: usize,
-    /// Memory that it may use, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: f64,
-    /// Where the bulletin is, if there is one.
+    /// Address of the service discovery server; `None` if the engine list is fixed.
     pub bulletin: Option<SocketAddr>,
-    /// The news of the start.
+    /// Events of the engine list that the configuration contains.
     pub known: Vec<ListEvent>,
-    /// The number of the last event that the news of the start covers.
+    /// Revision of the engine list after the events in `known`.
     pub last: u64,
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of zones and machine kinds, as the bulletin counts them.
+    /// Names of the zones, in the order by which service discovery refers to a zone by its index.
     pub zones: Vec<String>,
-    /// Connecting may take this long, in milliseconds.
+    /// Timeout of a connect to an engine, in milliseconds.
     pub dial_ms: f64,
-    /// Idle connections are closed by the engines after this long, in milliseconds.
+    /// Time after which engines close an idle connection, in milliseconds.
     pub idle_ms: f64,
-    /// Attempts on one connection.
+    /// Maximum number of concurrent attempts on one connection.
     pub streams: usize,
-    /// Open requests at most.
+    /// Maximum number of open requests.
     pub open_most: usize,
-    /// The MySQL front and its boxes; none if it is off.
+    /// Settings of the MySQL front and backend; `None` if they are disabled.
     pub mysql: Option<MysqlSettings>,
-    /// Where balancers and proxies ask; nowhere unless an operator's file says so.
+    /// Endpoints for load balancers and proxies; disabled without a `control` section.
     pub control: ControlSettings,
-    /// The service for proxies over xDS; none if it is off.
+    /// Settings of the xDS server; `None` if the server is disabled.
     pub xds: Option<Service>,
-    /// How it takes part in a fleet; not at all unless an operator's file says so.
+    /// Settings of the node as a member of a fleet; `None` if the node belongs to no fleet.
     pub fleet: Option<fleet_settings::FleetSettings>,
-    /// What of the settings has no use here, and what is assumed where they say nothing: lines for the log.
+    /// Log lines that name the ignored settings and the assumed defaults.
     pub fit: Vec<String>,
-    /// The file's keys that count at the start only, to see on a reload which of them have changed.
+    /// Top-level keys of the configuration that only take effect at the start, with their values. A reload compares
+    /// them to report which of them have changed.
     pub at_start: BTreeMap<String, OwnedValue>,
 }
 
-/// The platform's part of the settings.
+/// The `settings` section, which the platform provides.
 struct PlatformSettings {
-    pairs: Pairs,
+    flat: FlatSettings,
     module: Settings,
-    /// Lines for the log: what has no use here, and what is assumed.
+    /// Log lines that name the ignored settings and the assumed defaults.
     notes: Vec<String>,
 }
 
-/// What may stand in an operator's file: the blocks of all sections.
+/// Schema of the operator's file, with the blocks of all sections.
 pub fn operator_schema() -> Block {
     let blocks = vec![mysql::schema(), control::schema(), xds::schema(), fleet_settings::schema()];
     Block { blocks, ..Block::default() }
 }
 
-/// Reads an operator's file by [`operator_schema`].
+/// Parses an operator's file and checks it against [`operator_schema`]. `file` is the name that errors refer to.
 ///
 /// # Errors
-/// All that does not fit the schema.
+/// Returns all violations of the schema as one error.
 pub fn read_operator_file(file: &str, text: &str) -> ReadResult<Document> {
     operator::read(file, text, &operator_schema())
 }
 
 impl Config {
-    /// Reads the text of a configuration file. `env` gives the environment's variables: `NODE_LISTEN` stands in
-    /// where the file names no address, and passwords stand only there.
+    /// Reads a configuration in JSON. `env` looks up environment variables: `NODE_LISTEN` is the address of the
+    /// JSON-RPC front if the file has none, and passwords are read only from the environment.
     ///
     /// # Errors
-    /// The first setting that is missing or wrong.
+    /// Returns an error about the first setting that is missing or invalid.
     pub fn read(text: Vec<u8>, env: &dyn Fn(&str) -> Option<String>) -> ReadResult<Config> {
         Config::read_both(text, None, env)
     }
 
-    /// Likewise, with an operator's file in HCL: its name and its text. No section may stand in both.
+    /// Reads a configuration in JSON and, optionally, an operator's file in HCL, given by its name and text. A section
+    /// must not be present in both files.
     ///
     /// # Errors
-    /// The first setting that is missing or wrong.
+    /// Returns an error about the first setting that is missing or invalid.
     pub fn read_both(
         text: Vec<u8>,
         operator: Option<(&str, &str)>,
         env: &dyn Fn(&str) -> Option<String>,
     ) -> ReadResult<Config> {
         let mut root = json::read(text).or_else(|e| wrong("(file)", e))?;
-        let Some((file, text)) = operator else { return Config::join(&root, env) };
+        let Some((file, text)) = operator else { return Config::read_sections(&root, env) };
         let document = read_operator_file(file, text)?;
         let located = |error: ConfigError| operator::located(&document, error);
         operator::merge(&document, &mut root).map_err(located)?;
-        Config::join(&root, env).map_err(located)
+        Config::read_sections(&root, env).map_err(located)
     }
 
-    /// Reads all sections.
-    fn join(root: &OwnedValue, env: &dyn Fn(&str) -> Option<String>) -> ReadResult<Config> {
-        let PlatformSettings { pairs, mut module, notes } = read_platform(root)?;
+    /// Reads all sections of the settings.
+    fn read_sections(root: &OwnedValue, env: &dyn Fn(&str) -> Option<String>) -> ReadResult<Config> {
+        let PlatformSettings { flat, mut module, notes } = read_platform(root)?;
         let mysql = root.get("mysql").map(|mysql| read_mysql(mysql, &module, env)).transpose()?;
         let listen = read_listen(root, mysql.is_some(), env)?;
         let seed = read_seed(root)?;
@@ -151,7 +154,8 @@
         let control = control::read_control(root)?;
         let xds = root.get("xds").map(|xds| xds::read_xds(xds, &control, &module)).transpose()?;
         if let Some(share) = xds.as_ref().and_then(|xds| xds.terms.cold).map(|cold| cold.proxy_share) {
-            // To the module, the proxies are further gateways: it keeps to what is not theirs.
+            // Counts the proxies as additional front ends, so that the decision module uses only the capacity of
+            // warming engines that is not reserved for proxies.
             module.gateways = (f64::from(module.gateways) / (1.0 - share)).ceil() as u32;
         }
         let mut config = Config {
@@ -164,30 +168,31 @@
             known: Vec::new(),
             last: 0,
             settings: module,
-            zones: pairs.names("Azs"),
-            dial_ms: pairs.number("Limits.DialTimeout", DEFAULT_DIAL_MS)?,
-            idle_ms: pairs.number("Limits.ConnIdle", DEFAULT_IDLE_MS)?,
-            streams: pairs.number("Limits.StreamsPerConn", DEFAULT_STREAMS)?.max(1.0) as usize,
-            open_most: pairs.number("Limits.MaxOpen", DEFAULT_MAX_OPEN)?.max(1.0) as usize,
+            zones: flat.names("Azs"),
+            dial_ms: flat.number("Limits.DialTimeout", DEFAULT_DIAL_MS)?,
+            idle_ms: flat.number("Limits.ConnIdle", DEFAULT_IDLE_MS)?,
+            streams: flat.number("Limits.StreamsPerConn", DEFAULT_STREAMS)?.max(1.0) as usize,
+            open_most: flat.number("Limits.MaxOpen", DEFAULT_MAX_OPEN)?.max(1.0) as usize,
             mysql,
             control,
             xds,
             fleet: None,
             fit: notes,
-            at_start: at_start(root),
+            at_start: startup_only_keys(root),
         };
         if let Some(fleet) = root.get("fleet") {
             config.fleet = Some(fleet_settings::read(fleet, &config.name, env)?);
         }
         if config.sockets < MIN_SOCKETS {
-            return wrong("limits.sockets", "is under 32, too few to serve with");
+            return wrong("limits.sockets", "is under 32, too few file descriptors to serve requests");
         }
-        config.add_kinds(pairs.names("MachineTypes"));
-        config.add_known(root)?;
+        config.add_kinds(flat.names("MachineTypes"));
+        config.add_initial_events(root)?;
         Ok(config)
     }
 
-    /// Adds the kinds of machines without cores or memory, which have a place too.
+    /// Adds the machine kinds whose cores and memory the settings leave out. Service discovery refers to a machine kind
+    /// by its index, so every kind needs an entry.
     fn add_kinds(&mut self, names: Vec<String>) {
         for name in names {
             if !self.settings.kinds.iter().any(|kind| kind.name == name) {
@@ -196,61 +201,70 @@
         }
     }
 
-    /// Adds the events that are known at the start.
-    fn add_known(&mut self, root: &OwnedValue) -> ReadResult<()> {
+    /// Reads the events of the engine list that the configuration contains.
+    fn add_initial_events(&mut self, root: &OwnedValue) -> ReadResult<()> {
         let Some(known) = root.get("known") else { return Ok(()) };
-        self.known = read_known(known)?;
-        let last = self.known.iter().map(|news| news.number).max().unwrap_or(0);
+        self.known = read_initial_events(known)?;
+        let last = self.known.iter().map(|event| event.number).max().unwrap_or(0);
         self.last = last.max(known.get("no").and_then(|no| no.as_u64()).unwrap_or(0));
         Ok(())
     }
 
-    /// Descriptors for clients: the usual ones hold a third at most, as the platform promises, and those that only
-    /// hold a connection need room beside them until they are let go. The rest is for engines and the node itself.
+    /// Number of file descriptors for client connections: half of all descriptors. The platform guarantees that active
+    /// clients use at most a third of all; the difference is for idle clients until they are evicted. The other half is
+    /// for connections to engines and for the node itself.
     pub fn client_sockets(&self) -> usize {
         self.sockets / 2
     }
 }
 
-/// All that a reload does not apply: it takes the bulletin's address and events, and nothing else.
-fn at_start(root: &OwnedValue) -> BTreeMap<String, OwnedValue> {
+/// Returns the top-level keys that a reload does not apply, with their values. A reload only applies the address of
+/// the service discovery server and the events of the engine list.
+fn startup_only_keys(root: &OwnedValue) -> BTreeMap<String, OwnedValue> {
     let keys = root.as_object().into_iter().flatten();
-    let kept = keys.filter(|(key, _)| !matches!(key.as_str(), "bulletin" | "known"));
-    kept.map(|(key, value)| (key.clone(), value.clone())).collect()
+    let startup_only = keys.filter(|(key, _)| !matches!(key.as_str(), "bulletin" | "known"));
+    startup_only.map(|(key, value)| (key.clone(), value.clone())).collect()
 }
 
+/// Reads the `settings` section and derives the settings of the decision module from it.
 fn read_platform(root: &OwnedValue) -> ReadResult<PlatformSettings> {
     if root.as_object().is_none() {
-        return wrong("(file)", "is not an object");
+        return wrong("(file)", "is not a JSON object");
     }
     let Some(nested) = root.get("settings") else { return wrong("settings", "is missing") };
-    let pairs = Pairs::flatten(nested);
+    let flat = FlatSettings::flatten(nested);
     let (mut module, notes) =
-        read_settings_with_notes(&pairs.0).or_else(|e| wrong("settings", format!("are wrong: {e}")))?;
-    // A rejection always carries a Retry-After, whether or not the simulator's clients are given one.
-    let longest = pairs.number("Limits.MaxRetryAfter", 0.0)?;
-    let longest = if longest > 0.0 { super::clock::to_micros(longest) } else { DEFAULT_MAX_RETRY_AFTER };
-    module.retry_after = Some(module.retry_after.unwrap_or(longest));
+        read_settings_with_notes(&flat.0).or_else(|e| wrong("settings", format!("are invalid: {e}")))?;
+    // Every rejection carries a Retry-After, even if the settings disable it for the clients of the simulator.
+    let max_retry_after = flat.number("Limits.MaxRetryAfter", 0.0)?;
+    let max_retry_after = if max_retry_after > 0.0 {
+        super::clock::to_micros(max_retry_after)
+    } else {
+        DEFAULT_MAX_RETRY_AFTER
+    };
+    module.retry_after = Some(module.retry_after.unwrap_or(max_retry_after));
     if module.classes.iter().any(|class| class.in_order) {
         module.key_rest = module.key_rest.plus(EXTRA_KEY_REST);
     }
-    Ok(PlatformSettings { pairs, module, notes })
+    Ok(PlatformSettings { flat, module, notes })
 }
 
-/// The address of the platform's front. It is off only where the settings have the MySQL front and no address for it.
+/// Reads the address of the JSON-RPC front. This front is disabled only if the MySQL front is configured and `listen`
+/// is absent.
 fn read_listen(
     root: &OwnedValue,
     has_mysql: bool,
     env: &dyn Fn(&str) -> Option<String>,
 ) -> ReadResult<Option<SocketAddr>> {
-    let stand_in = env("NODE_LISTEN").filter(|_| !has_mysql);
-    if root.get("listen").is_none() && stand_in.is_none() && !has_mysql {
+    let env_listen = env("NODE_LISTEN").filter(|_| !has_mysql);
+    if root.get("listen").is_none() && env_listen.is_none() && !has_mysql {
         return wrong("listen", "is missing");
     }
-    let text = text_of(root, "listen")?.or(stand_in.as_deref());
+    let text = text_of(root, "listen")?.or(env_listen.as_deref());
     text.map(|text| address(text, "listen")).transpose()
 }
 
+/// Reads the seed, which is given in hexadecimal; 0 if it is absent.
 fn read_seed(root: &OwnedValue) -> ReadResult<u64> {
     match text_of(root, "seed")? {
         Some(hex) => u64::from_str_radix(hex, 16).or_else(|_| wrong("seed", "is not 16 hex digits")),
@@ -258,6 +272,7 @@
     }
 }
 
+/// Reads a number above 0 from the `limits` section, or returns `default` if it is absent.
 fn read_limit(root: &OwnedValue, name: &str, default: f64) -> ReadResult<f64> {
     match root.get("limits").and_then(|limits| limits.get(name)) {
         None => Ok(default),
--- a/src/node/config/mysql.rs
+++ b/src/node/config/mysql.rs
@@ -1,6 +1,6 @@
-//! The `mysql` section: the MySQL front and its backends, the boxes.
+//! The `mysql` section: settings of the MySQL front and of the MySQL backend, whose engines the settings call boxes.
 
-use super::schema::{count, key, needed};
+use super::schema::{integer, optional_key, required_key};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueObjectAccess};
 use crate::node::section::{address, text_of, wrong, ConfigError, ReadResult};
 use crate::{ClassId, Repeat, Settings};
@@ -8,78 +8,82 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Connections to one backend where no number is given: six sessions on each of eight cores.
+/// Default maximum number of connections to one engine: six sessions on each of eight cores.
 const DEFAULT_BOX_CONNECTIONS: usize = 48;
 
-/// A client's account on the MySQL front.
+/// An account with which clients log in to the MySQL front.
 #[derive(Clone, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// User name.
     pub user: String,
-    /// Its password; may be empty.
+    /// Password; may be empty.
     pub password: String,
-    /// The tenant that its requests belong to.
+    /// Tenant to which requests of this account belong; `None` if requests belong to no tenant.
     pub tenant: Option<Arc<str>>,
 }
 
-/// Gives a class to the statements that it fits; the first fitting rule counts.
+/// Assigns a class to statements. The first rule whose conditions all match a statement applies to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// The statement's first word, in capitals.
+    /// First keyword of a matching statement, in upper case; `None` matches any keyword.
     pub verb: Option<String>,
-    /// A text that it holds, in small letters.
+    /// Text that a matching statement contains, in lower case; `None` matches any statement.
     pub mentions: Option<String>,
-    /// The class.
+    /// Class of the matching statements.
     pub class: ClassId,
-    /// How long the client is taken to wait, in milliseconds; the class's own time if absent.
+    /// Deadline of a request, in milliseconds after its arrival; `None` uses the deadline of the class.
     pub budget_ms: Option<f64>,
-    /// Estimated work in milliseconds.
+    /// Estimated work of a statement, in milliseconds.
     pub work_ms: Option<f64>,
-    /// Estimated memory in megabytes.
+    /// Estimated memory of a statement, in megabytes.
     pub memory_mb: Option<f64>,
-    /// In a class that keeps order, what has a key in common.
+    /// Ordering key of the statements, if the class runs requests with the same key in order.
     pub order_by: OrderBy,
 }
 
-/// Which statements of a class that keeps order have a key in common: they run one after the other.
+/// Ordering key of statements in a class that preserves order. Statements with the same key run one after the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OrderBy {
-    /// All of one account, whatever the session: the widest, and so what holds where nothing is said.
+    /// One key per account, across all of its sessions. This is the default because it orders the most statements.
     #[default]
     Account,
-    /// All that name one table group.
+    /// One key per table group that a statement names.
     Tables,
-    /// Those of one session, which asks for one thing at a time: sessions do not wait for each other.
+    /// One key per session. A session sends one statement at a time, so its statements wait for no other session.
     Session,
 }
 
-/// What the operator's file says of the MySQL front and its boxes.
+/// Settings of the MySQL front and of the MySQL backend.
 #[derive(Clone, PartialEq)]
 pub struct MysqlSettings {
-    /// Where clients connect.
+    /// Address on which the front accepts clients.
     pub listen: SocketAddr,
-    /// Who may log in.
+    /// Accounts with which clients can log in.
     pub accounts: Vec<Account>,
-    /// The class of statements that no rule fits; it must never be run twice.
+    /// Class of statements that match no rule. Requests of this class must never be run twice, because nothing is known
+    /// about these statements.
     pub default_class: ClassId,
-    /// The rules, in order.
+    /// Classification rules, in the order in which they are tried.
     pub rules: Vec<Rule>,
-    /// The user as whom the node logs in at the boxes.
+    /// User name with which the node logs in to engines.
     pub box_user: String,
-    /// Its password.
+    /// Password with which the node logs in to engines.
     pub box_password: String,
-    /// Connections to one box.
+    /// Maximum number of connections to one engine.
     pub box_connections: usize,
 }
 
-/// What may stand in the operator's block.
+/// Schema of the `mysql` block in the operator's file.
 pub(super) fn schema() -> Block {
     let account = Block {
         name: "account",
         setting: "accounts",
         many: true,
         label: Some("user"),
-        keys: vec![key("password_env", "password_env", Shape::Text), key("tenant", "tenant", Shape::Text)],
+        keys: vec![
+            optional_key("password_env", "password_env", Shape::Text),
+            optional_key("tenant", "tenant", Shape::Text),
+        ],
         blocks: Vec::new(),
     };
     let rule = Block {
@@ -87,13 +91,13 @@
         setting: "rules",
         many: true,
         keys: vec![
-            needed("class", Shape::Text),
-            key("verb", "verb", Shape::Text),
-            key("mentions", "mentions", Shape::Text),
-            key("budget", "budget_ms", Shape::Duration),
-            key("work", "work_ms", Shape::Duration),
-            key("memory", "memory_mb", Shape::Size),
-            key("order_by", "order_by", Shape::Text),
+            required_key("class", Shape::Text),
+            optional_key("verb", "verb", Shape::Text),
+            optional_key("mentions", "mentions", Shape::Text),
+            optional_key("budget", "budget_ms", Shape::Duration),
+            optional_key("work", "work_ms", Shape::Duration),
+            optional_key("memory", "memory_mb", Shape::Size),
+            optional_key("order_by", "order_by", Shape::Text),
         ],
         ..Block::default()
     };
@@ -101,48 +105,51 @@
         name: "mysql",
         setting: "mysql",
         keys: vec![
-            needed("listen", Shape::Address),
-            needed("default_class", Shape::Text),
-            needed("box_user", Shape::Text),
-            key("box_password_env", "box_password_env", Shape::Text),
-            key("box_connections", "box_connections", count(1.0, 10_000.0)),
+            required_key("listen", Shape::Address),
+            required_key("default_class", Shape::Text),
+            required_key("box_user", Shape::Text),
+            optional_key("box_password_env", "box_password_env", Shape::Text),
+            optional_key("box_connections", "box_connections", integer(1.0, 10_000.0)),
         ],
         blocks: vec![account, rule],
         ..Block::default()
     }
 }
 
-/// The environment's variables.
+/// Looks up an environment variable by its name.
 type Env<'a> = &'a dyn Fn(&str) -> Option<String>;
 
-/// Reads the section.
+/// Reads the `mysql` section. Classes and tenants must exist in `settings`; passwords are read from the environment.
 ///
 /// # Errors
-/// The first setting that is missing or wrong.
+/// Returns an error about the first setting that is missing or invalid.
 pub(super) fn read_mysql(mysql: &OwnedValue, settings: &Settings, env: Env) -> ReadResult<MysqlSettings> {
-    let default_class = class_of(settings, &needed_text(mysql, "default_class")?, "mysql.default_class")?;
+    let default_class = class_of(settings, &required_text(mysql, "default_class")?, "mysql.default_class")?;
     if settings.classes[default_class.0].repeat != Repeat::Unsafe {
-        return wrong("mysql.default_class", "may be run twice; what no rule knows must not be");
+        return wrong(
+            "mysql.default_class",
+            "may be run twice; the class of statements that match no rule must not allow that",
+        );
     }
     let accounts = read_accounts(mysql, settings, env)?;
     let rules = read_rules(mysql, settings)?;
     let box_connections = match mysql.get("box_connections").map(json::number) {
         None => DEFAULT_BOX_CONNECTIONS,
-        Some(Some(most)) if most >= 1.0 => most as usize,
-        Some(_) => return wrong("mysql.box_connections", "is not a number from 1"),
+        Some(Some(number)) if number >= 1.0 => number as usize,
+        Some(_) => return wrong("mysql.box_connections", "is not a number of at least 1"),
     };
     Ok(MysqlSettings {
-        listen: address(&needed_text(mysql, "listen")?, "mysql.listen")?,
+        listen: address(&required_text(mysql, "listen")?, "mysql.listen")?,
         accounts,
         default_class,
         rules,
-        box_user: needed_text(mysql, "box_user")?,
+        box_user: required_text(mysql, "box_user")?,
         box_password: read_password(mysql, "box_password_env", "mysql.box_password_env", env)?,
         box_connections,
     })
 }
 
-fn needed_text(mysql: &OwnedValue, key: &str) -> ReadResult<String> {
+fn required_text(mysql: &OwnedValue, key: &str) -> ReadResult<String> {
     let path = format!("mysql.{key}");
     match text_of(mysql, key).map_err(|error| ConfigError::new(path.clone(), error.problem))? {
         Some(text) => Ok(text.to_owned()),
@@ -153,11 +160,11 @@
 fn class_of(settings: &Settings, name: &str, path: &str) -> ReadResult<ClassId> {
     match settings.classes.iter().position(|class| class.name == name) {
         Some(index) => Ok(ClassId(index)),
-        None => wrong(path, format!("is '{name}', not a class of the settings")),
+        None => wrong(path, format!("is '{name}', not the name of a class in the settings")),
     }
 }
 
-/// The password in the environment's variable that a key names; empty if the key is absent.
+/// Reads the password from the environment variable that the setting `key` names; empty if the key is absent.
 fn read_password(section: &OwnedValue, key: &str, path: &str, env: Env) -> ReadResult<String> {
     let Some(variable) = text_of(section, key)? else { return Ok(String::new()) };
     match env(variable) {
@@ -166,6 +173,7 @@
     }
 }
 
+/// Reads an optional list of the `mysql` section; empty if the key is absent.
 fn list_of<'a>(mysql: &'a OwnedValue, key: &str) -> ReadResult<&'a [OwnedValue]> {
     match mysql.get(key) {
         None => Ok(&[]),
@@ -185,7 +193,7 @@
         let tenant: Option<Arc<str>> = text_of(account, "tenant")?.map(Arc::from);
         let is_known = |tenant: &Arc<str>| settings.tenants.iter().any(|known| *known.name == **tenant);
         if tenant.as_ref().is_some_and(|tenant| !is_known(tenant)) {
-            return wrong(&at("tenant"), "is not a tenant of the settings");
+            return wrong(&at("tenant"), "is not the name of a tenant in the settings");
         }
         accounts.push(Account { user: user.to_owned(), password, tenant });
     }
@@ -217,15 +225,15 @@
         budget_ms: number("budget_ms")?,
         work_ms: number("work_ms")?,
         memory_mb: number("memory_mb")?,
-        order_by: read_order(rule, &at("order_by"))?,
+        order_by: read_order_by(rule, &at("order_by"))?,
     })
 }
 
-fn read_order(rule: &OwnedValue, path: &str) -> ReadResult<OrderBy> {
+fn read_order_by(rule: &OwnedValue, path: &str) -> ReadResult<OrderBy> {
     match text_of(rule, "order_by")? {
         None | Some("account") => Ok(OrderBy::Account),
         Some("tables") => Ok(OrderBy::Tables),
         Some("session") => Ok(OrderBy::Session),
-        Some(other) => wrong(path, format!("is '{other}'; write account, tables or session")),
+        Some(other) => wrong(path, format!("is '{other}'; use account, tables or session")),
     }
 }
--- a/src/node/config/schema.rs
+++ b/src/node/config/schema.rs
@@ -1,18 +1,18 @@
-//! Shorthands for the keys of a schema.
+//! Constructors for the keys of the operator file's schema.
 
 use beamgap_config::schema::{Key, Shape};
 
-/// A key that may be absent. `setting` is its name in the settings.
-pub(super) fn key(name: &'static str, setting: &'static str, shape: Shape) -> Key {
+/// An optional key; `setting` is the key's name in the JSON settings.
+pub(super) fn optional_key(name: &'static str, setting: &'static str, shape: Shape) -> Key {
     Key { name, setting, shape, needed: false }
 }
 
-/// A key that must stand there.
-pub(super) fn needed(name: &'static str, shape: Shape) -> Key {
+/// A required key with the same name in the operator's file and in the JSON settings.
+pub(super) fn required_key(name: &'static str, shape: Shape) -> Key {
     Key { name, setting: name, shape, needed: true }
 }
 
-/// A whole number within bounds.
-pub(super) fn count(least: f64, most: f64) -> Shape {
+/// An integer from `least` to `most`.
+pub(super) fn integer(least: f64, most: f64) -> Shape {
     Shape::Count { least, most }
 }
--- a/src/node/config/xds.rs
+++ b/src/node/config/xds.rs
@@ -1,7 +1,7 @@
-//! The `xds` section: the service for proxies.
+//! The `xds` section: settings of the xDS server, which sends engines and routes to proxies.
 
 use super::control::ControlSettings;
-use super::schema::{count, key, needed};
+use super::schema::{integer, optional_key, required_key};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use crate::node::section::{address, text_of, wrong, ReadResult};
 use crate::{Settings, SlowStart};
@@ -10,51 +10,51 @@
 use beamgap_xds::transport::Service;
 use std::net::SocketAddr;
 
-/// Time to connect where none is given, in milliseconds.
+/// Default timeout of a proxy's connect to an engine, in milliseconds.
 const DEFAULT_CONNECT_MS: f64 = 250.0;
-
-/// Proxies' share of the capacity of an engine that warms up, where none is given.
+/// Default share of a warming engine's capacity that all proxies together may use. The front ends use the rest.
 const DEFAULT_PROXY_SHARE: f64 = 0.5;
-/// Work of a request that comes by proxies, where none is given, in milliseconds.
+/// Default estimate of the work of a request that a proxy sends to an engine, in milliseconds on one core.
 const DEFAULT_REQUEST_WORK_MS: f64 = 200.0;
-/// Streams of proxies where no limit is given.
+/// Default maximum number of concurrent xDS streams.
 const DEFAULT_MAX_STREAMS: f64 = 1_000.0;
 
-/// What may stand in the operator's block.
+/// Schema of the `xds` block in the operator's file.
 pub(super) fn schema() -> Block {
     let listener = Block {
         name: "listener",
         setting: "listeners",
         many: true,
         label: Some("name"),
-        keys: vec![needed("address", Shape::Address)],
+        keys: vec![required_key("address", Shape::Address)],
         blocks: Vec::new(),
     };
     Block {
         name: "xds",
         setting: "xds",
         keys: vec![
-            needed("listen", Shape::Address),
-            key("plaintext_beyond_loopback", "plaintext_beyond_loopback", Shape::Flag),
-            key("proxy_share", "proxy_share", Shape::Share),
-            key("request_work", "request_work_ms", Shape::Duration),
-            key("request_time", "request_ms", Shape::Duration),
-            key("connect_time", "connect_ms", Shape::Duration),
-            key("lease_ttl", "ttl_ms", Shape::Duration),
-            key("late_most", "late_ms", Shape::Duration),
-            key("ack_time", "ack_ms", Shape::Duration),
-            key("settle_time", "settle_ms", Shape::Duration),
-            key("streams_most", "streams_most", count(1.0, 100_000.0)),
+            required_key("listen", Shape::Address),
+            optional_key("plaintext_beyond_loopback", "plaintext_beyond_loopback", Shape::Flag),
+            optional_key("proxy_share", "proxy_share", Shape::Share),
+            optional_key("request_work", "request_work_ms", Shape::Duration),
+            optional_key("request_time", "request_ms", Shape::Duration),
+            optional_key("connect_time", "connect_ms", Shape::Duration),
+            optional_key("lease_ttl", "ttl_ms", Shape::Duration),
+            optional_key("late_most", "late_ms", Shape::Duration),
+            optional_key("ack_time", "ack_ms", Shape::Duration),
+            optional_key("settle_time", "settle_ms", Shape::Duration),
+            optional_key("streams_most", "streams_most", integer(1.0, 100_000.0)),
         ],
         blocks: vec![listener],
         ..Block::default()
     }
 }
 
-/// Reads the section.
+/// Reads the `xds` section. The limits on warming engines come from the slow start rule in `settings`; without this
+/// rule all engines count as warm.
 ///
 /// # Errors
-/// The first setting that is missing or wrong.
+/// Returns an error about the first setting that is missing or invalid.
 pub(super) fn read_xds(
     xds: &OwnedValue,
     control: &ControlSettings,
@@ -80,6 +80,7 @@
     Ok(Service::new(listen, terms))
 }
 
+/// Reads a number from `least` to `most`, or returns `default` if the key is absent.
 fn number(xds: &OwnedValue, key: &str, default: f64, least: f64, most: f64) -> ReadResult<f64> {
     match xds.get(key).map(json::number) {
         None => Ok(default),
@@ -88,7 +89,7 @@
     }
 }
 
-fn needed_text(section: &OwnedValue, key: &str, path: &str) -> ReadResult<String> {
+fn required_text(section: &OwnedValue, key: &str, path: &str) -> ReadResult<String> {
     match text_of(section, key) {
         Ok(Some(text)) => Ok(text.to_owned()),
         Ok(None) => wrong(path, "is missing"),
@@ -97,10 +98,12 @@
 }
 
 fn read_listen(xds: &OwnedValue) -> ReadResult<SocketAddr> {
-    let listen = address(&needed_text(xds, "listen", "xds.listen")?, "xds.listen")?;
+    let listen = address(&required_text(xds, "listen", "xds.listen")?, "xds.listen")?;
     let allows_plaintext = xds.get("plaintext_beyond_loopback").and_then(|value| value.as_bool());
     if !listen.ip().is_loopback() && allows_plaintext != Some(true) {
-        let problem = "is beyond loopback, where anybody may listen in and ask; listen on 127.0.0.1, or say                        `plaintext_beyond_loopback = true`";
+        let problem =
+            "is beyond loopback, where connections are neither encrypted nor authenticated; listen on \
+                       127.0.0.1, or set `plaintext_beyond_loopback = true`";
         return wrong("xds.listen", problem);
     }
     Ok(listen)
@@ -117,17 +120,17 @@
     let mut listeners: Vec<Listener> = Vec::new();
     for (i, listener) in list.iter().enumerate() {
         let at = |key: &str| format!("xds.listeners[{i}].{key}");
-        let name = needed_text(listener, "name", &at("name"))?;
+        let name = required_text(listener, "name", &at("name"))?;
         if name.is_empty() || listeners.iter().any(|other| other.name == name) {
-            return wrong(&at("name"), format!("is '{name}', which is empty or stands twice"));
+            return wrong(&at("name"), format!("is '{name}', which is empty or already in use"));
         }
-        let address = address(&needed_text(listener, "address", &at("address"))?, &at("address"))?;
+        let address = address(&required_text(listener, "address", &at("address"))?, &at("address"))?;
         listeners.push(Listener { name, address });
     }
     Ok(listeners)
 }
 
-/// The terms of engines that warm up.
+/// Reads the limits on the load that proxies may send to warming engines. `instances` is the number of front ends.
 fn read_cold(xds: &OwnedValue, rule: SlowStart, instances: u32, request_ms: f64) -> ReadResult<ColdTerms> {
     let terms = ColdTerms {
         fall_multiple: rule.fall_multiple,
@@ -142,7 +145,8 @@
         return wrong("xds.proxy_share", problem);
     }
     if request_ms < terms.fall_span_ms {
-        let problem = format!("is under the {} ms of the rule on cold engines", terms.fall_span_ms);
+        let problem =
+            format!("is under the {} ms over which the slow start rule measures load", terms.fall_span_ms);
         return wrong("xds.request_ms", problem);
     }
     Ok(terms)
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -1,5 +1,5 @@
-//! What balancers and proxies ask: health over HTTP, the agent check, and endpoints over xDS. Everything told here
-//! is the decision module's view; nothing is decided.
+//! Endpoints for load balancers and proxies: HTTP health checks, agent checks, and endpoint discovery over HTTP. The
+//! responses only report the state of the decision module; no decision is made here.
 
 pub mod xds;
 
@@ -12,122 +12,134 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-const CONNS_MOST: usize = 24; // of the descriptors that the node keeps for itself
-const HEAD_MOST: usize = 8 * 1024;
-const BODY_MOST: usize = 64 * 1024; // a discovery request is short
-const HEADERS_MOST: usize = 64;
-const IDLE_MS: f64 = 15_000.0; // balancers ask every few seconds
+/// Maximum number of open connections. They use file descriptors that the node reserves for itself.
+const MAX_CONNECTIONS: usize = 24;
+/// Maximum size of a request line with its headers, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum size of a request body, in bytes. Only discovery requests have a body, and a discovery request is short.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum number of headers in a request.
+const MAX_HEADERS: usize = 64;
+/// Time without socket activity after which a connection is closed, in milliseconds. Load balancers send a health check
+/// every few seconds, so connections in use stay open.
+const IDLE_TIMEOUT_MS: f64 = 15_000.0;
 
-/// The node as those outside may see it.
+/// State of the node that load balancers and proxies can query.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// A graceful shutdown has begun.
+    /// Whether a graceful shutdown has begun.
     pub shutting_down: bool,
-    /// Why a fleet's policy lets nothing in now, if so.
+    /// Reason why the fleet's policy admits no requests at present; `None` without a policy or if it admits requests.
     pub why_not: Option<String>,
-    /// The share of the work asked for that is admitted, from 0 to 1; 0 where no engine takes any.
+    /// Share of the requested work that is admitted, from 0 to 1; 0 if no engine accepts work.
     pub admitted: f64,
-    /// The engines with their addresses.
+    /// Status and address of each engine.
     pub engines: Vec<(EngineStatus, SocketAddr)>,
-    /// Which proxies are connected over xDS, as JSON; none if that is off.
+    /// Status of the connected xDS clients, as JSON; `None` if the xDS server is disabled.
     pub clients: Option<Arc<str>>,
 }
 
 impl View {
-    /// Whether new work is welcome.
+    /// Whether the node accepts new requests.
     pub fn ready(&self) -> bool {
         !self.shutting_down && self.why_not.is_none() && self.admitted > 0.0
     }
 
-    /// The line that answers an agent check: an administrative word, a state, and a weight for the balancer.
+    /// Response line to an agent check: `drain` during a graceful shutdown, `down` with a reason if the node accepts no
+    /// requests, else `ready up` with the admitted share as a weight in percent.
     pub fn agent_line(&self) -> String {
         if self.shutting_down {
             "drain\n".to_owned()
         } else if !self.ready() {
-            let why = self.why_not.as_deref().unwrap_or("no engine takes work");
-            format!("down #{}\n", why.replace(['\n', '#'], " ").chars().take(200).collect::<String>())
+            let reason = self.why_not.as_deref().unwrap_or("no engine takes work");
+            format!("down #{}\n", reason.replace(['\n', '#'], " ").chars().take(200).collect::<String>())
         } else {
             format!("ready up {}%\n", (self.admitted * 100.0).round().clamp(1.0, 100.0))
         }
     }
 }
 
-/// Which of the two listeners a connection came by.
+/// The protocol of a listener and of the connections that it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Health and xDS.
+    /// HTTP health checks and endpoint discovery over HTTP.
     Http,
-    /// The agent check.
+    /// Agent checks, which are answered without reading a request.
     Agent,
 }
 
-struct Conn {
-    link: BufferedSocket,
+struct Connection {
+    socket: BufferedSocket,
     kind: Kind,
-    heard: f64,
-    /// The last answer is written; only the other side's close is waited for.
-    last: bool,
+    /// When the socket last had an event, in Unix milliseconds.
+    last_activity: f64,
+    /// Whether the last response was queued. The connection then reads no further requests and waits for the peer to
+    /// close it.
+    is_closing: bool,
 }
 
-/// The connections of balancers and proxies.
+/// Server for the connections of load balancers and proxies.
 pub struct Control {
-    conns: Slab<Conn>,
+    connections: Slab<Connection>,
     cluster: String,
 }
 
-/// An HTTP request as far as it counts here.
+/// The parts of an HTTP request that the server uses.
 struct Request {
     method: String,
     path: String,
     body: Vec<u8>,
-    keep: bool,
-    used: usize,
+    keep_alive: bool,
+    /// Size of the request including its headers, in bytes.
+    length: usize,
 }
 
-enum Parsed {
-    Part,
-    Whole(Request),
-    /// It can't be taken: the status to say so with.
-    Wrong(u16),
+/// Result of parsing the first request in a read buffer.
+enum ParseResult {
+    /// More bytes are needed.
+    Incomplete,
+    Complete(Request),
+    /// The request is invalid or exceeds a limit and must be rejected with this HTTP status.
+    Invalid(u16),
 }
 
-fn parse(bytes: &[u8]) -> Parsed {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+fn parse_request(bytes: &[u8]) -> ParseResult {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let start = match head.parse(bytes) {
         Ok(httparse::Status::Complete(start)) => start,
-        Ok(httparse::Status::Partial) if bytes.len() < HEAD_MOST => return Parsed::Part,
-        Ok(httparse::Status::Partial) => return Parsed::Wrong(431),
-        Err(_) => return Parsed::Wrong(400),
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return ParseResult::Incomplete,
+        Ok(httparse::Status::Partial) => return ParseResult::Invalid(431),
+        Err(_) => return ParseResult::Invalid(400),
     };
-    let of = |name: &'static str| {
+    let header_values = |name: &'static str| {
         let named = head.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
         named.map(|h| h.value)
     };
-    if of("transfer-encoding").next().is_some() {
-        return Parsed::Wrong(501);
+    if header_values("transfer-encoding").next().is_some() {
+        return ParseResult::Invalid(501);
     }
     let mut length = 0;
-    for (i, value) in of("content-length").enumerate() {
+    for (i, value) in header_values("content-length").enumerate() {
         let digits = std::str::from_utf8(value).ok().filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
         match digits.and_then(|v| v.parse::<usize>().ok()).filter(|_| i == 0) {
-            Some(value) if value <= BODY_MOST => length = value,
-            Some(_) => return Parsed::Wrong(413),
-            None => return Parsed::Wrong(400),
+            Some(value) if value <= MAX_BODY_BYTES => length = value,
+            Some(_) => return ParseResult::Invalid(413),
+            None => return ParseResult::Invalid(400),
         }
     }
-    let Some(body) = bytes.get(start..start + length) else { return Parsed::Part };
-    let close = of("connection").any(|value| value.eq_ignore_ascii_case(b"close"));
-    Parsed::Whole(Request {
+    let Some(body) = bytes.get(start..start + length) else { return ParseResult::Incomplete };
+    let close = header_values("connection").any(|value| value.eq_ignore_ascii_case(b"close"));
+    ParseResult::Complete(Request {
         method: head.method.unwrap_or_default().to_owned(),
         path: head.path.unwrap_or_default().to_owned(),
         body: body.to_vec(),
-        keep: head.version == Some(1) && !close,
-        used: start + length,
+        keep_alive: head.version == Some(1) && !close,
+        length: start + length,
     })
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         304 => "Not Modified",
@@ -142,107 +154,111 @@
 }
 
 impl Control {
-    /// Nobody has asked yet; xDS will tell of this cluster.
+    /// Creates a server without connections. `cluster` is the name of the cluster in discovery responses.
     pub fn new(cluster: String) -> Control {
-        Control { conns: Slab::default(), cluster }
+        Control { connections: Slab::default(), cluster }
     }
 
-    /// Somebody has connected.
+    /// Adds an accepted connection. Answers an agent check at once, because its client need not send a request.
     pub fn accept(&mut self, stream: TcpStream, kind: Kind, view: &View, context: &mut BackendContext) {
-        if self.conns.len() >= CONNS_MOST {
-            return; // Dropped: those that ask are few, and the descriptors are for clients and engines.
+        if self.connections.len() >= MAX_CONNECTIONS {
+            // Drops the connection: load balancers and proxies are few, and the remaining file descriptors are reserved
+            // for clients and engines.
+            return;
         }
-        let key = self.conns.insert(Conn {
-            link: BufferedSocket::new(stream),
+        let key = self.connections.insert(Connection {
+            socket: BufferedSocket::new(stream),
             kind,
-            heard: context.now,
-            last: false,
+            last_activity: context.now,
+            is_closing: false,
         });
-        let Some(conn) = self.conns.get_mut(key) else { return };
-        if conn.link.watch(context.registry, SocketOwner::Control(key)).is_err() {
-            self.conns.remove(key);
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if connection.socket.watch(context.registry, SocketOwner::Control(key)).is_err() {
+            self.connections.remove(key);
             return;
         }
-        context.timers.set(context.now + IDLE_MS, TimerEvent::Control(key));
+        context.timers.set(context.now + IDLE_TIMEOUT_MS, TimerEvent::Control(key));
         if kind == Kind::Agent {
-            conn.link.put(view.agent_line().as_bytes());
-            conn.last = true;
+            connection.socket.put(view.agent_line().as_bytes());
+            connection.is_closing = true;
         }
         self.ready(key, view, context);
     }
 
-    /// A socket has something to say.
+    /// Handles readiness of a connection's socket, and drops the connection if it has failed or ended.
     pub fn ready(&mut self, key: SlotKey, view: &View, context: &mut BackendContext) {
-        if self.step(key, view, context).is_none() {
-            self.conns.remove(key);
+        if self.process_socket(key, view, context).is_none() {
+            self.connections.remove(key);
         }
     }
 
-    /// `None` when the connection is done with.
-    fn step(&mut self, key: SlotKey, view: &View, context: &mut BackendContext) -> Option<()> {
-        let conn = self.conns.get_mut(key)?;
-        conn.heard = context.now;
-        conn.link.flush().ok()?;
-        let end = conn.link.read(HEAD_MOST + BODY_MOST).ok()?;
-        while !conn.last && conn.kind == Kind::Http {
-            let (status, body, head_only) = match parse(&conn.link.input) {
-                Parsed::Part => break,
-                Parsed::Whole(request) => {
-                    conn.link.used(request.used);
-                    conn.last = !request.keep;
-                    let (status, body) = answer(&self.cluster, &request, view);
+    /// Reads from the socket, answers all complete requests and writes the responses. Returns `None` if the connection
+    /// has failed or the peer has closed it.
+    fn process_socket(&mut self, key: SlotKey, view: &View, context: &mut BackendContext) -> Option<()> {
+        let connection = self.connections.get_mut(key)?;
+        connection.last_activity = context.now;
+        connection.socket.flush().ok()?;
+        let end = connection.socket.read(MAX_HEAD_BYTES + MAX_BODY_BYTES).ok()?;
+        while !connection.is_closing && connection.kind == Kind::Http {
+            let (status, body, head_only) = match parse_request(&connection.socket.input) {
+                ParseResult::Incomplete => break,
+                ParseResult::Complete(request) => {
+                    connection.socket.used(request.length);
+                    connection.is_closing = !request.keep_alive;
+                    let (status, body) = respond(&self.cluster, &request, view);
                     (status, body, request.method == "HEAD")
                 }
-                Parsed::Wrong(status) => {
-                    conn.last = true;
-                    (status, reason(status).to_owned(), false)
+                ParseResult::Invalid(status) => {
+                    connection.is_closing = true;
+                    (status, reason_phrase(status).to_owned(), false)
                 }
             };
-            let kind = if body.starts_with('{') { "application/json" } else { "text/plain" };
-            let close = if conn.last { "Connection: close\r\n" } else { "" };
-            let reason = reason(status);
+            let content_type = if body.starts_with('{') { "application/json" } else { "text/plain" };
+            let close = if connection.is_closing { "Connection: close\r\n" } else { "" };
+            let reason = reason_phrase(status);
             let length =
                 if status == 304 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-            conn.link.put(
-                format!("HTTP/1.1 {status} {reason}\r\nContent-Type: {kind}\r\n{length}{close}\r\n")
+            connection.socket.put(
+                format!("HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\n{length}{close}\r\n")
                     .as_bytes(),
             );
             if !head_only && status != 304 {
-                conn.link.put(body.as_bytes());
+                connection.socket.put(body.as_bytes());
             }
         }
-        if conn.last {
-            conn.link.used(conn.link.input.len());
+        if connection.is_closing {
+            connection.socket.used(connection.socket.input.len());
         }
-        conn.link.flush().ok()?;
-        if conn.last && conn.link.waiting() == 0 {
-            conn.link.finish();
+        connection.socket.flush().ok()?;
+        if connection.is_closing && connection.socket.waiting() == 0 {
+            connection.socket.finish();
         }
         (end == ReadEnd::Open).then_some(())
     }
 
-    /// Lets those go that have been silent for long.
+    /// Handles the idle timer of a connection: drops the connection if it is idle, else restarts the timer.
     pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
-        let Some(conn) = self.conns.get(key) else { return };
-        if context.now - conn.heard >= IDLE_MS {
-            self.conns.remove(key);
+        let Some(connection) = self.connections.get(key) else { return };
+        if context.now - connection.last_activity >= IDLE_TIMEOUT_MS {
+            self.connections.remove(key);
         } else {
-            context.timers.set(conn.heard + IDLE_MS, TimerEvent::Control(key));
+            context.timers.set(connection.last_activity + IDLE_TIMEOUT_MS, TimerEvent::Control(key));
         }
     }
 }
 
-fn answer(cluster: &str, request: &Request, view: &View) -> (u16, String) {
+/// Returns the HTTP status and the body of the response to a request.
+fn respond(cluster: &str, request: &Request, view: &View) -> (u16, String) {
     let path = request.path.split('?').next().unwrap_or_default();
-    let reads = matches!(request.method.as_str(), "GET" | "HEAD");
+    let is_read = matches!(request.method.as_str(), "GET" | "HEAD");
     match path {
-        "/health/live" if reads => (200, "alive\n".to_owned()),
-        "/health/ready" if reads && view.ready() => (200, "ready\n".to_owned()),
-        "/health/ready" if reads => (503, view.agent_line()),
+        "/health/live" if is_read => (200, "alive\n".to_owned()),
+        "/health/ready" if is_read && view.ready() => (200, "ready\n".to_owned()),
+        "/health/ready" if is_read => (503, view.agent_line()),
         "/v3/discovery:endpoints" if request.method == "POST" => {
             xds::discover(cluster, request.body.clone(), view)
         }
-        "/xds/clients" if reads => match &view.clients {
+        "/xds/clients" if is_read => match &view.clients {
             Some(clients) => (200, clients.to_string()),
             None => (404, "xds is off\n".to_owned()),
         },
--- a/src/node/control/xds.rs
+++ b/src/node/control/xds.rs
@@ -1,5 +1,5 @@
-//! The service for proxies over xDS: hands pictures of the module's view to its thread, and answers the same view in
-//! the protocol's REST-JSON form.
+//! Endpoint discovery for proxies. Publishes snapshots of the decision module's engine state to the xDS server, which
+//! runs on its own thread, and answers polling requests in the REST-JSON variant of xDS.
 
 use super::View;
 use crate::node::json::{self, quoted, ValueAsArray, ValueAsScalar, ValueObjectAccess};
@@ -13,113 +13,119 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-const TYPE: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-const WEIGHT_UNIT: f64 = 100.0; // weights are whole numbers from 1: hundredths of a core
+/// Type URL of the only resource type that REST-JSON discovery serves.
+const TYPE_URL: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+/// Load balancing weight of one core. xDS weights are integers of at least 1, so a weight counts hundredths of a core.
+const WEIGHT_PER_CORE: f64 = 100.0;
 
-/// How often health and warmth are looked at, in milliseconds; engines that come, drain or go are told at once.
+/// Interval at which changes to the health and capacity of engines are published, in milliseconds. Changes to the
+/// engine list are published immediately.
 pub const FEED_MS: f64 = 50.0;
 
-/// The running service, and what it was told last.
+/// Publishes snapshots to the running xDS server.
 pub struct Feed {
     handle: Handle,
-    told: Picture,
-    next: f64,
+    last_published: Picture,
+    /// When the next snapshot is due, in Unix milliseconds.
+    next_publish: f64,
 }
 
 impl Feed {
-    /// Starts the service.
+    /// Starts the xDS server on its own thread.
     pub fn start(service: Service) -> io::Result<Feed> {
-        let log = |told| match told {
+        let log = |message| match message {
             Told::Info(text) => tracing::info!(target: "xds", "xds: {text}"),
             Told::Warning(text) => tracing::warn!(target: "xds", "xds: {text}"),
         };
         let handle = transport::start(service, Arc::new(log))?;
-        Ok(Feed { handle, told: Picture::default(), next: 0.0 })
+        Ok(Feed { handle, last_published: Picture::default(), next_publish: 0.0 })
     }
 
-    /// Where it listens.
+    /// Address on which the xDS server listens.
     pub fn address(&self) -> SocketAddr {
         self.handle.address
     }
 
-    /// Who is connected, as JSON.
+    /// Status of the connected xDS clients, as JSON.
     pub fn status(&self) -> Arc<str> {
         self.handle.status()
     }
 
-    /// Something changed that proxies must hear of at once.
+    /// Makes the next snapshot due immediately. Called when the engine list changes.
     pub fn hurry(&mut self) {
-        self.next = 0.0;
+        self.next_publish = 0.0;
     }
 
-    /// Whether it is time to look.
+    /// Whether the next snapshot is due.
     pub fn due(&self, now: f64) -> bool {
-        now >= self.next
+        now >= self.next_publish
     }
 
-    /// Tells what the module sees, if that has changed.
+    /// Publishes a snapshot of `view` if it differs from the last one, and schedules the next snapshot.
     pub fn publish(&mut self, now: f64, view: &View) {
-        self.next = now + FEED_MS;
-        let picture = picture(view);
-        if picture != self.told {
-            self.told = picture.clone();
-            self.handle.publish(picture);
+        self.next_publish = now + FEED_MS;
+        let snapshot = snapshot(view);
+        if snapshot != self.last_published {
+            self.last_published = snapshot.clone();
+            self.handle.publish(snapshot);
         }
     }
 }
 
-/// The module's view as the service takes it.
-pub fn picture(view: &View) -> Picture {
-    let engine = |(standing, address): &(crate::EngineStatus, SocketAddr)| Engine {
-        name: standing.engine.0.clone(),
+/// Converts the decision module's state to a snapshot for the xDS server.
+pub fn snapshot(view: &View) -> Picture {
+    let engine = |(status, address): &(crate::EngineStatus, SocketAddr)| Engine {
+        name: status.engine.0.clone(),
         address: *address,
-        zone: standing.zone.clone(),
-        health: match (standing.state, standing.in_use) {
+        zone: status.zone.clone(),
+        health: match (status.state, status.in_use) {
             (EngineState::Draining, _) => Health::Draining,
             (_, true) => Health::Usable,
             (_, false) => Health::Aside,
         },
-        cores: standing.weight,
-        warmth: standing.warmth,
+        cores: status.weight,
+        warmth: status.warmth,
     };
     Picture { engines: view.engines.iter().map(engine).collect(), admitted: view.admitted }
 }
 
-/// Answers a discovery request of the REST-JSON form: a status and a body.
+/// Answers a REST-JSON discovery request for the endpoints of `cluster`. Returns the HTTP status and the response body,
+/// which is empty for status 304 if the client already has the current version.
 pub fn discover(cluster: &str, request: Vec<u8>, view: &View) -> (u16, String) {
     let Ok(request) = json::read(request) else { return (400, "not JSON\n".to_owned()) };
     let url = request.get("type_url").and_then(|url| url.as_str());
-    if url.is_some_and(|url| url != TYPE) {
+    if url.is_some_and(|url| url != TYPE_URL) {
         return (404, "only endpoints are told here\n".to_owned());
     }
     let names = request.get("resource_names").and_then(|names| names.as_array());
-    let asked =
+    let is_requested =
         names.is_none_or(|names| names.is_empty() || names.iter().any(|name| name.as_str() == Some(cluster)));
     let resources = resources(cluster, view);
-    // By content: the same at every instance, and after a restart.
+    // The version is a hash of the content, so that it is the same at all front ends and after a restart.
     let version = format!("{:016x}", hash(&[resources.as_bytes()]));
-    let had = request.get("version_info").and_then(|v| v.as_str());
-    if asked && had == Some(&version) && request.get("error_detail").is_none() {
+    let client_version = request.get("version_info").and_then(|v| v.as_str());
+    if is_requested && client_version == Some(&version) && request.get("error_detail").is_none() {
         return (304, String::new());
     }
-    let resources = if asked { resources.as_str() } else { "" };
+    let resources = if is_requested { resources.as_str() } else { "" };
     let body = format!(
-        r#"{{"version_info":"{version}","resources":[{resources}],"type_url":"{TYPE}","nonce":"{version}"}}"#
+        r#"{{"version_info":"{version}","resources":[{resources}],"type_url":"{TYPE_URL}","nonce":"{version}"}}"#
     );
     (200, body)
 }
 
+/// Formats the `ClusterLoadAssignment` of the cluster as JSON, with one locality per zone.
 fn resources(cluster: &str, view: &View) -> String {
     let mut zones: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-    for (standing, address) in &view.engines {
-        let health = match (standing.state, standing.in_use) {
+    for (status, address) in &view.engines {
+        let health = match (status.state, status.in_use) {
             (EngineState::Draining, _) => "DRAINING",
             (_, true) => "HEALTHY",
             (_, false) => "UNHEALTHY",
         };
-        let weight = (standing.weight * WEIGHT_UNIT).round().clamp(1.0, 1e6);
+        let weight = (status.weight * WEIGHT_PER_CORE).round().clamp(1.0, 1e6);
         let (ip, port) = (address.ip(), address.port());
-        zones.entry(&standing.zone).or_default().push(format!(
+        zones.entry(&status.zone).or_default().push(format!(
                 r#"{{"endpoint":{{"address":{{"socket_address":{{"address":"{ip}","port_value":{port}}}}}}},"health_status":"{health}","load_balancing_weight":{weight}}}"#
             ));
     }
@@ -131,5 +137,5 @@
         })
         .collect();
     let (cluster, zones) = (quoted(cluster), zones.join(","));
-    format!(r#"{{"@type":"{TYPE}","cluster_name":{cluster},"endpoints":[{zones}]}}"#)
+    format!(r#"{{"@type":"{TYPE_URL}","cluster_name":{cluster},"endpoints":[{zones}]}}"#)
 }
