--- a/src/node/config/flat_settings.rs
+++ b/src/node/config/flat_settings.rs
@@ -8,8 +8,8 @@
 pub(super) struct FlatSettings(pub HashMap<String, String>);
 
 impl FlatSettings {
-    /// Flattens nested JSON. A list of objects becomes a `count` entry plus one entry per member, whose path contains
-    /// the object's index. A list of scalars becomes one comma-separated text.
+    /// Flattens nested JSON. A list of objects becomes an entry `count` with its length, and paths into the list
+    /// contain the index of the object. A list of scalars becomes one comma-separated text.
     pub fn flatten(nested: &OwnedValue) -> FlatSettings {
         let mut settings = HashMap::new();
         flatten(nested, "", &mut settings);
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -45,7 +45,7 @@
 /// Added to the configured pause of an ordering key after an attempt that may still be running. The attempt may end at
 /// the engine slightly later than at the node, and the next request with the same key must not overtake it.
 const EXTRA_KEY_REST: Micros = Micros::from_millis(100);
-/// Default upper bound of the Retry-After in a rejection.
+/// Default upper bound of the Retry-After that a rejection tells the client.
 const DEFAULT_MAX_RETRY_AFTER: Micros = Micros::from_millis(1000);
 
 /// Configuration of the node.
@@ -59,13 +59,13 @@
     pub seed: u64,
     /// Maximum number of open file descriptors of the process.
     pub sockets: usize,
-    /// Memory limit of the process, in megabytes.
+    /// Memory limit of the process, in megabytes of 2^20 bytes.
     pub memory_mb: f64,
     /// Address of the service discovery server; `None` if the engine list is fixed.
     pub bulletin: Option<SocketAddr>,
     /// Events of the engine list that the configuration contains.
     pub known: Vec<ListEvent>,
-    /// Revision of the engine list after the events in `known`.
+    /// Revision of the engine list that the configuration covers. Service discovery resumes after this revision.
     pub last: u64,
     /// Settings of the decision module.
     pub settings: Settings,
--- a/src/node/config/mysql.rs
+++ b/src/node/config/mysql.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Default maximum number of connections to one engine: six sessions on each of eight cores.
+/// Default maximum number of connections to one engine, which allows six sessions per core on an engine with eight
+/// cores.
 const DEFAULT_BOX_CONNECTIONS: usize = 48;
 
 /// An account with which clients log in to the MySQL front.
@@ -44,12 +45,13 @@
 /// Ordering key of statements in a class that preserves order. Statements with the same key run one after the other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OrderBy {
-    /// One key per account, across all of its sessions. This is the default because it orders the most statements.
+    /// One key per account, across all of its sessions. This is the default, because it preserves the order of the most
+    /// statements.
     #[default]
     Account,
     /// One key per table group that a statement names.
     Tables,
-    /// One key per session. A session sends one statement at a time, so its statements wait for no other session.
+    /// One key per session, so that sessions do not wait for each other. A session sends one statement at a time.
     Session,
 }
 
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -12,7 +12,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Maximum number of open connections. They use file descriptors that the node reserves for itself.
+/// Maximum number of open connections. They use file descriptors that the node reserves for itself, not those for
+/// clients and engines.
 const MAX_CONNECTIONS: usize = 24;
 /// Maximum size of a request line with its headers, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
@@ -96,8 +97,9 @@
 
 /// Result of parsing the first request in a read buffer.
 enum ParseResult {
-    /// More bytes are needed.
+    /// The request is incomplete; more bytes must be read.
     Incomplete,
+    /// The request is complete.
     Complete(Request),
     /// The request is invalid or exceeds a limit and must be rejected with this HTTP status.
     Invalid(u16),
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -32,7 +32,7 @@
 /// Relative jitter of the delays above: each delay is multiplied by a random factor from `1 - JITTER` to
 /// `1 + JITTER`, so that front ends that start together do not connect together.
 const JITTER: f64 = 0.5;
-/// Size of one engine's record in a frame, in bytes.
+/// Size of the record that describes one engine in a frame, in bytes.
 const RECORD_BYTES: usize = 27;
 /// Upper bound of a frame's length field, in bytes: about 150,000 engines. A larger value means that the stream is
 /// no longer aligned to frames.
@@ -52,9 +52,9 @@
 pub struct ListEvent {
     /// Revision of the list after this event; increases with every event.
     pub number: u64,
-    /// Whether the entries are the complete list or only the changed ones.
+    /// Whether the entries are the complete list, a cached list that may be outdated, or only the changed engines.
     pub kind: ListKind,
-    /// The listed engines.
+    /// Engines that the event lists, with their addresses.
     pub listings: Vec<ListedEngine>,
 }
 
@@ -94,7 +94,7 @@
     Ok(Some((4 + length, Some(ListEvent { number, kind, listings }))))
 }
 
-/// Reads an unsigned big-endian integer of up to eight bytes.
+/// Decodes an unsigned big-endian integer of up to eight bytes.
 fn big_endian(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
@@ -139,7 +139,7 @@
     /// When the current connection was opened, was established or last received a frame, in Unix milliseconds.
     last_frame_at: f64,
     next_check: Option<TimerHandle>,
-    /// Connection attempts since the last successful one.
+    /// Connection attempts since the last success or change of the server's address, at most 16.
     connect_attempts: i32,
     random_state: u64,
 }
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -28,7 +28,7 @@
 /// Adds the sections of the operator's file to the platform's configuration.
 ///
 /// # Errors
-/// Returns an error if a section is present in both.
+/// Returns an error if a section is present in both files.
 pub fn merge(document: &Document, root: &mut OwnedValue) -> Result<(), ConfigError> {
     let OwnedValue::Object(settings) = root else {
         return Err(ConfigError::new("(file)", "is not a JSON object"));
--- a/src/node/reactor.rs
+++ b/src/node/reactor.rs
@@ -75,8 +75,8 @@
     read_limit_reached: bool,
 }
 
-/// Sums the buffered bytes of all connections. Returns the sum and the connection with the most buffered bytes, or
-/// `None` if no connection has any.
+/// Sums the memory use of connections, in bytes. Returns the sum and the connection with the highest use, or `None` if
+/// no connection uses memory. A front closes this connection when the sum exceeds its memory limit.
 pub fn heaviest(connections: impl Iterator<Item = (usize, SlotKey)>) -> (usize, Option<SlotKey>) {
     let (mut total, mut largest) = (0, (0, None));
     for (bytes, key) in connections {
--- a/src/node/section.rs
+++ b/src/node/section.rs
@@ -62,7 +62,7 @@
 /// Parses an IP address with a port. `key` is the setting that an error names.
 ///
 /// # Errors
-/// Returns an error if the text is not such an address.
+/// Returns an error if the text is not an IP address with a port.
 pub fn address(text: &str, key: &str) -> ReadResult<SocketAddr> {
     text.parse().or_else(|_| wrong(key, format!("is '{text}', not an IP address with a port")))
 }
--- a/src/node/table_group.rs
+++ b/src/node/table_group.rs
@@ -12,7 +12,7 @@
 }
 
 impl<'a> Token<'a> {
-    /// Returns the name if the token can be an identifier.
+    /// Returns the identifier, or `None` for a symbol. An unquoted word counts as an identifier.
     fn name(self) -> Option<&'a [u8]> {
         match self {
             Token::Word(name) | Token::QuotedName(name) => Some(name),
--- a/src/node/timer_queue.rs
+++ b/src/node/timer_queue.rs
@@ -32,7 +32,8 @@
     Xds,
     /// Polls the fleet's leader to renew the lease to admit requests.
     Fleet,
-    /// Resumes accepting connections after a pause caused by a shortage of file descriptors.
+    /// Resumes accepting connections after a pause. Accepting is paused when file descriptors run out or the limit on
+    /// client connections is reached.
     AcceptAgain,
     /// Advances a graceful shutdown to its next step.
     Shutdown,
