--- a/tests/fleet_seeds.rs
+++ b/tests/fleet_seeds.rs
@@ -1,5 +1,5 @@
-//! The fleet rig over seeds: real processes with traffic, faults drawn from a seed, histories judged against the promises
-//! of `docs/policy.md`. A few seeds here; many by hand:
+//! Random fault tests of a fleet: real processes under traffic, with faults that are drawn from a seed. For each seed
+//! the history checker verifies the guarantees of `docs/policy.md`. By default a few seeds run. To run many seeds:
 //!
 //! `RIG_SEEDS=1..500 RIG_JOBS=6 cargo test --release --test fleet_seeds seeds -- --nocapture`
 
@@ -13,17 +13,18 @@
     Path::new(env!("CARGO_BIN_EXE_beamgap"))
 }
 
-/// `A..B` (B not included) or one number.
-fn range(text: &str) -> (u64, u64) {
+/// Parses a range of seeds, `A..B` without B, or a single seed.
+fn parse_seed_range(text: &str) -> (u64, u64) {
     let number = |t: &str| t.trim().parse::<u64>().expect("a number in RIG_SEEDS");
     text.split_once("..").map_or_else(|| (number(text), number(text) + 1), |(a, b)| (number(a), number(b)))
 }
 
-type Play = fn(&Path, u64, &[String]) -> Result<Summary, String>;
+/// Runs one seed with test hooks for the members; returns the history checker's summary or the violation.
+type PlaySeed = fn(&Path, u64, &[String]) -> Result<Summary, String>;
 
-/// Plays the seeds that are asked for, or these.
-fn play(usual: &str, play: Play) -> Vec<(u64, Result<Summary, String>)> {
-    let (from, to) = range(&std::env::var("RIG_SEEDS").unwrap_or(usual.to_owned()));
+/// Runs the seeds of `RIG_SEEDS`, by default `default_seeds`, in `RIG_JOBS` threads.
+fn play_seeds(default_seeds: &str, play: PlaySeed) -> Vec<(u64, Result<Summary, String>)> {
+    let (from, to) = parse_seed_range(&std::env::var("RIG_SEEDS").unwrap_or(default_seeds.to_owned()));
     let jobs: usize = std::env::var("RIG_JOBS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
     let trials = vec![std::env::var("RIG_TRIAL").unwrap_or_default()];
     let (next, results) = (AtomicU64::new(from), Mutex::new(Vec::new()));
@@ -48,9 +49,11 @@
     results.into_inner().unwrap()
 }
 
+/// Random combinations of crashes, suspended processes, network faults and disk faults must not violate a guarantee.
+/// Tests that inject a single kind of fault would miss failures that need several faults at once.
 #[test]
 fn seeds_of_mixed_faults_break_no_promise() {
-    let results = play("1..11", play_seed);
+    let results = play_seeds("1..11", play_seed);
     let good: Vec<_> = results.iter().filter_map(|(_, r)| r.as_ref().ok()).collect();
     let served: usize = good.iter().map(|s| s.served).sum();
     let sent: usize = good.iter().map(|s| s.sent).sum();
@@ -58,7 +61,7 @@
     let overlap = good.iter().map(|s| s.overlap).fold(0.0, f64::max);
     let mut gaps: Vec<f64> = good.iter().map(|s| s.operations.longest_gap_ms).collect();
     gaps.sort_by(f64::total_cmp);
-    let gap = |part: f64| {
+    let gap_quantile = |part: f64| {
         gaps.get((gaps.len().max(1) as f64 * part) as usize).or(gaps.last()).copied().unwrap_or(0.0)
     };
     println!(
@@ -66,9 +69,9 @@
         good.iter().map(|s| s.operations.executed).sum::<usize>(),
         good.iter().map(|s| s.operations.refused_as_stale).sum::<usize>(),
         good.iter().map(|s| s.operations.tokens).sum::<usize>(),
-        gap(0.5),
-        gap(0.99),
-        gap(1.0)
+        gap_quantile(0.5),
+        gap_quantile(0.99),
+        gap_quantile(1.0)
     );
     println!(
         "{} seeds, {} broken; {sent} sent, {admitted} admitted, {served} served ({:.3}); widest overlap {overlap:.0} ms",
@@ -78,12 +81,13 @@
     );
     let bad: Vec<String> = results.iter().filter_map(|(_, r)| r.as_ref().err().cloned()).collect();
     assert!(bad.is_empty(), "{} of {} seeds: {}", bad.len(), results.len(), bad[0]);
-    assert!(admitted > 100 * results.len(), "{admitted} admitted: nothing was tried");
+    assert!(admitted > 100 * results.len(), "only {admitted} requests admitted: the seeds test too little");
 }
 
+/// Under random faults, the shares of a budget that members use must never sum to more than the budget.
 #[test]
 fn shared_seeds_have_budgets_that_never_sum_to_more_than_the_whole() {
-    let results = play("1..9", play_shared_seed);
+    let results = play_seeds("1..9", play_shared_seed);
     let good: Vec<_> = results.iter().filter_map(|(_, r)| r.as_ref().ok()).collect();
     for (i, name) in ["leinster", "look-ups"].iter().enumerate() {
         let seen = good.iter().filter_map(|s| s.shared.get(i));
@@ -97,5 +101,5 @@
     println!("{} seeds, {} broken, {admitted} admitted", results.len(), results.len() - good.len());
     let bad: Vec<String> = results.iter().filter_map(|(_, r)| r.as_ref().err().cloned()).collect();
     assert!(bad.is_empty(), "{} of {} seeds: {}", bad.len(), results.len(), bad[0]);
-    assert!(admitted > 100 * results.len(), "{admitted} admitted: nothing was tried");
+    assert!(admitted > 100 * results.len(), "only {admitted} requests admitted: the seeds test too little");
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,6 @@
-//! A soak of the front end: real processes under traffic, restarts, reloads, kills, and faults of engines and discovery,
-//! from a seed, judged from outside by the platform's rules. A few short seeds here; many and longer by hand:
+//! Soak test of the front end: real processes under traffic, with restarts, reloads, kills, and faults of engines and
+//! of discovery that are drawn from a seed. The platform's rules are checked from outside the front-end processes.
+//! By default a few seeds run for a short time. To run more seeds, each for a longer time:
 //!
 //! `SOAK_SEEDS=1..51 SOAK_LENGTH_MS=15000 SOAK_JOBS=2 cargo test --release --test soak -- --nocapture`
 
@@ -8,21 +9,24 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// What is played where nothing else is asked for.
-const SEEDS: &str = "1..7";
-const LENGTH_MS: f64 = 8000.0;
-const JOBS: usize = 2;
+/// Default for `SOAK_SEEDS`, the range of seeds.
+const DEFAULT_SEEDS: &str = "1..7";
+/// Default for `SOAK_LENGTH_MS`, the length of a seed's run in milliseconds.
+const DEFAULT_LENGTH_MS: f64 = 8000.0;
+/// Default for `SOAK_JOBS`, the number of seeds that run at the same time.
+const DEFAULT_JOBS: usize = 2;
 
 fn binary() -> PathBuf {
     std::env::var_os("SOAK_BINARY").map_or(Path::new(env!("CARGO_BIN_EXE_beamgap")).into(), PathBuf::from)
 }
 
-/// `A..B` (B not included) or one number.
-fn range(text: &str) -> (u64, u64) {
+/// Parses a range of seeds, `A..B` without B, or a single seed.
+fn parse_seed_range(text: &str) -> (u64, u64) {
     let number = |t: &str| t.trim().parse::<u64>().expect("a number in SOAK_SEEDS");
     text.split_once("..").map_or_else(|| (number(text), number(text) + 1), |(a, b)| (number(a), number(b)))
 }
 
+/// Value of an environment variable, or the default if the variable is not set or not valid.
 fn variable<T: std::str::FromStr>(name: &str, default: T) -> T {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
@@ -59,11 +63,11 @@
 }
 
 fn play_seeds() -> Vec<(u64, Result<Summary, String>)> {
-    let (from, to) = range(&variable("SOAK_SEEDS", SEEDS.to_owned()));
-    let length = variable("SOAK_LENGTH_MS", LENGTH_MS);
+    let (from, to) = parse_seed_range(&variable("SOAK_SEEDS", DEFAULT_SEEDS.to_owned()));
+    let length = variable("SOAK_LENGTH_MS", DEFAULT_LENGTH_MS);
     let (next, results) = (AtomicU64::new(from), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..variable("SOAK_JOBS", JOBS) {
+        for _ in 0..variable("SOAK_JOBS", DEFAULT_JOBS) {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= to {
@@ -79,6 +83,8 @@
     results.into_inner().expect("no run panics")
 }
 
+/// Restarts, reloads and faults in random combinations must not make a front end violate a rule of the platform, and
+/// more than half of the requests must be served.
 #[test]
 fn restarts_reloads_and_faults_break_no_rule() {
     let results = play_seeds();
@@ -94,6 +100,6 @@
         }
     }
     println!("seeds {} requests {requests} served {served} broken {}", results.len(), broken.len());
-    assert!(2 * served > requests, "under half is served: {served} of {requests}");
+    assert!(2 * served > requests, "only half of the requests or fewer were served: {served} of {requests}");
     assert!(broken.is_empty(), "{broken:?}");
 }
