--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,10 +1,10 @@
-//! The pages that lead from a symptom or a step to the code name files and functions that exist.
+//! Checks that files and functions named in the documentation exist, so that a rename leaves no stale name there.
 
 use std::path::{Path, PathBuf};
 
-/// The page of older names, whose paths are gone.
-const OLDER_NAMES: &str = "names.md";
-/// What a path in a page begins with.
+/// Page of former names. The paths in it no longer exist, so it is not checked.
+const FORMER_NAMES_PAGE: &str = "names.md";
+/// Folders whose paths are checked; other text in backticks is not a path of the repository.
 const SOURCE_FOLDERS: [&str; 7] = ["src/", "crates/", "tests/", "docs/", "deploy/", "examples/", "fuzz/"];
 
 fn root() -> PathBuf {
@@ -15,17 +15,17 @@
     std::fs::read_to_string(root().join(name)).expect("a page")
 }
 
-/// The README and the pages in `docs`; measurements tell of the program as it was.
+/// Paths of the README and of the pages in `docs`, except `docs/` subfolders with measurements of older versions.
 fn pages() -> Vec<String> {
     let names = std::fs::read_dir(root().join("docs"))
         .expect("a folder")
         .map(|entry| entry.expect("an entry").file_name());
     let names = names.filter_map(|name| name.into_string().ok());
-    let pages = names.filter(|name| name.ends_with(".md") && name != OLDER_NAMES);
+    let pages = names.filter(|name| name.ends_with(".md") && name != FORMER_NAMES_PAGE);
     pages.map(|name| format!("docs/{name}")).chain(["README.md".to_owned()]).collect()
 }
 
-/// The parts of a text that stand between backticks, each with the text that follows it.
+/// Finds each part of a text between backticks, and returns it with the text after its closing backtick.
 fn quoted(text: &str) -> Vec<(&str, &str)> {
     let parts: Vec<&str> = text.split('`').collect();
     let closed = parts.chunks(2).filter(|pair| pair.len() == 2);
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! A request's name comes once: whoever sends it again gains nothing, and nothing is run twice.
+//! A request id may be used only once: a request that repeats an earlier id must be rejected and must not run.
 
 #[path = "common/stage.rs"]
 mod stage;
@@ -7,8 +7,8 @@
 
 #[test]
 fn a_client_that_sends_one_request_again_and_again_earns_nothing_by_it() {
-    // Seen on an unseen day of the second deployment: a bad client asked and took back one request 200 times at once.
-    // Each time counted as a request taken, and the ration of further attempts grew by it past the rule.
+    // Seen in the second deployment: a faulty client sent and cancelled the same request 200 times at once. Each
+    // repetition counted as an admitted request and increased the retry budget beyond the platform's limit.
     let mut stage = Stage::play(
         2,
         "c1 send ask 1 lookup 2500 select 1 from s_1.t
@@ -23,7 +23,8 @@
         stage.go(&format!(r#"c1 send {{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{params}}}"#));
         stage.go(&format!("c1 expect {id} error -32011 backoff"));
     }
-    // A load of that name may have run: its client is not told that trying again is harmless.
+    // A load changes data, and a load with this id may have run already. The error must be -32010 (failed):
+    // -32011 (refused, not run) would tell the client that a retry is safe.
     let load = format!(
         r#"{{"jsonrpc":"2.0","id":200,"method":"delivery-load","params":{{"rid":"{rid}","budget":2500,"doc":"{doc}"}}}}"#
     );
--- a/tests/shutdown_replay.rs
+++ b/tests/shutdown_replay.rs
@@ -1,7 +1,7 @@
-//! The graceful shutdown's state machine takes the steps that it took when `tests/replay/graceful-shutdown.gz` was recorded.
+//! Regression test: the graceful shutdown must take the steps recorded in `tests/replay/graceful-shutdown.gz`.
 //!
-//! The recording is [`transcript`] of the program at that time: a line for each step, numbers by their bits, so that it
-//! holds no name of the program.
+//! The recording is the output of [`transcript`], with one line per step. Floating-point numbers are written as
+//! their bits in hexadecimal. The recording contains no names of the program, so it stays valid after renames.
 
 use beamgap::node::shutdown::{GracefulShutdown, Phase};
 use flate2::read::GzDecoder;
@@ -10,14 +10,15 @@
 use std::io::Read;
 use std::path::Path;
 
-/// Shutdowns that are played.
+/// Number of simulated shutdowns; each has its own seed.
 const SEEDS: u64 = 60;
-/// Steps after which a shutdown that has not ended is left.
+/// Maximum number of steps of a simulated shutdown. A shutdown that needs more steps is cut off.
 const MAX_STEPS: usize = 400;
-/// Longest deadlines of clients, in milliseconds: short, around the bound that counts for the kill, and long.
+/// Longest request deadlines of clients, in milliseconds: short, long, and around 3000 ms, because a longer
+/// deadline doesn't delay the platform's SIGKILL any further.
 const LONGEST_DEADLINES_MS: [f64; 6] = [50.0, 400.0, 1500.0, 2999.5, 3000.0, 25_000.0];
 
-/// Knuth's linear congruential generator, so that the draws depend on nothing outside this file.
+/// Knuth's linear congruential generator, so that the random numbers never change with a library's version.
 struct Random(u64);
 
 impl Random {
@@ -36,6 +37,7 @@
     }
 }
 
+/// Simulates one shutdown with random connections and requests, and appends one line per step.
 fn play(seed: u64, lines: &mut String) {
     let mut random = Random(seed);
     let longest_ms = LONGEST_DEADLINES_MS[random.below(6) as usize];
@@ -64,6 +66,7 @@
     }
 }
 
+/// Simulates all shutdowns and returns their steps, one per line.
 fn transcript() -> String {
     let mut lines = String::new();
     for seed in 0..SEEDS {
@@ -80,7 +83,7 @@
     let played = transcript();
     let difference = recorded.lines().zip(played.lines()).enumerate().find(|(_, (old, new))| old != new);
     if let Some((line, (old, new))) = difference {
-        panic!("step {} was '{old}', is '{new}'", line + 1);
+        panic!("step {} was '{old}' in the recording, is '{new}'", line + 1);
     }
     assert_eq!(recorded.lines().count(), played.lines().count());
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,7 +1,8 @@
-//! A data folder that an earlier version of the program wrote is opened, and shows what was agreed on then.
+//! Compatibility tests: a data folder written by an earlier version of the program must open and give the same state.
 //!
-//! The folder holds a snapshot and entries behind it. It is opened by the consensus and the fleet's state machine as a
-//! start does. The leader's own commands are left out, so that the state stays as it was stored.
+//! The folder contains a snapshot and the log entries after it. The tests open the folder as the program does at its
+//! start, with the consensus node and the fleet's state machine. Commands that a leader creates by itself are
+//! discarded, because they would change the stored state.
 
 use beamgap::fleet::document;
 use beamgap::fleet::message::{
@@ -47,7 +48,7 @@
 }
 "#;
 
-/// The state machine, counting how it came to its state, and without commands of its own.
+/// The fleet's state machine, which counts restored snapshots and applied entries and discards its own commands.
 struct Observed {
     machine: FleetStateMachine,
     restored: usize,
@@ -73,7 +74,7 @@
         self.machine.set_leadership(now, leads);
     }
     fn handle_request(&mut self, now: f64, request: &[u8]) -> HandledRequest {
-        // A request may come before the first tick, which reports the leadership.
+        // The first tick would report the leadership, but a request may arrive before the first tick.
         self.machine.set_leadership(now, true);
         HandledRequest { commands: Vec::new(), ..self.machine.handle_request(now, request) }
     }
@@ -82,24 +83,24 @@
     }
 }
 
-/// A copy of the stored folder.
+/// Unpacks the stored data folder into a temporary directory.
 fn stored_folder() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
-    let packed = include_bytes!("stored_data/council.redb.gz");
+    let compressed = include_bytes!("stored_data/council.redb.gz");
     let mut bytes = Vec::new();
-    GzDecoder::new(&packed[..]).read_to_end(&mut bytes).unwrap();
+    GzDecoder::new(&compressed[..]).read_to_end(&mut bytes).unwrap();
     std::fs::write(folder.path().join(STORE_FILE), bytes).unwrap();
     folder
 }
 
-/// A voter that was started on the folder.
-struct Started {
+/// A voter that was started with the stored data folder.
+struct StartedVoter {
     consensus: ConsensusNode,
     machine: Arc<Mutex<Observed>>,
 }
 
-impl Started {
-    fn on(folder: &Path) -> Started {
+impl StartedVoter {
+    fn start(folder: &Path) -> StartedVoter {
         let hooks = TestHooks::default();
         let machine = FleetStateMachine::new(PolicyTimings::default(), 1, &hooks);
         let machine = Arc::new(Mutex::new(Observed { machine, restored: 0, applied: 0 }));
@@ -116,19 +117,19 @@
         };
         let disk: SharedDisk = Arc::new(FileDisk);
         let consensus = ConsensusNode::start(settings, Some(listener), disk, machine.clone(), || {}).unwrap();
-        Started { consensus, machine }
+        StartedVoter { consensus, machine }
     }
 
-    /// Asks until a leader answers.
+    /// Submits a request again and again until the leader responds, for at most 30 s.
     fn ask(&self, request: &FleetRequest) -> FleetResponse {
         let deadline = Instant::now() + Duration::from_secs(30);
         for tag in 0.. {
-            assert!(Instant::now() < deadline, "no leader answered: {:?}", self.consensus.status());
+            assert!(Instant::now() < deadline, "no leader responded: {:?}", self.consensus.status());
             assert!(self.consensus.submit(tag, encode(request)));
             std::thread::sleep(Duration::from_millis(50));
-            let answers: Vec<_> = self.consensus.responses().collect();
-            if let Some(answer) = answers.into_iter().find_map(|response| response.body) {
-                return decode(&answer).expect("an answer that can be read");
+            let responses: Vec<_> = self.consensus.responses().collect();
+            if let Some(body) = responses.into_iter().find_map(|response| response.body) {
+                return decode(&body).expect("a valid response");
             }
         }
         unreachable!()
@@ -177,7 +178,7 @@
 #[test]
 fn a_start_on_a_stored_folder_shows_the_same_policy_budgets_tasks_and_history() {
     let folder = stored_folder();
-    let started = Started::on(folder.path());
+    let started = StartedVoter::start(folder.path());
 
     let status = started.status();
     assert_eq!(status.version, 1);
@@ -191,7 +192,7 @@
     assert_eq!(started.ask(&FleetRequest::PolicyText(None)), FleetResponse::PolicyText(Some(policy)));
     let budgets = document::parse("policy", POLICY).unwrap().budgets;
     let FleetResponse::Budgets(standings) = started.ask(&FleetRequest::Budgets) else {
-        panic!("other answer")
+        panic!("unexpected response")
     };
     let named: Vec<_> = budgets.iter().map(|budget| budget.name.as_str()).collect();
     let divided: Vec<_> = standings.iter().map(|budget| budget.name.as_str()).collect();
@@ -212,7 +213,7 @@
 #[test]
 fn a_start_on_a_stored_folder_shows_the_same_leases_tokens_and_runs() {
     let folder = stored_folder();
-    let started = Started::on(folder.path());
+    let started = StartedVoter::start(folder.path());
     let tasks = started.tasks();
     let [compact, sweep, watch] = tasks.as_slice() else { panic!("{tasks:?}") };
 
@@ -241,7 +242,7 @@
     assert_eq!((watch.spec.name.as_str(), &watch.lease), ("watch", &lease(FRONT_1, 2)));
 
     let FleetResponse::Tasks(one) = started.ask(&FleetRequest::Tasks(Some("compact".to_owned()))) else {
-        panic!("other answer")
+        panic!("unexpected response")
     };
     let history = [
         step(0, 1, "front-1", StepOutcome::Done),
@@ -254,16 +255,16 @@
 #[test]
 fn a_start_on_a_stored_folder_restores_the_snapshot_applies_the_entries_and_has_the_same_state() {
     let folder = stored_folder();
-    let started = Started::on(folder.path());
+    let started = StartedVoter::start(folder.path());
     started.status();
     let observed = started.machine.lock().unwrap();
     assert_eq!(observed.restored, 1);
     assert!((1..ENTRIES_IN_LOG).contains(&observed.applied), "{} entries applied", observed.applied);
-    assert!(started.consensus.status().log.applied >= LAST_ENTRY, "all entries are applied");
-    assert_eq!(observed.snapshot(), STORED_STATE, "the same bytes");
+    assert!(started.consensus.status().log.applied >= LAST_ENTRY, "not all entries were applied");
+    assert_eq!(observed.snapshot(), STORED_STATE, "the snapshot differs from the stored state");
 }
 
-/// A request and its response in the form in which members exchange them.
+/// A request and its response, each encoded as in messages between members.
 #[derive(Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 struct Exchange {
     request: Vec<u8>,
@@ -273,7 +274,7 @@
 #[test]
 fn a_start_on_a_stored_folder_responds_to_stored_requests_with_the_same_bytes() {
     let folder = stored_folder();
-    let started = Started::on(folder.path());
+    let started = StartedVoter::start(folder.path());
     started.status();
     let stored: Vec<Exchange> = decode(include_bytes!("stored_data/responses.bin")).unwrap();
     assert_eq!(stored.len(), 8);
