--- a/src/node/front/closing.rs
+++ b/src/node/front/closing.rs
@@ -1,49 +1,52 @@
 //! Client connections that are being closed.
 //!
-//! What is still owed is written, then the write side is shut down, and what the client still sends is read and dropped
-//! until it closes too. Closing a socket over unread bytes would reset the connection, and the client would lose the
-//! answer that was written just before.
+//! The node writes the pending responses, shuts down its write side, and then reads and drops input until the client
+//! closes too. Closing a socket with unread input would reset the connection, and the client could lose the response
+//! that was written just before.
 
 use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use mio::Registry;
 
-/// How long a client has to read what is written and to close, in milliseconds.
+/// Time that a client has to read its last responses and to close its side, in milliseconds.
 pub const LINGER_MS: f64 = 300.0;
 
-/// Bytes that are dropped on one connection; what a client sends beyond that is left unread.
-const DROPPED_MOST: usize = 1 << 20;
+/// Most bytes that are read and dropped on one connection in total. Further input is left unread.
+const MAX_DROPPED_BYTES: usize = 1 << 20;
 
-/// Bytes that are read from one connection at a time.
-const READ_MOST: usize = 64 * 1024;
+/// Most bytes that are read from one connection per event loop iteration.
+const MAX_READ_BYTES: usize = 64 * 1024;
 
+/// A connection that is being closed.
 struct ClosingConnection {
     link: BufferedSocket,
     dropped_bytes: usize,
+    /// Whether the node has shut down its write side.
     is_shut_down: bool,
     deadline: TimerHandle,
 }
 
-/// The connections that are being closed, of all fronts.
+/// The client connections of all fronts that are being closed.
 #[derive(Default)]
 pub struct ClosingConnections {
     connections: Slab<ClosingConnection>,
+    /// Connections that have reached the limit on input per iteration and have input left to read.
     unread: Vec<SlotKey>,
 }
 
 impl ClosingConnections {
-    /// Connections that are not closed yet.
+    /// Number of connections that are not closed yet.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether all are closed.
+    /// Whether all connections are closed.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Begins to close a connection. Its deadline is [`LINGER_MS`] from `now`.
+    /// Starts to close a connection, which is closed at the latest [`LINGER_MS`] after `now`.
     pub fn add(&mut self, mut link: BufferedSocket, now: f64, registry: &Registry, timers: &mut TimerQueue) {
         link.used(link.input.len());
         let key = self.connections.insert_with(|key| ClosingConnection {
@@ -59,7 +62,7 @@
         }
     }
 
-    /// The socket is readable or writable.
+    /// Handles readiness of a socket: writes pending responses, and reads and drops input.
     pub fn ready(&mut self, key: SlotKey, timers: &mut TimerQueue) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if connection.link.flush().is_err() {
@@ -70,10 +73,10 @@
             connection.link.finish();
             connection.is_shut_down = true;
         }
-        if connection.dropped_bytes >= DROPPED_MOST {
+        if connection.dropped_bytes >= MAX_DROPPED_BYTES {
             return;
         }
-        let end = connection.link.read(READ_MOST);
+        let end = connection.link.read(MAX_READ_BYTES);
         let bytes = connection.link.input.len();
         connection.dropped_bytes += bytes;
         connection.link.used(bytes);
@@ -85,17 +88,17 @@
         }
     }
 
-    /// Connections of which more is to be read without an event of the poll.
+    /// Removes and returns the connections with input left to read, which get no further event from the poll.
     pub fn take_unread(&mut self) -> Vec<SlotKey> {
         std::mem::take(&mut self.unread)
     }
 
-    /// The deadline of a connection has passed: it is closed whatever is unread.
+    /// Closes a connection at its deadline, even if responses are not written or input is unread.
     pub fn expired(&mut self, key: SlotKey) {
         self.connections.remove(key);
     }
 
-    /// Closes a connection before its deadline to free its descriptor; false if there is none.
+    /// Closes one connection before its deadline to free a file descriptor. Returns `false` if no connection is left.
     pub fn evict(&mut self, timers: &mut TimerQueue) -> bool {
         let first = self.connections.iter().map(|(key, _)| key).next();
         first.into_iter().for_each(|key| self.remove(key, timers));
--- a/src/node/front/jsonrpc/key_pacing.rs
+++ b/src/node/front/jsonrpc/key_pacing.rs
@@ -1,57 +1,65 @@
-//! How long a request may have waited at its client before it was sent.
+//! Upper bound on the time for which a request may have been queued at its client before the client sent it.
 //!
-//! Clients of the platform leave a least interval between the requests of one key. Where a key gets more requests than
-//! that, they queue at the client, which counts their time from before that wait. The front end sees only the requests
-//! that are sent, but a run of them at exactly the least interval shows that the client's queue was not empty: whatever
-//! is sent in the run joined the queue after the run began. Pure: times in, a bound out, in milliseconds.
+//! Clients of the platform leave a minimum interval between two requests with the same ordering key. Requests that
+//! are created faster queue at the client, and a request's budget starts when it joins that queue. The front end sees
+//! only the requests that are sent, but a run of requests at exactly the minimum interval shows that the client's
+//! queue was not empty: every request of the run joined the queue after the run began.
+//!
+//! This module does no I/O and reads no clock. All times are in milliseconds.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Least interval between two requests of one key, by the platform's protocol.
+/// Minimum interval between two requests with the same key, as specified by the platform, in milliseconds.
 const KEY_INTERVAL_MS: f64 = 60.0;
-/// Least interval behind a request that came on a new connection.
+/// Minimum interval after a request on a new connection, in milliseconds.
 const NEW_CONNECTION_INTERVAL_MS: f64 = 250.0;
-/// Deviation of an interval that the network and a busy event loop account for.
+/// Largest deviation from the minimum interval within a run, in milliseconds. It allows for network jitter and delays
+/// of a busy event loop.
 const INTERVAL_TOLERANCE_MS: f64 = 3.0;
-/// Requests of a run from which a gap of several intervals continues it: requests that were given up in the client's
-/// queue leave their places empty.
+/// Number of requests in a run from which on a gap of several intervals does not end the run. A request that times
+/// out in the client's queue is never sent and leaves such a gap.
 const RUN_ESTABLISHED: usize = 3;
-/// Keys up to which those without recent requests are kept.
+/// Number of keys below which no sweep for keys without recent requests takes place.
 const MIN_KEYS_BEFORE_SWEEP: usize = 1024;
-/// Time without a request after which a key is dropped. No client waits for as long.
+/// Time without a request after which a key is removed, in milliseconds. No client waits for that long.
 const KEY_RETENTION_MS: f64 = 60_000.0;
 
-/// Consecutive requests of a key at its least interval.
+/// Consecutive requests with one key at the minimum interval.
 struct Run {
-    began: f64,
+    started: f64,
     last_sent: f64,
     last_on_new_connection: bool,
     requests: usize,
 }
 
 impl Run {
-    fn begin(now: f64, on_new_connection: bool) -> Run {
-        Run { began: now, last_sent: now, last_on_new_connection: on_new_connection, requests: 1 }
+    fn start(now: f64, on_new_connection: bool) -> Run {
+        Run { started: now, last_sent: now, last_on_new_connection: on_new_connection, requests: 1 }
     }
 
-    /// Whether a request at `now` is at the least interval behind the last, or a whole number of intervals later. A gap
-    /// of `budget` ends the run: what waited when it began has been given up since.
+    /// Whether a request at `now` continues the run: it comes at the minimum interval after the last request, or a
+    /// whole number of intervals later. A gap of `budget` or more ends the run, since all requests that were queued
+    /// when the gap began have timed out at the client.
     fn continues_at(&self, now: f64, budget: f64) -> bool {
         let gap = now - self.last_sent;
-        let least = if self.last_on_new_connection { NEW_CONNECTION_INTERVAL_MS } else { KEY_INTERVAL_MS };
-        let excess = gap - least;
-        let places_missed = (excess / KEY_INTERVAL_MS).round();
-        let deviation = (excess - places_missed * KEY_INTERVAL_MS).abs();
-        let may_miss_places = self.requests >= RUN_ESTABLISHED;
-        let is_in_place = places_missed == 0.0 || (places_missed > 0.0 && may_miss_places);
-        is_in_place && deviation <= INTERVAL_TOLERANCE_MS && gap < budget.max(least + INTERVAL_TOLERANCE_MS)
+        let min_interval =
+            if self.last_on_new_connection { NEW_CONNECTION_INTERVAL_MS } else { KEY_INTERVAL_MS };
+        let excess = gap - min_interval;
+        let missed_requests = (excess / KEY_INTERVAL_MS).round();
+        let deviation = (excess - missed_requests * KEY_INTERVAL_MS).abs();
+        let may_miss_requests = self.requests >= RUN_ESTABLISHED;
+        let is_on_interval = missed_requests == 0.0 || (missed_requests > 0.0 && may_miss_requests);
+        is_on_interval
+            && deviation <= INTERVAL_TOLERANCE_MS
+            && gap < budget.max(min_interval + INTERVAL_TOLERANCE_MS)
     }
 }
 
-/// The runs of all keys that have been asked for lately.
+/// The current run of each key with recent requests.
 pub struct KeyPacing {
     runs: HashMap<Arc<str>, Run>,
+    /// Number of keys at which the next sweep removes keys without recent requests.
     sweep_at: usize,
 }
 
@@ -62,25 +70,27 @@
 }
 
 impl KeyPacing {
-    /// A request of `key` was sent at `now`. Returns the longest time for which it may have waited at its client: 0
-    /// where nothing shows a wait, and never more than `budget`, after which a client gives a request up unsent.
+    /// Records a request with this key that was sent at `now`. Returns the longest time for which the request may
+    /// have been queued at its client: 0 outside a run, and never more than `budget`, since a client does not send a
+    /// request whose budget has ended.
     pub fn longest_wait(&mut self, now: f64, key: &Arc<str>, budget: f64, on_new_connection: bool) -> f64 {
         self.sweep(now);
         let Some(run) = self.runs.get_mut(key) else {
-            self.runs.insert(key.clone(), Run::begin(now, on_new_connection));
+            self.runs.insert(key.clone(), Run::start(now, on_new_connection));
             return 0.0;
         };
         if !run.continues_at(now, budget) {
-            *run = Run::begin(now, on_new_connection);
+            *run = Run::start(now, on_new_connection);
             return 0.0;
         }
         run.last_sent = now;
         run.last_on_new_connection = on_new_connection;
         run.requests += 1;
-        (now - run.began).min(budget)
+        (now - run.started).min(budget)
     }
 
-    /// Drops keys without recent requests, seldom enough that the cost spreads over many requests.
+    /// Removes keys without recent requests once the number of keys has doubled, so that the cost per request is
+    /// constant on average.
     fn sweep(&mut self, now: f64) {
         if self.runs.len() < self.sweep_at {
             return;
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -1,51 +1,55 @@
-//! A graceful shutdown as a state machine: accepting, then serving what is connected, then closing what is idle, then
-//! ended. Pure: times and counts in, what to do out. All times are in milliseconds of the node's clock.
+//! State machine of a graceful shutdown. Its phases are accepting connections, serving the open connections, closing
+//! idle connections, and ended. It does no I/O and reads no clock: the caller passes in the time and counts, and
+//! carries out the returned step. All times are in milliseconds of the node's clock.
 //!
-//! The platform sends SIGTERM, opens new connections for 0.2 to 0.4 s more, and sends requests on open ones for another
-//! 0.2 s. SIGKILL comes no earlier than 0.7 s after the longest deadline of a client, of which at most 3 s count.
+//! After SIGTERM, the platform's clients open new connections for another 0.2 to 0.4 s, and send requests on open
+//! connections for 0.2 s after that. The platform sends SIGKILL no earlier than 0.7 s after the longest deadline of a
+//! client, where deadlines of more than 3 s count as 3 s.
 
-/// Time after the signal in which new connections come, with slack.
+/// Time after the signal during which clients open new connections, in milliseconds. Includes a safety margin.
 const ACCEPT_WINDOW_MS: f64 = 600.0;
-/// Time without a new connection after which the listeners are closed, once the window is over.
+/// Time without a new connection after which the listeners close, once the accept window is over, in milliseconds.
 const ACCEPT_IDLE_MS: f64 = 100.0;
-/// Time after the signal in which requests come on open connections, with slack.
+/// Time after the signal during which clients send requests on open connections, in milliseconds. Includes a safety
+/// margin.
 const REQUEST_WINDOW_MS: f64 = 800.0;
-/// Longest part of a client's deadline that delays the kill.
+/// Longest part of a client's deadline for which the platform delays SIGKILL, in milliseconds.
 const MAX_KILL_DELAY_MS: f64 = 3000.0;
-/// Time between the longest deadline and the kill.
+/// Least time from the longest deadline of a client to SIGKILL, in milliseconds.
 const KILL_GRACE_MS: f64 = 700.0;
-/// Time before the kill at which all owed answers are given, so that clients can read them.
+/// Time before SIGKILL at which all responses must be sent, so that clients can read them, in milliseconds.
 const RESPONSE_MARGIN_MS: f64 = 200.0;
-/// Interval between steps.
+/// Interval between two steps of the state machine, in milliseconds.
 const STEP_INTERVAL_MS: f64 = 50.0;
-/// Time after the response deadline at which the shutdown ends, even if clients have not read their answers.
+/// Time from the response deadline to the end of the shutdown, in milliseconds. The shutdown ends then even if
+/// clients have not read their responses.
 const END_MARGIN_MS: f64 = 100.0;
 
-/// How far a shutdown has come.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// New connections still come, and are accepted.
+    /// The node accepts new connections and new requests.
     Accepting,
-    /// The listeners are closed; requests still come on open connections.
+    /// The listeners are closed; the node accepts new requests on open connections.
     Serving,
-    /// Idle connections are closed; requests in flight are finished.
+    /// The node rejects new requests, closes idle connections and finishes the requests in flight.
     Closing,
-    /// No answer is owed, and every client's connection is closed.
+    /// No request is open and every client connection is closed, or the time for the shutdown is over.
     Ended,
 }
 
-/// What is to be done now.
+/// What the node has to do now, and when the state machine has to be advanced again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownStep {
     /// Close the listeners now.
     pub close_listeners: bool,
-    /// Reject new requests, and close the connections on which no answer is owed.
+    /// Reject new requests, and close the client connections without open requests.
     pub close_idle_clients: bool,
-    /// When the next step is due; `None` once the shutdown has ended.
+    /// Time of the next step, in milliseconds; `None` once the shutdown has ended.
     pub next: Option<f64>,
 }
 
-/// A shutdown that has begun.
+/// A graceful shutdown in progress.
 #[derive(Clone, Debug)]
 pub struct GracefulShutdown {
     signalled_at: f64,
@@ -55,28 +59,29 @@
 }
 
 impl GracefulShutdown {
-    /// The signal has come. `longest_ms` is the longest time that any client may wait.
-    pub fn new(now: f64, longest_ms: f64) -> GracefulShutdown {
-        let kill_at = now + longest_ms.min(MAX_KILL_DELAY_MS) + KILL_GRACE_MS;
+    /// Starts a shutdown at the time of the signal. `max_deadline_ms` is the longest deadline of a client.
+    pub fn new(now: f64, max_deadline_ms: f64) -> GracefulShutdown {
+        let kill_at = now + max_deadline_ms.min(MAX_KILL_DELAY_MS) + KILL_GRACE_MS;
         GracefulShutdown { signalled_at: now, kill_at, last_accept: now, phase: Phase::Accepting }
     }
 
-    /// How far it has come.
+    /// Current phase of the shutdown.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When everything that is still owed is answered, since the process may be killed soon after.
+    /// Time by which every open request gets a response, since the process may be killed soon after.
     pub fn response_deadline(&self) -> f64 {
         (self.kill_at - RESPONSE_MARGIN_MS).max(self.signalled_at + REQUEST_WINDOW_MS)
     }
 
-    /// A new connection was accepted.
+    /// Records that the node has accepted a new connection.
     pub fn accepted(&mut self, now: f64) {
         self.last_accept = now;
     }
 
-    /// Advances the phase. `open_requests` are in flight, and `connections` of clients are not closed yet.
+    /// Advances the phase and returns what the node has to do now. `open_requests` is the number of open requests,
+    /// and `connections` is the number of client connections that are not closed yet.
     pub fn advance(&mut self, now: f64, open_requests: usize, connections: usize) -> ShutdownStep {
         let end = self.response_deadline() + END_MARGIN_MS;
         let mut step = ShutdownStep {
@@ -100,6 +105,7 @@
         step
     }
 
+    /// Whether the listeners are to be closed: the accept window is over, and clients open no more connections.
     fn accepting_is_over(&self, now: f64) -> bool {
         let since_signal = now - self.signalled_at;
         let is_quiet = now - self.last_accept >= ACCEPT_IDLE_MS;
@@ -107,6 +113,7 @@
     }
 }
 
+/// Time of the next step: one step interval after `now`, but no later than the end of the shutdown at `end`.
 fn next_step_at(now: f64, end: f64) -> f64 {
     let next = now + STEP_INTERVAL_MS;
     if now < end {
