--- a/src/node/dispatcher/decisions.rs
+++ b/src/node/dispatcher/decisions.rs
@@ -1,28 +1,29 @@
-//! Tells the decision module what happened, and does what it says.
+//! Passes events to the decision module and carries out the actions that it returns.
 
 use super::*;
 
 impl RequestDispatcher {
-    /// Tells the decision module and does what it says; what its actions end at once is told it in turn.
-    pub(super) fn tell(&mut self, now: f64, event: Event, timers: &mut TimerQueue) {
+    /// Passes `event` to the decision module and carries out the actions that it returns. An attempt that an action
+    /// ends at once is reported to the decision module as a further event, until no event is left.
+    pub(super) fn decide(&mut self, now: f64, event: Event, timers: &mut TimerQueue) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
             self.gateway.handle(to_micros(now), event, &mut actions);
             for action in actions.drain(..) {
-                if let Some(closed) = self.apply(now, action, timers) {
-                    events.push_back(Event::AttemptEnded(closed));
+                if let Some(attempt_end) = self.apply_action(now, action, timers) {
+                    events.push_back(Event::AttemptEnded(attempt_end));
                 }
             }
         }
     }
 
-    /// What a request that is given up hears. Guards against a load that may have run being sent again by its client
-    /// on our word.
-    pub(super) fn given_up(&self, key: SlotKey, backoff_ms: f64) -> FinalResponse {
+    /// The final response to a request that gets no result. A request of a class that is unsafe to repeat gets
+    /// `Failed` if an attempt may have run: `Refused` would invite its client to send the same load again.
+    pub(super) fn unserved_response(&self, key: SlotKey, backoff_ms: f64) -> FinalResponse {
         let may_have_run = self.open.get(key).is_some_and(|open| {
-            let unsafe_class = self.settings.classes[open.ask.class.0].repeat == Repeat::Unsafe;
-            unsafe_class && (open.may_have_run || open.out.is_some())
+            let is_unsafe_class = self.settings.classes[open.request.class.0].repeat == Repeat::Unsafe;
+            is_unsafe_class && (open.may_have_run || open.outstanding.is_some())
         });
         if may_have_run {
             FinalResponse::Failed
@@ -31,60 +32,70 @@
         }
     }
 
-    pub(super) fn key(&self, id: &RequestId) -> Option<SlotKey> {
-        self.names.get(id).copied()
+    /// Key of the open request with this name in the table of open requests.
+    pub(super) fn key_of(&self, id: &RequestId) -> Option<SlotKey> {
+        self.by_name.get(id).copied()
     }
 
-    pub(super) fn apply(&mut self, now: f64, action: Action, timers: &mut TimerQueue) -> Option<AttemptEnd> {
+    /// Carries out one action of the decision module. Returns the end of an attempt that the action ends at once.
+    pub(super) fn apply_action(
+        &mut self,
+        now: f64,
+        action: Action,
+        timers: &mut TimerQueue,
+    ) -> Option<AttemptEnd> {
         match action {
             Action::Forward { request, engine, give_up_after } => {
-                self.send(now, request, engine, give_up_after, timers)
+                self.start_attempt(now, request, engine, give_up_after, timers)
             }
             Action::Reject { request, retry_after } => {
-                let key = self.key(&request)?;
-                let answer = self.given_up(key, retry_after.map_or(BACKOFF, from_micros));
-                self.answer(key, answer);
-                self.forget(key, timers);
+                let key = self.key_of(&request)?;
+                let backoff_ms = retry_after.map_or(DEFAULT_BACKOFF_MS, from_micros);
+                let response = self.unserved_response(key, backoff_ms);
+                self.respond(key, response);
+                self.remove_if_done(key, timers);
                 None
             }
             Action::Fail { request } => {
-                let key = self.key(&request)?;
-                let late = self.open.get(key).is_some_and(|open| now >= open.deadline);
-                self.answer(key, if late { FinalResponse::TimedOut } else { FinalResponse::Failed });
-                self.forget(key, timers);
+                let key = self.key_of(&request)?;
+                let is_late = self.open.get(key).is_some_and(|open| now >= open.deadline);
+                self.respond(key, if is_late { FinalResponse::TimedOut } else { FinalResponse::Failed });
+                self.remove_if_done(key, timers);
                 None
             }
             Action::Cancel { request, attempt } => {
-                let attempt = AttemptRef { request: self.key(&request)?, attempt };
+                let attempt = AttemptRef { request: self.key_of(&request)?, attempt };
                 let open = self.open.get(attempt.request)?;
-                let counted =
-                    open.ask.admitted.as_ref().is_some_and(|a| a.held_units.max_duration_ms().is_some());
-                let (again, ordered) = (open.asker.is_some(), open.ask.order.is_some() || counted);
-                let is_out = open.out.as_ref().is_some_and(|out| out.attempt == attempt.attempt);
-                if is_out && (again || ordered) {
-                    // It may be sent again, or the next of its key comes, or the fleet counts it, but not before this one
-                    // is over for sure: its end comes from outside.
-                    self.orders.push(DispatcherCommand::GiveUp(attempt, true));
+                let counts_in_fleet_budget =
+                    open.request.admitted.as_ref().is_some_and(|a| a.held_units.max_duration_ms().is_some());
+                let may_retry = open.client.is_some();
+                let is_ordered = open.request.order.is_some();
+                let is_in_flight =
+                    open.outstanding.as_ref().is_some_and(|out| out.attempt == attempt.attempt);
+                if is_in_flight && (may_retry || is_ordered || counts_in_fleet_budget) {
+                    // A retry, the next request with the same ordering key, or the release of units of a fleet
+                    // budget has to wait until this attempt is known to have ended: the backend reports its end.
+                    self.commands.push(DispatcherCommand::Cancel(attempt, true));
                     return None;
                 }
-                let closed =
-                    self.close_attempt(now, &FinishedAttempt::bare(attempt, Outcome::Cancelled), timers)?;
-                self.orders.push(DispatcherCommand::GiveUp(attempt, false));
-                self.forget(attempt.request, timers);
-                Some(closed)
+                let cancelled = FinishedAttempt::bare(attempt, Outcome::Cancelled);
+                let attempt_end = self.close_attempt(now, &cancelled, timers)?;
+                self.commands.push(DispatcherCommand::Cancel(attempt, false));
+                self.remove_if_done(attempt.request, timers);
+                Some(attempt_end)
             }
             Action::SetTerms { request, memory_mb, priority } => {
-                let key = self.key(&request)?;
+                let key = self.key_of(&request)?;
                 let open = self.open.get_mut(key)?;
                 (open.memory_mb, open.priority) = (memory_mb, priority);
-                if let Some(out) = &open.out {
+                if let Some(out) = &open.outstanding {
                     let attempt = AttemptRef { request: key, attempt: out.attempt };
-                    self.orders.push(DispatcherCommand::Hurry(attempt, priority));
+                    self.commands.push(DispatcherCommand::SetPriority(attempt, priority));
                 }
                 None
             }
             Action::CloseIdle(engine) => {
-                self.orders.push(DispatcherCommand::CloseIdle(engine));
+                self.commands.push(DispatcherCommand::CloseIdle(engine));
                 None
             }
             Action::SetTimer { after, timer } => {
@@ -95,12 +106,14 @@
                 self.logs.push(event.to_string());
                 None
             }
-            // Talk between front ends is not allowed, and the list comes by itself.
+            // Front ends exchange no messages with each other, and service discovery delivers the engine list
+            // without a request for it.
             Action::SendToPeer { .. } | Action::Subscribe(_) | Action::FetchList => None,
         }
     }
 
-    pub(super) fn send(
+    /// Starts the next attempt of a request. Returns the end of the attempt if it can't be sent.
+    pub(super) fn start_attempt(
         &mut self,
         now: f64,
         request: RequestId,
@@ -108,21 +121,23 @@
         give_up_after: Option<Micros>,
         timers: &mut TimerQueue,
     ) -> Option<AttemptEnd> {
-        let key = self.key(&request)?;
+        let key = self.key_of(&request)?;
         let open = self.open.get_mut(key)?;
         let attempt = Attempt(open.attempts);
         open.attempts += 1;
-        let left = open.deadline - now;
-        let max_ms = give_up_after.map_or(left, |after| left.min(from_micros(after)));
-        // An engine that the request's own version leaves out is not for it, whatever the version of now says.
-        let barred = open.ask.admitted.as_ref().is_some_and(|a| {
+        let time_left = open.deadline - now;
+        let max_ms = give_up_after.map_or(time_left, |after| time_left.min(from_micros(after)));
+        // The policy version under which the request was admitted may exclude an engine that the active version
+        // allows; the request's own version decides.
+        let is_excluded = open.request.admitted.as_ref().is_some_and(|a| {
             let zone = self.zones.as_ref().and_then(|zones| zones.get(&engine)).map_or("", String::as_str);
             a.policy.excludes(&engine.0, zone)
         });
-        // Guards: never two attempts out, nothing after the end, nothing without time left.
-        if open.out.is_some() || open.asker.is_none() || max_ms < 1.0 || barred {
+        // A request has at most one attempt in flight, and no attempt starts after the final response or with less
+        // than 1 ms left.
+        if open.outstanding.is_some() || open.client.is_none() || max_ms < 1.0 || is_excluded {
             let outcome = Outcome::NotSent;
-            let (latency, request_answered) = (Micros(0), open.asker.is_none());
+            let (latency, request_answered) = (Micros(0), open.client.is_none());
             let (cost, report) = (None, None);
             return Some(AttemptEnd {
                 request,
@@ -135,13 +150,18 @@
                 report,
             });
         }
-        // Beyond the first, the fleet's budget is asked too, beside this front end's own ration.
-        let retry_budget =
-            open.ask.admitted.as_ref().and_then(|a| a.retry_budget.as_ref()).filter(|_| open.sent > 0);
+        // A retry needs a unit of the fleet's retry budget, in addition to this front end's own retry budget, which
+        // the decision module enforces.
+        let retry_budget = open
+            .request
+            .admitted
+            .as_ref()
+            .and_then(|a| a.retry_budget.as_ref())
+            .filter(|_| open.attempts_sent > 0);
         if retry_budget.is_some_and(|budget| !budget.try_acquire(&request.0)) {
-            let answer = self.given_up(key, BACKOFF);
-            self.answer(key, answer);
-            self.forget(key, timers);
+            let response = self.unserved_response(key, DEFAULT_BACKOFF_MS);
+            self.respond(key, response);
+            self.remove_if_done(key, timers);
             return Some(AttemptEnd {
                 request,
                 attempt,
@@ -153,22 +173,23 @@
                 report: None,
             });
         }
-        let (class, work) = (open.ask.class.0, open.ask.work_ms.unwrap_or(0.0));
-        let (id, to, no) = (&request.0, &engine.0, attempt.0);
-        trace!(target: ACCOUNT, "send: id={id} class={class} engine={to} attempt={no} work={work:.0}");
-        open.sent += 1;
-        let due = timers.set(now + max_ms, TimerEvent::AttemptOver(key, attempt));
-        open.out = Some(OutstandingAttempt { attempt, engine: engine.clone(), since: now, due });
-        self.orders.push(DispatcherCommand::Start(AttemptStart {
+        let (class, work) = (open.request.class.0, open.request.work_ms.unwrap_or(0.0));
+        let (id, engine_name, number) = (&request.0, &engine.0, attempt.0);
+        trace!(target: ACCOUNT, "send: id={id} class={class} engine={engine_name} attempt={number} work={work:.0}");
+        open.attempts_sent += 1;
+        let timeout = timers.set(now + max_ms, TimerEvent::AttemptOver(key, attempt));
+        open.outstanding =
+            Some(OutstandingAttempt { attempt, engine: engine.clone(), sent_at: now, timeout });
+        self.commands.push(DispatcherCommand::Start(AttemptStart {
             attempt: AttemptRef { request: key, attempt },
-            front: open.ask.asker.front,
-            name: open.ask.name.clone(),
-            class: open.ask.class,
+            front: open.request.asker.front,
+            name: open.request.name.clone(),
+            class: open.request.class,
             engine,
             max_ms,
             memory_mb: open.memory_mb,
             priority: open.priority,
-            payload: open.ask.payload.clone(),
+            payload: open.request.payload.clone(),
         }));
         None
     }
--- a/src/node/dispatcher/message.rs
+++ b/src/node/dispatcher/message.rs
@@ -1,96 +1,97 @@
-//! What the core orders of fronts and backends, and what it hears of them.
+//! Commands of the request dispatcher to fronts and backends, and the events that they report to it.
 
 use super::*;
 
-/// Names an attempt of an open request.
+/// Identifies an attempt of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptRef {
-    /// The request's slot.
+    /// Key of the request in the table of open requests.
     pub request: SlotKey,
-    /// Which attempt.
+    /// Number of the attempt within the request.
     pub attempt: Attempt,
 }
 
-/// An attempt as a backend is handed it.
+/// All that a backend needs to start an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptStart {
-    /// Which attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptRef,
-    /// Which front the request came by: the engines of its kind are to run it.
+    /// Front that received the request; it selects the backend.
     pub front: Front,
-    /// The request's name.
+    /// Unique name of the request.
     pub name: Arc<str>,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// The engine.
+    /// Engine that is to run the attempt.
     pub engine: EngineId,
-    /// How long it may take, in milliseconds.
+    /// Timeout of the attempt, in milliseconds.
     pub max_ms: f64,
-    /// Memory granted in megabytes; 0: the engine chooses.
+    /// Memory granted to the attempt, in megabytes; 0 lets the engine choose.
     pub memory_mb: u64,
-    /// Priority from 0 to 3.
+    /// Priority from 0 to 3, the highest.
     pub priority: u8,
-    /// What to run.
+    /// Statement to run, with its parameters.
     pub payload: Rc<Payload>,
 }
 
-/// What the core wants done.
+/// A command of the request dispatcher to a front or a backend.
 #[derive(Clone, Debug)]
 pub enum DispatcherCommand {
-    /// Answer a client.
-    Answer(ClientHandle, FinalResponse),
-    /// Begin an attempt.
+    /// Send a client the final response to its request.
+    Respond(ClientHandle, FinalResponse),
+    /// Start an attempt.
     Start(AttemptStart),
-    /// Give an attempt up; if it is still owed an end, that is told when it is sure that the engine knows.
-    GiveUp(AttemptRef, bool),
-    /// Take an attempt back if it has not begun; one that has goes on.
-    Withdraw(AttemptRef),
-    /// Change an attempt's priority.
-    Hurry(AttemptRef, u8),
-    /// Give an engine's idle connections back.
+    /// Cancel an attempt. If the flag is set, the backend reports the attempt's end once the engine has confirmed
+    /// the cancel; otherwise it reports nothing.
+    Cancel(AttemptRef, bool),
+    /// Cancel an attempt of which no byte has been sent to the engine; any other attempt continues.
+    CancelIfUnsent(AttemptRef),
+    /// Change the priority of an attempt.
+    SetPriority(AttemptRef, u8),
+    /// Close the idle connections to an engine.
     CloseIdle(EngineId),
 }
 
-/// The end of an attempt, as a backend tells it.
+/// The end of an attempt, as reported by a backend.
 #[derive(Clone, Debug)]
 pub struct FinishedAttempt {
-    /// Which attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptRef,
-    /// What the end proves.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The answer for the client, where the box gave one: a result, or its own error.
+    /// Response for the client, if the engine gave one: a result, or the engine's own error.
     pub answer: Option<FinalResponse>,
-    /// What it took, where told.
+    /// Work and memory that the attempt took, if the engine reported them.
     pub cost: Option<TrueCost>,
-    /// The engine's load, where told.
+    /// Load report of the engine, if one came with the end.
     pub report: Option<LoadReport>,
-    /// Whether its engine has said that it is over, where the outcome alone leaves that open.
+    /// Whether the engine has confirmed that a cancelled, timed-out or reset attempt no longer runs.
     pub confirmed: bool,
 }
 
 impl FinishedAttempt {
-    /// An attempt that was called off, and its engine has read so.
+    /// The end of a cancelled attempt whose engine has confirmed that it read the cancel.
     pub fn confirmed(attempt: AttemptRef) -> FinishedAttempt {
         FinishedAttempt { confirmed: true, ..FinishedAttempt::bare(attempt, Outcome::Cancelled) }
     }
 
-    /// An end that tells nothing more than its outcome.
+    /// The end of an attempt of which nothing but the outcome is known.
     pub fn bare(attempt: AttemptRef, outcome: Outcome) -> FinishedAttempt {
         FinishedAttempt { attempt, outcome, answer: None, cost: None, report: None, confirmed: false }
     }
 }
 
-/// What fronts, backends and the bulletin tell the core.
+/// An event that a front, a backend or service discovery reports to the request dispatcher.
 #[derive(Clone, Debug)]
 pub enum DispatcherEvent {
-    /// A request came whole.
+    /// A front has read a complete request.
     Asked(ClientRequest),
-    /// A client gave its request up, or is gone.
-    Gone(ClientHandle),
-    /// An attempt ended.
+    /// A client has cancelled its request or closed its connection.
+    ClientGone(ClientHandle),
+    /// An attempt has ended.
     Ended(FinishedAttempt),
-    /// News of a running attempt.
+    /// An attempt in flight has reported progress.
     Noted(AttemptRef, Progress),
-    /// The list of engines, or changes to it.
-    Members(ListKind, u64, Vec<EngineEntry>),
+    /// The engine list with its version, or changes to the list.
+    EngineList(ListKind, u64, Vec<EngineEntry>),
 }
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -1,5 +1,6 @@
-//! The core: requests, attempts and outcomes, and no wire. It keeps the table of open requests, drives the
-//! decision module, and owns two promises: one final answer for each request, and one attempt out at most.
+//! The request dispatcher: the table of open requests around the decision module, independent of any wire protocol.
+//!
+//! The dispatcher guarantees that each request gets one final response and has at most one attempt in flight.
 
 mod decisions;
 pub mod message;
@@ -25,332 +26,355 @@
 use std::sync::Arc;
 use tracing::trace;
 
-/// The part of the log with a line for each step of each request: off unless asked for (`--log account=trace`).
+/// Log target with a line for each step of each request; off unless enabled with `--log account=trace`.
 pub const ACCOUNT: &str = "account";
 
-/// After the client's deadline, an answer that is still owed is given this much later: the decision module has
-/// had its time-out by then, and the platform's grace is 20 ms.
-const ANSWER_GRACE_MS: f64 = 10.0;
+/// Time after a request's deadline at which the dispatcher itself sends a response that is still owed, in
+/// milliseconds. The decision module's own timeout has fired by then, and the platform allows 20 ms.
+const RESPONSE_GRACE_MS: f64 = 10.0;
 
-/// How long after its client's time an answer still counts as one. The platform's grace is 500 ms; the rest is for the
-/// way to the client.
-const LATE_ANSWER_GRACE_MS: f64 = 450.0;
+/// Time after the end of a client's budget for which a response is still valid, in milliseconds. The platform
+/// allows 500 ms; the remaining 50 ms are for the network latency to the client.
+const LATE_RESPONSE_GRACE_MS: f64 = 450.0;
 
-/// When a refused client is to come back, in milliseconds, where the decision module does not say.
-const BACKOFF: f64 = 1000.0;
+/// Delay that a rejected client is told to wait before a retry, in milliseconds, if the decision module sets none.
+const DEFAULT_BACKOFF_MS: f64 = 1000.0;
 
+/// The attempt of a request that is in flight.
 struct OutstandingAttempt {
     attempt: Attempt,
     engine: EngineId,
-    since: f64,
-    due: TimerHandle,
+    sent_at: f64,
+    timeout: TimerHandle,
 }
 
+/// A request that is owed a response or has an attempt in flight.
 struct OpenRequest {
-    asker: Option<ClientHandle>,
-    ask: ClientRequest,
+    /// `None` once the client has its response or is gone.
+    client: Option<ClientHandle>,
+    request: ClientRequest,
     deadline: f64,
-    over: Option<TimerHandle>,
+    deadline_timer: Option<TimerHandle>,
     attempts: u32,
-    /// Of these, those that went out.
-    sent: u32,
-    out: Option<OutstandingAttempt>,
+    /// Attempts that were handed to a backend; the others ended as not sent.
+    attempts_sent: u32,
+    outstanding: Option<OutstandingAttempt>,
     memory_mb: u64,
     priority: u8,
     may_have_run: bool,
-    /// When it came, and whether something of it may still run at an engine though it is over here.
-    came: f64,
-    unsure: bool,
+    arrived_at: f64,
+    /// Whether an engine may still run an attempt that has ended here.
+    may_still_run: bool,
 }
 
 impl OpenRequest {
-    /// Whether it has had all the attempts that its policy allows.
-    fn is_spent(&self) -> bool {
-        let most = self.ask.admitted.as_ref().and_then(|a| a.limits.max_attempts);
-        self.asker.is_some() && most.is_some_and(|most| self.sent >= most)
+    /// Whether the request has used all the attempts that its policy allows.
+    fn has_no_attempt_left(&self) -> bool {
+        let max_attempts = self.request.admitted.as_ref().and_then(|a| a.limits.max_attempts);
+        self.client.is_some() && max_attempts.is_some_and(|max| self.attempts_sent >= max)
     }
 }
 
-/// The table of open requests round the decision module.
+/// Dispatches requests: passes them to the decision module and tracks them until their final response.
 pub struct RequestDispatcher {
     gateway: Gateway,
     settings: Settings,
-    open_most: usize,
-    payload_most: usize,
-    payload: usize,
+    max_open: usize,
+    max_payload_bytes: usize,
+    payload_bytes: usize,
     open: Slab<OpenRequest>,
-    names: HashMap<RequestId, SlotKey>,
-    askers: HashMap<ClientHandle, SlotKey>,
+    by_name: HashMap<RequestId, SlotKey>,
+    by_client: HashMap<ClientHandle, SlotKey>,
     recent_names: RecentNames,
-    /// What the fleet's stocks still count, and until when: it may run on at an engine.
-    lingering: Vec<(f64, Rc<HeldUnits>)>,
-    /// Zones of engines, kept only where a fleet's policy may ask for them.
+    /// Units of fleet budgets held for ended requests that an engine may still run, each with its release time.
+    retained_units: Vec<(f64, Rc<HeldUnits>)>,
+    /// Zones of the engines; `None` without a fleet policy, which may exclude engines by zone.
     zones: Option<HashMap<EngineId, String>>,
-    /// The response deadline of a graceful shutdown; nothing is owed beyond.
+    /// Time by which a graceful shutdown responds to all requests; infinite before a shutdown.
     response_deadline: f64,
-    /// Whether what comes from now on is refused, since a graceful shutdown closes its connections.
-    refuses_new: bool,
-    orders: Vec<DispatcherCommand>,
+    /// Whether new requests are rejected, since a graceful shutdown is closing the client connections.
+    rejects_new: bool,
+    commands: Vec<DispatcherCommand>,
     logs: Vec<String>,
 }
 
 impl RequestDispatcher {
-    /// A core with no requests. It holds at most so many open, and so many bytes of what they are to run.
+    /// Creates a dispatcher without requests. At most `max_open` requests are open at a time, and their payloads
+    /// have at most `max_payload_bytes` in total.
     pub fn new(
         settings: Settings,
         seed: u64,
-        open_most: usize,
-        payload_most: usize,
+        max_open: usize,
+        max_payload_bytes: usize,
     ) -> Result<RequestDispatcher, SettingsError> {
         let gateway = Gateway::new(settings.clone(), seed)?;
         Ok(RequestDispatcher {
             recent_names: RecentNames::new(&settings),
             gateway,
             settings,
-            open_most,
-            payload_most,
-            payload: 0,
+            max_open,
+            max_payload_bytes,
+            payload_bytes: 0,
             open: Slab::default(),
-            names: HashMap::new(),
-            askers: HashMap::new(),
-            lingering: Vec::new(),
+            by_name: HashMap::new(),
+            by_client: HashMap::new(),
+            retained_units: Vec::new(),
             zones: None,
             response_deadline: f64::INFINITY,
-            refuses_new: false,
-            orders: Vec::new(),
+            rejects_new: false,
+            commands: Vec::new(),
             logs: Vec::new(),
         })
     }
 
-    /// What the decision module was told at the start.
+    /// Settings of the decision module.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Which part of what cold engines bear is this front end's, where the fleet divides that.
-    pub fn cold_among(&mut self, among: Option<(f64, u64)>) {
+    /// Sets this front end's part of the load on engines that warm up, if a fleet budget divides that load: the
+    /// number of front ends that share it, and this front end's number among them.
+    pub fn set_warm_up_share(&mut self, share: Option<(f64, u64)>) {
         self.gateway
-            .set_slow_start_share(among.map(|(gateways, number)| SlowStartShare { gateways, number }));
+            .set_slow_start_share(share.map(|(gateways, number)| SlowStartShare { gateways, number }));
     }
 
-    /// From now on requests may be bound by a policy that speaks of zones.
-    pub fn keep_zones(&mut self) {
+    /// Starts to record the zones of the engines, for policies that exclude engines by zone.
+    pub fn track_zones(&mut self) {
         self.zones = Some(HashMap::new());
     }
 
-    /// Turns a request away before it is taken: nothing was run.
-    pub fn turn_away(&mut self, asker: ClientHandle, backoff_ms: f64) {
-        self.orders.push(DispatcherCommand::Answer(asker, FinalResponse::Refused { backoff_ms }));
+    /// Rejects a request before it is accepted, so that nothing of it has run.
+    pub fn reject(&mut self, client: ClientHandle, backoff_ms: f64) {
+        self.commands.push(DispatcherCommand::Respond(client, FinalResponse::Refused { backoff_ms }));
     }
 
-    /// Requests that are owed an answer, or still have an attempt out.
+    /// Number of requests that are owed a response or have an attempt in flight.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// The decision module, to look at.
+    /// The decision module, for status views.
     pub fn gateway(&self) -> &Gateway {
         &self.gateway
     }
 
-    /// What is to be done, in order.
-    pub fn take_orders(&mut self) -> Vec<DispatcherCommand> {
-        std::mem::take(&mut self.orders)
+    /// Removes and returns the commands that are to be carried out, in order.
+    pub fn take_commands(&mut self) -> Vec<DispatcherCommand> {
+        std::mem::take(&mut self.commands)
     }
 
-    /// The decision module's lines for the operators.
+    /// Removes and returns the decision module's lines for the operators' log.
     pub fn take_logs(&mut self) -> Vec<String> {
         std::mem::take(&mut self.logs)
     }
 
-    /// Takes news in.
-    pub fn hear(&mut self, now: f64, heard: DispatcherEvent, timers: &mut TimerQueue) {
-        match heard {
-            DispatcherEvent::Asked(ask) => self.asked(now, ask, timers),
-            DispatcherEvent::Gone(asker) => {
-                let Some(key) = self.askers.remove(&asker) else { return };
+    /// Handles an event from a front, a backend or service discovery.
+    pub fn handle(&mut self, now: f64, event: DispatcherEvent, timers: &mut TimerQueue) {
+        match event {
+            DispatcherEvent::Asked(request) => self.accept_request(now, request, timers),
+            DispatcherEvent::ClientGone(client) => {
+                let Some(key) = self.by_client.remove(&client) else { return };
                 let Some(open) = self.open.get_mut(key) else { return };
-                open.asker = None;
-                let id = RequestId(open.ask.name.clone());
+                open.client = None;
+                let id = RequestId(open.request.name.clone());
                 trace!(target: ACCOUNT, "gone: id={}", id.0);
-                self.tell(now, Event::ClientGone(id), timers);
-                self.withdraw(key);
-                self.forget(key, timers);
+                self.decide(now, Event::ClientGone(id), timers);
+                self.withdraw_attempt(key);
+                self.remove_if_done(key, timers);
             }
-            DispatcherEvent::Ended(ended) => self.ended(now, ended, timers),
-            DispatcherEvent::Noted(r, note) => {
-                let Some(open) = self.open.get(r.request) else { return };
-                let Some(out) = open.out.as_ref().filter(|out| out.attempt == r.attempt) else { return };
-                let (request, engine) = (RequestId(open.ask.name.clone()), out.engine.clone());
-                self.tell(
-                    now,
-                    Event::AttemptProgress { request, attempt: r.attempt, engine, progress: note },
-                    timers,
-                );
+            DispatcherEvent::Ended(finished) => self.finish_attempt(now, finished, timers),
+            DispatcherEvent::Noted(AttemptRef { request: key, attempt }, progress) => {
+                let Some(open) = self.open.get(key) else { return };
+                let Some(out) = open.outstanding.as_ref().filter(|out| out.attempt == attempt) else {
+                    return;
+                };
+                let (request, engine) = (RequestId(open.request.name.clone()), out.engine.clone());
+                self.decide(now, Event::AttemptProgress { request, attempt, engine, progress }, timers);
             }
-            DispatcherEvent::Members(kind, version, members) => {
+            DispatcherEvent::EngineList(kind, version, entries) => {
                 if let Some(zones) = &mut self.zones {
-                    for m in &members {
-                        match m.state {
-                            EngineState::Removed => drop(zones.remove(&m.engine)),
-                            _ => drop(zones.insert(m.engine.clone(), m.zone.clone())),
+                    for entry in &entries {
+                        match entry.state {
+                            EngineState::Removed => drop(zones.remove(&entry.engine)),
+                            _ => drop(zones.insert(entry.engine.clone(), entry.zone.clone())),
                         }
                     }
                 }
-                self.tell(now, Event::EngineList { kind, version, entries: members }, timers);
+                self.decide(now, Event::EngineList { kind, version, entries }, timers);
             }
         }
     }
 
-    /// A timer of the decision module is up.
-    pub fn timer(&mut self, now: f64, timer: TimerId, timers: &mut TimerQueue) {
-        self.tell(now, Event::Timer(timer), timers);
+    /// Handles the expiry of a timer that the decision module has set.
+    pub fn module_timer_fired(&mut self, now: f64, timer: TimerId, timers: &mut TimerQueue) {
+        self.decide(now, Event::Timer(timer), timers);
     }
 
-    /// An attempt has had its time.
-    pub fn attempt_over(&mut self, now: f64, r: AttemptRef, timers: &mut TimerQueue) {
-        let out = self.open.get(r.request).and_then(|open| open.out.as_ref());
-        if out.is_some_and(|out| out.attempt == r.attempt) {
-            self.orders.push(DispatcherCommand::GiveUp(r, false));
-            self.ended(now, FinishedAttempt::bare(r, Outcome::TimedOut), timers);
+    /// Handles the timeout of an attempt: cancels the attempt, and ends it here without waiting for the engine.
+    pub fn attempt_timed_out(&mut self, now: f64, attempt: AttemptRef, timers: &mut TimerQueue) {
+        let outstanding = self.open.get(attempt.request).and_then(|open| open.outstanding.as_ref());
+        if outstanding.is_some_and(|out| out.attempt == attempt.attempt) {
+            self.commands.push(DispatcherCommand::Cancel(attempt, false));
+            self.finish_attempt(now, FinishedAttempt::bare(attempt, Outcome::TimedOut), timers);
         }
     }
 
-    /// A client has stopped waiting. The decision module has answered by now as a rule; if not, the core does.
-    pub fn request_over(&mut self, now: f64, key: SlotKey, timers: &mut TimerQueue) {
+    /// Handles the deadline of a request. The decision module has usually ended the request by then; if not, the
+    /// dispatcher sends the response itself.
+    pub fn request_timed_out(&mut self, now: f64, key: SlotKey, timers: &mut TimerQueue) {
         let Some(open) = self.open.get(key) else { return };
-        let id = RequestId(open.ask.name.clone());
-        // Before its time only a graceful shutdown cuts it off.
-        let cut = now < open.deadline;
-        let answer = if cut { self.given_up(key, BACKOFF) } else { FinalResponse::TimedOut };
-        self.answer(key, answer);
-        self.tell(now, Event::ClientGone(id), timers);
-        self.forget(key, timers);
+        let id = RequestId(open.request.name.clone());
+        // The timer fires before the request's own deadline only if a graceful shutdown has moved it.
+        let is_cut_short = now < open.deadline;
+        let response = if is_cut_short {
+            self.unserved_response(key, DEFAULT_BACKOFF_MS)
+        } else {
+            FinalResponse::TimedOut
+        };
+        self.respond(key, response);
+        self.decide(now, Event::ClientGone(id), timers);
+        self.remove_if_done(key, timers);
     }
 
-    fn asked(&mut self, now: f64, ask: ClientRequest, timers: &mut TimerQueue) {
-        let id = RequestId(ask.name.clone());
-        let size = ask.payload.size();
-        let full =
-            self.refuses_new || self.open.len() >= self.open_most || self.payload + size > self.payload_most;
-        let used = self.names.contains_key(&id) || self.askers.contains_key(&ask.asker);
-        let came = !self.recent_names.insert(now, &ask.name) || used;
-        if full || came {
-            // Nothing is run for this request; but under a name that came before something may have been.
-            let backoff_ms = self.settings.retry_after.map_or(BACKOFF, from_micros);
-            let once = self.settings.classes[ask.class.0].repeat == Repeat::Unsafe;
-            let answer =
-                if once && came { FinalResponse::Failed } else { FinalResponse::Refused { backoff_ms } };
-            self.orders.push(DispatcherCommand::Answer(ask.asker, answer));
+    /// Opens a request and passes it to the decision module. A request beyond the limits on open requests and payload
+    /// bytes is rejected, and so is a request with the name of a recent one.
+    fn accept_request(&mut self, now: f64, client_request: ClientRequest, timers: &mut TimerQueue) {
+        let id = RequestId(client_request.name.clone());
+        let size = client_request.payload.size();
+        let is_full = self.rejects_new
+            || self.open.len() >= self.max_open
+            || self.payload_bytes + size > self.max_payload_bytes;
+        let is_open = self.by_name.contains_key(&id) || self.by_client.contains_key(&client_request.asker);
+        let is_repeated = !self.recent_names.insert(now, &client_request.name) || is_open;
+        if is_full || is_repeated {
+            // Nothing runs for this request, but an earlier request with the same name may have run.
+            let backoff_ms = self.settings.retry_after.map_or(DEFAULT_BACKOFF_MS, from_micros);
+            let is_unsafe_to_repeat = self.settings.classes[client_request.class.0].repeat == Repeat::Unsafe;
+            let response = if is_unsafe_to_repeat && is_repeated {
+                FinalResponse::Failed
+            } else {
+                FinalResponse::Refused { backoff_ms }
+            };
+            self.commands.push(DispatcherCommand::Respond(client_request.asker, response));
             return;
         }
-        self.payload += size;
-        let deadline = ask.due(LATE_ANSWER_GRACE_MS);
+        self.payload_bytes += size;
+        let deadline = client_request.deadline(LATE_RESPONSE_GRACE_MS);
         let request = Request {
             id: id.clone(),
-            class: ask.class,
+            class: client_request.class,
             time_left: to_micros(deadline.min(self.response_deadline) - now),
-            table_group: ask.tables,
-            work_hint: ask.work_ms.filter(|ms| *ms > 0.0).map(to_micros),
-            memory_hint_mb: ask.memory_mb.filter(|mb| *mb > 0.0),
-            key: ask.order.clone(),
-            tenant: ask.tenant.clone(),
+            table_group: client_request.tables,
+            work_hint: client_request.work_ms.filter(|ms| *ms > 0.0).map(to_micros),
+            memory_hint_mb: client_request.memory_mb.filter(|mb| *mb > 0.0),
+            key: client_request.order.clone(),
+            tenant: client_request.tenant.clone(),
             repeat: false,
         };
-        let asker = ask.asker;
+        let client = client_request.asker;
         let key = self.open.insert(OpenRequest {
-            asker: Some(asker),
-            ask,
+            client: Some(client),
+            request: client_request,
             deadline,
-            over: None,
+            deadline_timer: None,
             attempts: 0,
-            sent: 0,
-            out: None,
+            attempts_sent: 0,
+            outstanding: None,
             memory_mb: 0,
             priority: 1,
             may_have_run: false,
-            came: now,
-            unsure: false,
+            arrived_at: now,
+            may_still_run: false,
         });
         if let Some(open) = self.open.get_mut(key) {
-            let over = (deadline + ANSWER_GRACE_MS).min(self.response_deadline.max(now));
-            open.over = Some(timers.set(over, TimerEvent::RequestOver(key)));
+            let deadline_at = (deadline + RESPONSE_GRACE_MS).min(self.response_deadline.max(now));
+            open.deadline_timer = Some(timers.set(deadline_at, TimerEvent::RequestOver(key)));
         }
         if let Some(open) = self.open.get(key) {
-            let (class, budget) = (open.ask.class.0, open.ask.budget);
-            let order = open.ask.order.as_deref().unwrap_or("-");
-            let waited = open.ask.waited_at_client;
+            let (class, budget) = (open.request.class.0, open.request.budget);
+            let order = open.request.order.as_deref().unwrap_or("-");
+            let waited = open.request.waited_at_client;
             trace!(
                 target: ACCOUNT,
                 "ask: id={} class={class} budget={budget:.0} waited_at_client={waited:.0} order={order}",
                 id.0
             );
         }
-        self.names.insert(id, key);
-        self.askers.insert(asker, key);
-        self.tell(now, Event::RequestArrived(request), timers);
+        self.by_name.insert(id, key);
+        self.by_client.insert(client, key);
+        self.decide(now, Event::RequestArrived(request), timers);
     }
 
-    fn ended(&mut self, now: f64, ended: FinishedAttempt, timers: &mut TimerQueue) {
-        let Some(mut closed) = self.close_attempt(now, &ended, timers) else { return };
-        let (id, engine, outcome) = (&closed.request.0, &closed.engine.0, closed.outcome);
-        let ms = closed.latency.as_millis();
+    /// Handles the end of an attempt: responds to the client if the attempt had a response or no further attempt is
+    /// possible, and otherwise leaves the next step to the decision module.
+    fn finish_attempt(&mut self, now: f64, finished: FinishedAttempt, timers: &mut TimerQueue) {
+        let Some(mut attempt_end) = self.close_attempt(now, &finished, timers) else { return };
+        let (id, engine, outcome) = (&attempt_end.request.0, &attempt_end.engine.0, attempt_end.outcome);
+        let ms = attempt_end.latency.as_millis();
         trace!(target: ACCOUNT, "end: id={id} engine={engine} outcome={outcome:?} ms={ms:.1}");
-        let key = ended.attempt.request;
-        if let Some(answer) = ended.answer {
-            self.answer(key, answer);
-        } else if self.open.get(key).is_some_and(|open| open.is_spent() || self.is_unfinishable(now, open)) {
-            // Its policy allows no further attempt, or none could end before the response deadline of a shutdown.
-            let answer = self.given_up(key, BACKOFF);
-            self.answer(key, answer);
-            closed.request_answered = true;
+        let key = finished.attempt.request;
+        if let Some(response) = finished.answer {
+            self.respond(key, response);
+        } else if self
+            .open
+            .get(key)
+            .is_some_and(|open| open.has_no_attempt_left() || self.is_unfinishable(now, open))
+        {
+            // The request's policy allows no further attempt, or none could end before the response deadline of a
+            // graceful shutdown.
+            let response = self.unserved_response(key, DEFAULT_BACKOFF_MS);
+            self.respond(key, response);
+            attempt_end.request_answered = true;
         }
-        self.tell(now, Event::AttemptEnded(closed), timers);
-        self.forget(key, timers);
+        self.decide(now, Event::AttemptEnded(attempt_end), timers);
+        self.remove_if_done(key, timers);
     }
 
-    /// Takes an attempt out of the table; `None` if it is not out any more (a late line tells nothing).
+    /// Records the end of the attempt that is in flight. Returns `None` if the attempt has ended before: a backend
+    /// may report an end after the attempt has timed out here.
     fn close_attempt(
         &mut self,
         now: f64,
-        ended: &FinishedAttempt,
+        finished: &FinishedAttempt,
         timers: &mut TimerQueue,
     ) -> Option<AttemptEnd> {
-        let open = self.open.get_mut(ended.attempt.request)?;
-        let out = open.out.take_if(|out| out.attempt == ended.attempt.attempt)?;
-        timers.clear(out.due);
-        open.may_have_run |= !ended.outcome.never_ran();
-        open.unsure |= ended.outcome.may_still_run() && !ended.confirmed;
+        let open = self.open.get_mut(finished.attempt.request)?;
+        let outstanding = open.outstanding.take_if(|out| out.attempt == finished.attempt.attempt)?;
+        timers.clear(outstanding.timeout);
+        open.may_have_run |= !finished.outcome.never_ran();
+        open.may_still_run |= finished.outcome.may_still_run() && !finished.confirmed;
         Some(AttemptEnd {
-            request: RequestId(open.ask.name.clone()),
-            attempt: out.attempt,
-            engine: out.engine,
-            outcome: ended.outcome,
-            latency: to_micros(now - out.since),
-            request_answered: open.asker.is_none() || ended.answer.is_some(),
-            cost: ended.cost,
-            report: ended.report.clone(),
+            request: RequestId(open.request.name.clone()),
+            attempt: outstanding.attempt,
+            engine: outstanding.engine,
+            outcome: finished.outcome,
+            latency: to_micros(now - outstanding.sent_at),
+            request_answered: open.client.is_none() || finished.answer.is_some(),
+            cost: finished.cost,
+            report: finished.report.clone(),
         })
     }
 
-    /// Gives a request its final answer, unless it had one or the client is gone.
-    fn answer(&mut self, key: SlotKey, answer: FinalResponse) {
-        let Some(asker) = self.open.get_mut(key).and_then(|open| open.asker.take()) else { return };
-        self.askers.remove(&asker);
+    /// Sends the final response to a request, unless one was sent before or the client is gone.
+    fn respond(&mut self, key: SlotKey, response: FinalResponse) {
+        let Some(client) = self.open.get_mut(key).and_then(|open| open.client.take()) else { return };
+        self.by_client.remove(&client);
         if let Some(open) = self.open.get(key) {
-            trace!(target: ACCOUNT, "answer: id={} {}", open.ask.name, answer.word());
+            trace!(target: ACCOUNT, "answer: id={} {}", open.request.name, response.word());
         }
-        self.orders.push(DispatcherCommand::Answer(asker, answer));
+        self.commands.push(DispatcherCommand::Respond(client, response));
     }
 
-    /// Drops a request that is answered and has nothing out.
-    fn forget(&mut self, key: SlotKey, timers: &mut TimerQueue) {
-        let done = self.open.get(key).is_some_and(|open| open.asker.is_none() && open.out.is_none());
-        if let Some(open) = done.then(|| self.open.remove(key)).flatten() {
-            open.over.into_iter().for_each(|over| timers.clear(over));
-            self.names.remove(&RequestId(open.ask.name.clone()));
-            self.payload -= open.ask.payload.size();
-            self.linger(open);
+    /// Removes a request that is owed no response and has no attempt in flight.
+    fn remove_if_done(&mut self, key: SlotKey, timers: &mut TimerQueue) {
+        let is_done =
+            self.open.get(key).is_some_and(|open| open.client.is_none() && open.outstanding.is_none());
+        if let Some(open) = is_done.then(|| self.open.remove(key)).flatten() {
+            open.deadline_timer.into_iter().for_each(|timer| timers.clear(timer));
+            self.by_name.remove(&RequestId(open.request.name.clone()));
+            self.payload_bytes -= open.request.payload.size();
+            self.retain_units(open);
         }
     }
 }
--- a/src/node/dispatcher/recent_names.rs
+++ b/src/node/dispatcher/recent_names.rs
@@ -1,20 +1,20 @@
-//! Names of requests that came lately. A name is accepted once: a client that repeats one would earn retries for the
-//! retry budget each time, and could have a load run twice.
+//! Names of recent requests, to accept each name once. A client that repeated a name would add to the retry budget
+//! each time, and could have a load run twice.
 
 use crate::Settings;
 use std::collections::{HashSet, VecDeque};
 use std::sync::Arc;
 
-/// Shortest time for which a name is kept, in milliseconds.
+/// Least time for which a name is remembered, in milliseconds.
 const MIN_RETENTION_MS: f64 = 10_000.0;
 
-/// Longest time for which a name is kept, in milliseconds, whatever span the retry budget has.
+/// Longest time for which a name is remembered, in milliseconds, even if the retry budget has a longer span.
 const MAX_RETENTION_MS: f64 = 6.0 * MIN_RETENTION_MS;
 
-/// Most names that are kept. Beyond, the oldest are dropped before their time.
+/// Most names that are remembered. A further name evicts the oldest before its retention is over.
 pub const MAX_NAMES: usize = 16_384;
 
-/// The names of recent requests, by the time at which each came.
+/// The names of recent requests, in order of arrival.
 pub struct RecentNames {
     retention_ms: f64,
     names: HashSet<Arc<str>>,
@@ -22,7 +22,7 @@
 }
 
 impl RecentNames {
-    /// No names yet. They are kept as long as the retry budget looks back, within fixed bounds.
+    /// Creates an empty set. Names are remembered for the span of the retry budget, limited to 10 s to 60 s.
     pub fn new(settings: &Settings) -> RecentNames {
         let budget_span_ms = settings.retry_budget.map_or(0.0, |budget| budget.span.as_millis());
         RecentNames {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Records a name; whether it comes for the first time within the retention. `now` is in milliseconds.
+    /// Records a name at time `now` in milliseconds. Returns whether the name is new within the retention time.
     pub fn insert(&mut self, now: f64, name: &Arc<str>) -> bool {
         self.drop_old(now);
         let is_new = self.names.insert(name.clone());
@@ -42,20 +42,20 @@
         is_new
     }
 
-    /// How many names are kept.
+    /// Number of names that are remembered.
     pub fn len(&self) -> usize {
         debug_assert_eq!(self.names.len(), self.by_arrival.len());
         self.names.len()
     }
 
-    /// Whether no names are kept.
+    /// Whether no names are remembered.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
     fn drop_old(&mut self, now: f64) {
-        while let Some((came, name)) = self.by_arrival.front() {
-            let is_kept = now - came <= self.retention_ms && self.by_arrival.len() < MAX_NAMES;
+        while let Some((arrived_at, name)) = self.by_arrival.front() {
+            let is_kept = now - arrived_at <= self.retention_ms && self.by_arrival.len() < MAX_NAMES;
             if is_kept {
                 return;
             }
--- a/src/node/dispatcher/request.rs
+++ b/src/node/dispatcher/request.rs
@@ -1,124 +1,127 @@
-//! A request as a front hands it over, and its one final answer.
+//! A request as a front passes it to the request dispatcher, and the final response to it.
 
 use super::*;
 
-/// Which front a client came by.
+/// The front that serves a client: the client protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Front {
-    /// The platform's.
+    /// JSON-RPC 2.0, the platform's own protocol.
     JsonRpc,
-    /// The MySQL wire.
+    /// The MySQL client/server protocol.
     Mysql,
 }
 
-/// Who asked: a request's place on a client's connection.
+/// Identifies a request by its client connection, so that its response reaches the right client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ClientHandle {
-    /// By which front.
+    /// Front that owns the connection.
     pub front: Front,
-    /// On which connection.
+    /// Slot of the connection within that front.
     pub conn: SlotKey,
-    /// Under which number there.
+    /// Id of the request on the connection.
     pub id: u64,
 }
 
-/// Parameters bound to a prepared statement; only fronts and backends of the kind that uses them look inside.
+/// Parameters bound to a prepared statement. Only the MySQL front and the MySQL backend read them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bound {
-    /// How many parameters.
+    /// Number of parameters.
     pub count: usize,
-    /// Their types, as the client gave them.
+    /// Types of the parameters, in the encoding of the client.
     pub types: Vec<u8>,
-    /// The null bits, as the client gave them.
+    /// Null bitmap, in the encoding of the client.
     pub nulls: Vec<u8>,
-    /// The values.
+    /// Values of the parameters, in the encoding of the client.
     pub values: Vec<u8>,
-    /// Long values that came ahead, by their parameter.
+    /// Long values that the client sent before the execution, by the number of the parameter.
     pub long: Vec<(u16, Vec<u8>)>,
 }
 
-/// What is to be run. The core passes it on unread.
+/// The statement to run. The request dispatcher forwards it without reading it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Payload {
-    /// The statement.
+    /// Text of the statement.
     pub statement: Vec<u8>,
-    /// For a prepared statement, what is bound to it.
+    /// Parameters bound to a prepared statement.
     pub bound: Option<Bound>,
-    /// The schema that unqualified names mean, if one was chosen.
+    /// Default schema for unqualified names, if the client has selected one.
     pub schema: Option<String>,
 }
 
 impl Payload {
-    /// The bytes that it holds.
+    /// Size of the statement and its parameters, in bytes.
     pub fn size(&self) -> usize {
         let bound = self.bound.as_ref().map_or(0, |b| {
-            let long: usize = b.long.iter().map(|(_, value)| value.len()).sum();
-            b.types.len() + b.nulls.len() + b.values.len() + long
+            let long_values: usize = b.long.iter().map(|(_, value)| value.len()).sum();
+            b.types.len() + b.nulls.len() + b.values.len() + long_values
         });
         self.statement.len() + bound
     }
 }
 
-/// A request as a front hands it over.
+/// A request as a front passes it to the request dispatcher.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Whose answer it is.
+    /// Client and connection that the response goes to.
     pub asker: ClientHandle,
-    /// Its name, new with every request.
+    /// Unique name of the request.
     pub name: Arc<str>,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// When the client sent it, as far as can be told.
+    /// Estimated time at which the client sent the request, in milliseconds.
     pub sent: f64,
-    /// How long the client waits from then, in milliseconds.
+    /// How long the client waits for the response from `sent` on, in milliseconds.
     pub budget: f64,
-    /// Of that time, the longest part that may have passed already while it waited at its client, in milliseconds.
+    /// Longest part of `budget` that the request may have spent in a queue at the client before `sent`, in
+    /// milliseconds.
     pub waited_at_client: f64,
-    /// Its group of tables.
+    /// Group of tables that the request reads or loads.
     pub tables: u64,
     /// Estimated work in milliseconds.
     pub work_ms: Option<f64>,
     /// Estimated memory in megabytes.
     pub memory_mb: Option<f64>,
-    /// The tenant.
+    /// Tenant that the request belongs to, if the client names one.
     pub tenant: Option<Arc<str>>,
-    /// In a class that keeps order, the key: what has it in common runs one after the other, as it was taken.
+    /// Ordering key, in an ordered class: requests with the same key run one at a time in the order of arrival.
     pub order: Option<Arc<str>>,
-    /// What to run.
+    /// Statement to run, with its parameters.
     pub payload: Rc<Payload>,
-    /// What it lives under, where a fleet has a policy.
+    /// Limits from the fleet's policy, and units of the fleet's budgets that the request holds; `None` without a
+    /// fleet.
     pub admitted: Option<Admitted>,
 }
 
 impl ClientRequest {
-    /// When its final answer is due: as the client's time is over by its budget, or sooner where a part of the budget
-    /// may have passed before it was sent. `late_answer_grace` is how long after its time an answer still counts.
-    pub fn due(&self, late_answer_grace: f64) -> f64 {
+    /// Deadline of the request, in milliseconds: the end of the client's budget, or sooner if a part of the budget
+    /// may have passed before the request was sent. `late_response_grace` is the time after the end of the budget
+    /// for which a response is still valid, in milliseconds.
+    pub fn deadline(&self, late_response_grace: f64) -> f64 {
         let by_budget = self.sent + self.budget;
-        by_budget.min(by_budget - self.waited_at_client + late_answer_grace)
+        by_budget.min(by_budget - self.waited_at_client + late_response_grace)
     }
 }
 
-/// The one final answer.
+/// The final response to a request; each request gets one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The result, whole and unchanged, in the form that backend and front share.
+    /// The complete, unmodified result, in an encoding that the backend and the front of the client protocol share.
     Served(Vec<u8>),
-    /// Not run; trying again is harmless after so many milliseconds.
+    /// The request was rejected and has not run, so that a retry is safe.
     Refused {
-        /// When to come back.
+        /// Delay after which the client may retry, in milliseconds.
         backoff_ms: f64,
     },
-    /// Failed; it may have run.
+    /// The request failed and may have run.
     Failed,
-    /// Failed, as the time that the client gave has passed.
+    /// The client's budget ended before the request had a result; the request may have run.
     TimedOut,
-    /// The box ran it and answered with an error of its own, which the client understands.
+    /// The engine answered with an error of its own, in the encoding of the client protocol.
     Error(Vec<u8>),
 }
 
 impl FinalResponse {
-    /// Its kind in one word, for the log.
+    /// The kind of the response in one word, for the log.
     pub(super) fn word(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -1,9 +1,10 @@
-//! One turn of the loop: sockets, deadlines, news, and the core's orders carried out.
+//! One iteration of the event loop: socket readiness, timers, engine list events and the commands of the request
+//! dispatcher.
 
 use super::*;
 use mio::event::Event;
 
-/// An engine's state as the log names it.
+/// Name of an engine's state in the log.
 fn state_in_log(state: crate::EngineState) -> &'static str {
     match state {
         crate::EngineState::Serving => "Serving",
@@ -13,133 +14,155 @@
 }
 
 impl Node {
-    /// One turn: waits for sockets or a deadline, handles all that there is. Under a set clock it waits for sockets
-    /// no longer than `most`, and for deadlines not at all.
-    pub fn poll_once(&mut self, most: Duration) -> io::Result<()> {
-        let from = self.clock.now();
-        let again = self.jsonrpc.take_again();
-        let unread = self.closing.take_unread();
-        let due = self.timers.first().map_or(f64::INFINITY, |at| (at - from).max(0.0));
-        let most = if again.is_empty() && unread.is_empty() { most } else { Duration::ZERO };
-        let wait = if self.clock.is_set() && due > 0.0 { most } else { most.min(millis(due)) };
+    /// Runs one iteration: waits for a ready socket or the next timer, for at most `max_wait`, and then handles all
+    /// ready sockets and expired timers. Under a manually set clock, time does not pass during the wait, so that
+    /// timers in the future don't shorten the wait.
+    pub fn poll_once(&mut self, max_wait: Duration) -> io::Result<()> {
+        let poll_started = self.clock.now();
+        let unread_clients = self.jsonrpc.take_unread();
+        let unread_closing = self.closing.take_unread();
+        let time_to_timer = self.timers.first().map_or(f64::INFINITY, |at| (at - poll_started).max(0.0));
+        let has_unread = !unread_clients.is_empty() || !unread_closing.is_empty();
+        let max_wait = if has_unread { Duration::ZERO } else { max_wait };
+        let ignores_timers = self.clock.is_set() && time_to_timer > 0.0;
+        let wait = if ignores_timers { max_wait } else { max_wait.min(millis(time_to_timer)) };
         match self.poll.poll(&mut self.events, Some(wait)) {
             Err(e) if e.kind() == ErrorKind::Interrupted => return Ok(()),
             other => other?,
         }
         let now = self.clock.now();
-        // What a poll finds at once may have come while the turn before was at work; what it waited for is fresh.
-        let sent = if now - from < 0.2 { from } else { now } - TRANSIT_MS;
-        let ready = |event: &Event| Some((SocketOwner::of(event.token())?, event.is_read_closed()));
-        let owners: Vec<(SocketOwner, bool)> = self.events.iter().filter_map(ready).collect();
-        // Those that flood come last: whoever has something new to say is heard first.
-        let again =
-            again.into_iter().map(SocketOwner::JsonRpc).chain(unread.into_iter().map(SocketOwner::Closing));
-        for (owner, read_closed) in owners.into_iter().chain(again.map(|owner| (owner, false))) {
+        // Messages that a poll finds without a wait may have arrived during the previous iteration, and at the start
+        // of the poll at the latest. Messages that end a wait have just arrived.
+        let sent_at = if now - poll_started < 0.2 { poll_started } else { now } - TRANSIT_MS;
+        let to_ready_socket = |event: &Event| Some((SocketOwner::of(event.token())?, event.is_read_closed()));
+        let ready: Vec<(SocketOwner, bool)> = self.events.iter().filter_map(to_ready_socket).collect();
+        // Sockets with input left from the previous iteration come after sockets with new events, so that a client
+        // that floods its connection does not delay the others.
+        let unread_clients = unread_clients.into_iter().map(SocketOwner::JsonRpc);
+        let unread = unread_clients.chain(unread_closing.into_iter().map(SocketOwner::Closing));
+        for (owner, read_closed) in ready.into_iter().chain(unread.map(|owner| (owner, false))) {
             let now = self.clock.now();
-            self.ready(owner, read_closed, now, sent);
+            self.handle_socket(owner, read_closed, now, sent_at);
         }
         let now = self.clock.now();
-        while let Some(wake) = self.timers.pop(now) {
-            self.wake(wake, self.clock.now());
+        while let Some(timer_event) = self.timers.pop(now) {
+            self.handle_timer(timer_event, self.clock.now());
         }
-        self.fleet();
-        self.feed();
+        self.update_admission();
+        self.publish_view();
         Ok(())
     }
 
-    /// A socket has something to say. `read_closed`: the other side has closed, whatever is left to read.
-    fn ready(&mut self, owner: SocketOwner, read_closed: bool, now: f64, sent: f64) {
-        let mut heard = Vec::new();
+    /// Handles readiness of a socket. `read_closed` tells that the peer has closed its write side, possibly with
+    /// input left to read. `sent_at` is the estimated time at which the peer sent that input.
+    fn handle_socket(&mut self, owner: SocketOwner, read_closed: bool, now: f64, sent_at: f64) {
+        let mut events = Vec::new();
         if let SocketOwner::Control(_) | SocketOwner::Fixed(HTTP_LISTENER | AGENT_LISTENER) = owner {
             return self.control_ready(owner, now);
         }
-        let Node { poll, timers, log, jsonrpc, mysql, warehouses, bulletin, closing, .. } = self;
+        let Node { poll, timers, log, jsonrpc, mysql, line_protocol, discovery, closing, .. } = self;
         let mut context =
-            BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
+            BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut events, log };
         match owner {
             SocketOwner::Fixed(SIGNAL) => self.begin_shutdown(),
-            SocketOwner::Fixed(RELOAD) => {} // Only ends the wait.
-            SocketOwner::Fixed(LISTENER) => self.accept(Front::JsonRpc, now, sent, &mut heard),
-            SocketOwner::Fixed(_) => self.accept(Front::Mysql, now, sent, &mut heard),
-            SocketOwner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent, &mut context),
+            // The waker only interrupts the poll: reloads and responses of the fleet's leader are applied after it.
+            SocketOwner::Fixed(RELOAD) => {}
+            SocketOwner::Fixed(LISTENER) => self.accept(Front::JsonRpc, now, sent_at, &mut events),
+            SocketOwner::Fixed(_) => self.accept(Front::Mysql, now, sent_at, &mut events),
+            SocketOwner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent_at, &mut context),
             SocketOwner::Closing(key) => closing.ready(key, timers),
-            SocketOwner::Warehouse(key) => warehouses.ready(key, &mut context),
+            SocketOwner::Warehouse(key) => line_protocol.ready(key, &mut context),
             SocketOwner::Bulletin(generation) => {
-                let news = bulletin.as_mut().map(|b| b.ready(now, generation)).unwrap_or_default();
-                self.news(news, &mut heard);
+                let list_events =
+                    discovery.as_mut().map(|client| client.ready(now, generation)).unwrap_or_default();
+                self.apply_list_events(list_events, &mut events);
             }
             SocketOwner::Mysql(key) => {
                 mysql.iter_mut().for_each(|(front, _)| front.ready(key, read_closed, &mut context));
             }
             SocketOwner::MysqlBox(key) => {
-                mysql.iter_mut().for_each(|(_, boxes)| boxes.ready(key, &mut context))
+                mysql.iter_mut().for_each(|(_, mysql_backend)| mysql_backend.ready(key, &mut context))
             }
-            SocketOwner::Control(_) => {} // Handled above.
+            // Handled by `control_ready` above.
+            SocketOwner::Control(_) => {}
         }
-        self.settle(heard);
+        self.run_dispatcher(events);
     }
 
-    pub(super) fn wake(&mut self, wake: TimerEvent, now: f64) {
-        let mut heard = Vec::new();
-        let Node { poll, timers, log, jsonrpc, mysql, warehouses, bulletin, exchange, control, .. } = self;
+    /// Handles a timer that has expired.
+    pub(super) fn handle_timer(&mut self, timer_event: TimerEvent, now: f64) {
+        let mut events = Vec::new();
+        let Node { poll, timers, log, jsonrpc, mysql, line_protocol, discovery, dispatcher, control, .. } =
+            self;
         let (registry, closing) = (poll.registry(), &mut self.closing);
-        let mut context = BackendContext { now, registry, timers, closing, heard: &mut heard, log };
-        match wake {
-            TimerEvent::Module(timer) => exchange.timer(now, timer, timers),
-            TimerEvent::RequestOver(key) => exchange.request_over(now, key, timers),
+        let mut context = BackendContext { now, registry, timers, closing, heard: &mut events, log };
+        match timer_event {
+            TimerEvent::Module(timer) => dispatcher.module_timer_fired(now, timer, timers),
+            TimerEvent::RequestOver(key) => dispatcher.request_timed_out(now, key, timers),
             TimerEvent::AttemptOver(request, attempt) => {
-                exchange.attempt_over(now, AttemptRef { request, attempt }, timers);
+                dispatcher.attempt_timed_out(now, AttemptRef { request, attempt }, timers);
+            }
+            TimerEvent::Backend(key) => line_protocol.look(key, &mut context),
+            TimerEvent::Bulletin => {
+                discovery.iter_mut().for_each(|client| client.look(now, registry, timers))
             }
-            TimerEvent::Backend(key) => warehouses.look(key, &mut context),
-            TimerEvent::Bulletin => bulletin.iter_mut().for_each(|b| b.look(now, registry, timers)),
             TimerEvent::AcceptAgain => {
                 self.accept_paused = false;
-                self.accept(Front::JsonRpc, now, now - ACCEPT_PAUSE_MS, &mut heard);
-                self.accept(Front::Mysql, now, now, &mut heard);
+                self.accept(Front::JsonRpc, now, now - ACCEPT_PAUSE_MS, &mut events);
+                self.accept(Front::Mysql, now, now, &mut events);
             }
-            TimerEvent::Client(key) => jsonrpc.due(key, &mut context),
+            TimerEvent::Client(key) => jsonrpc.timed_out(key, &mut context),
             TimerEvent::ClosingConnection(key) => closing.expired(key),
-            TimerEvent::Shutdown => self.advance_shutdown(now, &mut heard),
+            TimerEvent::Shutdown => self.advance_shutdown(now, &mut events),
             TimerEvent::MysqlBox(key) => {
-                mysql.iter_mut().for_each(|(_, boxes)| boxes.look(key, &mut context))
+                mysql.iter_mut().for_each(|(_, mysql_backend)| mysql_backend.look(key, &mut context))
             }
             TimerEvent::MysqlLogin(key) => {
                 mysql.iter_mut().for_each(|(front, _)| front.login_over(key, &mut context));
             }
             TimerEvent::Control(key) => control.look(key, &mut context),
-            // Health and warmth change without any socket saying so; `feed` looks at them after each turn.
+            // Health and warm-up of engines change without a socket event. The timer only ends the poll: `poll_once`
+            // calls `publish_view` at the end of each iteration.
             TimerEvent::Xds => {
                 timers.set(now + control::xds::FEED_MS, TimerEvent::Xds);
             }
-            // `fleet` looks after each turn.
+            // The timer only ends the poll: `poll_once` calls `update_admission` in each iteration.
             TimerEvent::Fleet => self.admission_due = None,
         }
-        self.settle(heard);
+        self.run_dispatcher(events);
     }
 
-    pub(super) fn accept(&mut self, front: Front, now: f64, sent: f64, heard: &mut Vec<DispatcherEvent>) {
+    /// Accepts connections of a front until the listen backlog is empty. `sent_at` is the latest time at which the
+    /// clients can have sent the data that is ready to read.
+    pub(super) fn accept(&mut self, front: Front, now: f64, sent_at: f64, events: &mut Vec<DispatcherEvent>) {
         while !self.accept_paused {
             let Node { poll, timers, log, jsonrpc, mysql, listeners, shutdown, closing, .. } = self;
-            let Some((_, listener)) = listeners.iter().find(|(of, _)| *of == front) else { return };
+            let Some((_, listener)) = listeners.iter().find(|(listener_front, _)| *listener_front == front)
+            else {
+                return;
+            };
             let clients = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
-            let mut context = BackendContext { now, registry: poll.registry(), timers, closing, heard, log };
-            // Guards against clients that ask once and stay, or never ask: they make room for those that come.
-            let full = clients >= self.client_sockets
+            let mut context =
+                BackendContext { now, registry: poll.registry(), timers, closing, heard: events, log };
+            // At the limit on client connections, an idle client or one that never sent a request is disconnected to
+            // make room for the new one.
+            let is_full = clients >= self.client_sockets
                 && !context.closing.evict(context.timers)
-                && !jsonrpc.make_room(sent, &mut context);
-            let accepted = if full { Err(ErrorKind::QuotaExceeded.into()) } else { listener.accept() };
+                && !jsonrpc.make_room(sent_at, &mut context);
+            let accepted = if is_full { Err(ErrorKind::QuotaExceeded.into()) } else { listener.accept() };
             match accepted {
                 Ok((stream, _)) => {
                     shutdown.iter_mut().for_each(|shutdown| shutdown.accepted(now));
                     match (front, mysql) {
                         (Front::Mysql, Some((mysql, _))) => mysql.accept(stream, &mut context),
-                        _ => jsonrpc.accept(stream, sent, &mut context),
+                        _ => jsonrpc.accept(stream, sent_at, &mut context),
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted || e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(_) => {
-                    // Out of descriptors, or at the clients' part: those that wait stay in the system's line.
+                    // File descriptors or the limit on client connections are exhausted: new connections wait in the
+                    // listen backlog until the pause is over.
                     self.accept_paused = true;
                     self.timers.set(now + ACCEPT_PAUSE_MS, TimerEvent::AcceptAgain);
                 }
@@ -147,79 +170,96 @@
         }
     }
 
-    pub(super) fn news(&mut self, news: Vec<ListEvent>, heard: &mut Vec<DispatcherEvent>) {
+    /// Applies events of the engine list to the backends, and reports the engines to the request dispatcher.
+    pub(super) fn apply_list_events(
+        &mut self,
+        list_events: Vec<ListEvent>,
+        events: &mut Vec<DispatcherEvent>,
+    ) {
         let now = self.clock.now();
-        if !news.is_empty() {
+        if !list_events.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
         }
-        for ListEvent { number, kind, listings } in news {
-            let Node { poll, timers, log, mysql, warehouses, closing, .. } = self;
-            let mut context = BackendContext { now, registry: poll.registry(), timers, closing, heard, log };
-            warehouses.members(kind, &listings, &mut context);
-            mysql.iter_mut().for_each(|(_, boxes)| boxes.members(kind, &listings, &mut context));
+        for ListEvent { number, kind, listings } in list_events {
+            let Node { poll, timers, log, mysql, line_protocol, closing, .. } = self;
+            let mut context =
+                BackendContext { now, registry: poll.registry(), timers, closing, heard: events, log };
+            line_protocol.members(kind, &listings, &mut context);
+            mysql
+                .iter_mut()
+                .for_each(|(_, mysql_backend)| mysql_backend.members(kind, &listings, &mut context));
             for listing in &listings {
-                let m = &listing.member;
-                let (engine, address, state) = (&m.engine.0, listing.address, state_in_log(m.state));
+                let entry = &listing.member;
+                let (engine, address, state) = (&entry.engine.0, listing.address, state_in_log(entry.state));
                 self.log.push(format!("list: no={number} engine={engine} address={address} state={state}"));
             }
-            let members: Vec<_> = listings.into_iter().map(|listing| listing.member).collect();
-            let members = match &mut self.admission {
-                Some(admission) => admission.engines_listed(kind != crate::ListKind::Changes, members),
-                None => members,
+            let entries: Vec<_> = listings.into_iter().map(|listing| listing.member).collect();
+            let entries = match &mut self.admission {
+                Some(admission) => admission.engines_listed(kind != crate::ListKind::Changes, entries),
+                None => entries,
             };
-            heard.push(DispatcherEvent::Members(kind, number, members));
+            events.push(DispatcherEvent::EngineList(kind, number, entries));
         }
     }
 
-    /// Lets the core hear what came, and carries its orders out, until nothing is left.
-    pub(super) fn settle(&mut self, mut heard: Vec<DispatcherEvent>) {
+    /// Passes events to the request dispatcher and carries out its commands, which may cause further events, until
+    /// there are no events left.
+    pub(super) fn run_dispatcher(&mut self, mut events: Vec<DispatcherEvent>) {
         loop {
             let now = self.clock.now();
-            for heard in heard.drain(..) {
-                let heard = if self.admission.is_some() { self.admit(heard) } else { Some(heard) };
-                let heard = heard.into_iter();
-                heard.for_each(|heard| self.exchange.hear(now, heard, &mut self.timers));
+            for event in events.drain(..) {
+                let admitted = if self.admission.is_some() { self.admit(event) } else { Some(event) };
+                let admitted = admitted.into_iter();
+                admitted.for_each(|event| self.dispatcher.handle(now, event, &mut self.timers));
             }
-            self.log.append(&mut self.exchange.take_logs());
-            let orders = self.exchange.take_orders();
-            if orders.is_empty() {
+            self.log.append(&mut self.dispatcher.take_logs());
+            let commands = self.dispatcher.take_commands();
+            if commands.is_empty() {
                 return;
             }
-            let Node { poll, timers, log, jsonrpc, mysql, warehouses, closing, .. } = self;
+            let Node { poll, timers, log, jsonrpc, mysql, line_protocol, closing, .. } = self;
             let mut context =
-                BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log };
-            for order in orders {
-                match (order, mysql.as_mut()) {
-                    (DispatcherCommand::Answer(asker, answer), Some((front, _)))
-                        if asker.front == Front::Mysql =>
+                BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut events, log };
+            for command in commands {
+                match (command, mysql.as_mut()) {
+                    (DispatcherCommand::Respond(client, response), Some((mysql_front, _)))
+                        if client.front == Front::Mysql =>
                     {
-                        front.answer(asker, answer, &mut context);
+                        mysql_front.answer(client, response, &mut context);
                     }
-                    (DispatcherCommand::Answer(asker, answer), _) => {
-                        jsonrpc.answer(asker, &answer, &mut context)
+                    (DispatcherCommand::Respond(client, response), _) => {
+                        jsonrpc.respond(client, &response, &mut context)
                     }
-                    (DispatcherCommand::Start(start), Some((_, boxes))) if start.front == Front::Mysql => {
-                        boxes.start(start, &mut context);
+                    (DispatcherCommand::Start(start), Some((_, mysql_backend)))
+                        if start.front == Front::Mysql =>
+                    {
+                        mysql_backend.start(start, &mut context);
                     }
-                    (DispatcherCommand::Start(start), _) => warehouses.start(start, &mut context),
-                    // A pool passes over attempts and engines that are not its own.
-                    (DispatcherCommand::GiveUp(attempt, again), boxes) => {
-                        let boxes = boxes.filter(|(_, boxes)| boxes.carries(attempt));
-                        match boxes {
-                            Some((_, boxes)) => boxes.give_up(attempt, again, &mut context),
-                            None => warehouses.give_up(attempt, again, &mut context),
+                    (DispatcherCommand::Start(start), _) => line_protocol.start(start, &mut context),
+                    // Each backend ignores commands for attempts and engines that it does not have.
+                    (DispatcherCommand::Cancel(attempt, report_end), mysql) => {
+                        let mysql = mysql.filter(|(_, mysql_backend)| mysql_backend.carries(attempt));
+                        match mysql {
+                            Some((_, mysql_backend)) => {
+                                mysql_backend.give_up(attempt, report_end, &mut context)
+                            }
+                            None => line_protocol.give_up(attempt, report_end, &mut context),
                         }
                     }
-                    (DispatcherCommand::Withdraw(attempt), boxes) => {
-                        warehouses.withdraw(attempt, &mut context);
-                        boxes.into_iter().for_each(|(_, boxes)| boxes.withdraw(attempt, &mut context));
+                    (DispatcherCommand::CancelIfUnsent(attempt), mysql) => {
+                        line_protocol.withdraw(attempt, &mut context);
+                        mysql
+                            .into_iter()
+                            .for_each(|(_, mysql_backend)| mysql_backend.withdraw(attempt, &mut context));
                     }
-                    (DispatcherCommand::Hurry(attempt, priority), _) => {
-                        warehouses.hurry(attempt, priority, &mut context)
+                    (DispatcherCommand::SetPriority(attempt, priority), _) => {
+                        line_protocol.hurry(attempt, priority, &mut context)
                     }
-                    (DispatcherCommand::CloseIdle(engine), boxes) => {
-                        warehouses.close_idle(&engine, &mut context);
-                        boxes.into_iter().for_each(|(_, boxes)| boxes.close_idle(&engine, &mut context));
+                    (DispatcherCommand::CloseIdle(engine), mysql) => {
+                        line_protocol.close_idle(&engine, &mut context);
+                        mysql
+                            .into_iter()
+                            .for_each(|(_, mysql_backend)| mysql_backend.close_idle(&engine, &mut context));
                     }
                 }
             }
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -1,4 +1,4 @@
-//! What a message asks for, and what is wrong with one.
+//! Parsing and validation of the messages of a client, and error responses.
 
 use super::*;
 
@@ -10,163 +10,177 @@
 pub(super) const FAILED: i32 = -32010;
 pub(super) const TIMED_OUT: i32 = -32012;
 
-/// What a message asks for.
-pub(super) enum Asked {
+/// A message of a client, after validation.
+pub(super) enum Message {
+    /// An `alive` call with this id, by which a client checks that the node responds.
     Alive(u64),
+    /// A cancel of the request with this id.
     Cancel(u64),
-    Run(u64, Box<ClientRequest>),
-    /// A request under the number of one that is open.
-    Twice(u64),
-    /// A notification that tells nothing: no answer is owed, not even an error.
-    Nothing,
+    /// A request to run a statement, with its id.
+    Request(u64, Box<ClientRequest>),
+    /// A request whose id is that of an open request.
+    DuplicateId(u64),
+    /// A notification without effect. Notifications get no response, not even an error.
+    Ignored,
 }
 
-/// An error for the client: its request's number, if that could be read, and what is wrong.
-pub(super) type Wrong = (Option<u64>, (i32, &'static str), &'static str);
+/// An error for the client: the id of the message, if it could be read, the error's code and name, and the reason.
+pub(super) type MessageError = (Option<u64>, (i32, &'static str), &'static str);
 
 impl JsonRpc {
-    /// Tells a client what is wrong with what it said.
-    pub(super) fn wrong(
+    /// Sends a client the error of its message, and writes the error to the log up to the limit of lines per second.
+    pub(super) fn send_error(
         &mut self,
         key: SlotKey,
-        (id, (code, name), why): Wrong,
+        (id, (code, name), reason): MessageError,
         context: &mut BackendContext,
     ) {
-        if context.now - self.told.1 >= 1000.0 {
-            if self.told.0 > LOG_MOST {
-                context.log.push(format!("bad message: {} more", self.told.0 - LOG_MOST));
+        if context.now - self.bad_messages.1 >= 1000.0 {
+            if self.bad_messages.0 > MAX_LOG_LINES {
+                context.log.push(format!("bad message: {} more", self.bad_messages.0 - MAX_LOG_LINES));
             }
-            self.told = (0, context.now);
+            self.bad_messages = (0, context.now);
         }
-        self.told.0 += 1;
-        if self.told.0 <= LOG_MOST {
-            context.log.push(format!("bad message: code={code} {why}"));
+        self.bad_messages.0 += 1;
+        if self.bad_messages.0 <= MAX_LOG_LINES {
+            context.log.push(format!("bad message: code={code} {reason}"));
         }
         let Some(client) = self.clients.get_mut(key) else { return };
         let id = id.map_or("null".to_owned(), |id| id.to_string());
-        let message = json::quoted(&format!("{name}: {why}"));
+        let message = json::quoted(&format!("{name}: {reason}"));
         let error = format!(r#"{{"code":{code},"message":{message}}}"#);
         put(&mut client.link, &format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{error}}}"#));
     }
 
-    pub(super) fn message(
+    /// Handles a complete message of a client. `sent_at` is the latest time at which it can have been sent.
+    pub(super) fn handle_message(
         &mut self,
         key: SlotKey,
         message: Vec<u8>,
-        sent: f64,
+        sent_at: f64,
         context: &mut BackendContext,
     ) {
-        let asked = self.read(key, message, sent);
+        let parsed = self.parse_message(key, message, sent_at);
         let Some(client) = self.clients.get_mut(key) else { return };
-        let on_new_connection = !client.asked;
-        client.asked |= matches!(asked, Ok(Asked::Alive(_) | Asked::Cancel(_) | Asked::Run(..)));
-        match asked {
-            Ok(Asked::Nothing) => {}
-            Ok(Asked::Alive(id)) => {
+        let on_new_connection = !client.is_active;
+        client.is_active |=
+            matches!(parsed, Ok(Message::Alive(_) | Message::Cancel(_) | Message::Request(..)));
+        match parsed {
+            Ok(Message::Ignored) => {}
+            Ok(Message::Alive(id)) => {
                 put(&mut client.link, &format!(r#"{{"jsonrpc":"2.0","id":{id},"result":{{"pass":true}}}}"#));
             }
-            Ok(Asked::Cancel(id)) => {
-                if client.open.remove(&id) {
+            Ok(Message::Cancel(id)) => {
+                if client.open_ids.remove(&id) {
                     withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.heard);
                 }
             }
-            // Nobody waits for it: its client has closed its side.
-            Ok(Asked::Run(..) | Asked::Twice(_)) if client.ended => {}
-            Ok(Asked::Run(id, mut ask)) => {
-                client.open.insert(id);
-                if let Some(order) = &ask.order {
+            // The client has closed its write side, which withdraws its requests.
+            Ok(Message::Request(..) | Message::DuplicateId(_)) if client.read_closed => {}
+            Ok(Message::Request(id, mut request)) => {
+                client.open_ids.insert(id);
+                if let Some(ordering_key) = &request.order {
                     let pacing = &mut self.key_pacing;
-                    ask.waited_at_client = pacing.longest_wait(sent, order, ask.budget, on_new_connection);
+                    request.waited_at_client =
+                        pacing.longest_wait(sent_at, ordering_key, request.budget, on_new_connection);
                 }
-                context.heard.push(DispatcherEvent::Asked(*ask));
+                context.heard.push(DispatcherEvent::Asked(*request));
             }
-            Ok(Asked::Twice(id)) => {
-                // Any answer under this number could be taken for that of the other request.
-                self.wrong(key, (Some(id), INVALID, "id is in use"), context);
-                self.leave(key, context);
+            Ok(Message::DuplicateId(id)) => {
+                // The client could take any further response with this id for that of the open request.
+                self.send_error(key, (Some(id), INVALID, "id is in use"), context);
+                self.close_gracefully(key, context);
             }
-            Err(wrong) => self.wrong(key, wrong, context),
+            Err(error) => self.send_error(key, error, context),
         }
     }
 
-    pub(super) fn read(&self, key: SlotKey, message: Vec<u8>, sent: f64) -> Result<Asked, Wrong> {
+    /// Parses and validates a message of a client.
+    pub(super) fn parse_message(
+        &self,
+        key: SlotKey,
+        message: Vec<u8>,
+        sent_at: f64,
+    ) -> Result<Message, MessageError> {
         let value = json::read(message).map_err(|_| (None, PARSE, "not JSON"))?;
-        let number = value.get("id").and_then(|id| id.as_u64()).filter(|id| *id > 0);
-        let wrong = |what, why| Err((number, what, why));
+        let message_id = value.get("id").and_then(|id| id.as_u64()).filter(|id| *id > 0);
+        let error = |kind, reason| Err((message_id, kind, reason));
         if value.get("jsonrpc").and_then(|v| v.as_str()) != Some("2.0") {
-            return wrong(INVALID, "jsonrpc is not 2.0");
+            return error(INVALID, "jsonrpc is not 2.0");
         }
         let Some(method) = value.get("method").and_then(|m| m.as_str()) else {
-            return wrong(INVALID, "method is not a string");
+            return error(INVALID, "method is not a string");
         };
         let params = value.get("params");
         let param = |name: &str| params.and_then(|p| p.get(name));
-        let notifies = value.get("id").is_none();
+        let is_notification = value.get("id").is_none();
         if method == "cancelRequest" {
-            let place = || params.and_then(|p| p.as_array()).and_then(|list| list.first());
-            return match param("id").or_else(place).and_then(|id| id.as_u64()) {
-                Some(id) => Ok(Asked::Cancel(id)),
-                None if notifies => Ok(Asked::Nothing),
-                None => wrong(PARAMS, "id is not a number"),
+            let positional = || params.and_then(|p| p.as_array()).and_then(|list| list.first());
+            return match param("id").or_else(positional).and_then(|id| id.as_u64()) {
+                Some(id) => Ok(Message::Cancel(id)),
+                None if is_notification => Ok(Message::Ignored),
+                None => error(PARAMS, "id is not a number"),
             };
         }
-        if notifies && !self.classes.contains_key(method) {
-            return Ok(Asked::Nothing);
+        if is_notification && !self.classes.contains_key(method) {
+            return Ok(Message::Ignored);
         }
-        let Some(id) = number else { return wrong(INVALID, "id is not a number from 1") };
+        let Some(id) = message_id else { return error(INVALID, "id is not a number from 1") };
         if method == "alive" {
-            return Ok(Asked::Alive(id));
+            return Ok(Message::Alive(id));
         }
-        let Some(class) = self.classes.get(method) else { return wrong(UNKNOWN, "no such class") };
+        let Some(class) = self.classes.get(method) else { return error(UNKNOWN, "no such class") };
         let client = self.clients.get(key);
-        if client.is_none_or(|client| client.open.contains(&id)) {
-            return Ok(Asked::Twice(id));
+        if client.is_none_or(|client| client.open_ids.contains(&id)) {
+            return Ok(Message::DuplicateId(id));
         }
-        if client.is_none_or(|client| client.open.len() >= OPEN_MOST) {
-            return wrong(INVALID, "too many open requests");
+        if client.is_none_or(|client| client.open_ids.len() >= MAX_OPEN_REQUESTS) {
+            return error(INVALID, "too many open requests");
         }
         let text = |name: &str| param(name).and_then(|v| v.as_str());
-        let hex = |n: &&str| n.len() == NAME_LENGTH && n.bytes().all(|b| b.is_ascii_hexdigit());
-        let Some(name) = text("rid").filter(hex) else { return wrong(PARAMS, "rid") };
-        let longest = self.budgets.get(class.0).copied().unwrap_or_default();
-        let Some(budget) = param("budget").and_then(json::number).filter(|ms| *ms > 0.0 && *ms <= longest)
+        let is_name = |n: &&str| n.len() == NAME_LENGTH && n.bytes().all(|b| b.is_ascii_hexdigit());
+        let Some(name) = text("rid").filter(is_name) else { return error(PARAMS, "rid") };
+        let max_budget = self.max_budgets.get(class.0).copied().unwrap_or_default();
+        let Some(budget) = param("budget").and_then(json::number).filter(|ms| *ms > 0.0 && *ms <= max_budget)
         else {
-            return wrong(PARAMS, "budget");
+            return error(PARAMS, "budget");
         };
-        let estimate = |name: &str, most: f64| match param(name) {
+        let estimate = |name: &str, max: f64| match param(name) {
             None | Some(OwnedValue::Static(StaticNode::Null)) => Ok(None),
             Some(v) => {
-                let within = json::number(v).filter(|v| (0.0..=most).contains(v));
-                within.map(Some).ok_or((number, PARAMS, "estimate"))
+                let in_range = json::number(v).filter(|v| (0.0..=max).contains(v));
+                in_range.map(Some).ok_or((message_id, PARAMS, "estimate"))
             }
         };
-        let (work_ms, memory_mb) = (estimate("est", MOST_MS)?, estimate("memory", MOST_MB)?);
+        let (work_ms, memory_mb) = (estimate("est", MAX_WORK_MS)?, estimate("memory", MAX_MEMORY_MB)?);
         let tenant = match param("acct") {
             None | Some(OwnedValue::Static(StaticNode::Null)) => None,
             Some(v) => match v.as_str().and_then(|name| self.tenants.get(name)) {
                 Some(name) => Some(name.clone()),
-                None => return wrong(PARAMS, "acct"),
+                None => return error(PARAMS, "acct"),
             },
         };
-        // Without its key nobody can tell what it has to wait for: better not run than out of its turn.
-        let order = match self.ordered.get(class.0) {
+        // A request of an ordered class without its ordering key is invalid, since it could overtake earlier requests
+        // with the same key.
+        let order = match self.is_ordered.get(class.0) {
             Some(true) => {
-                let key = text("obj").filter(|key| (1..=KEY_MOST).contains(&key.len()));
-                let Some(key) = key else { return wrong(PARAMS, "obj") };
+                let key = text("obj").filter(|key| (1..=MAX_KEY_BYTES).contains(&key.len()));
+                let Some(key) = key else { return error(PARAMS, "obj") };
                 Some(Arc::from(key))
             }
             _ => None,
         };
-        // A statement is text: an engine that can't read one closes, whatever else is open on that connection.
+        // A statement must be valid UTF-8: an engine that receives invalid text closes the connection, with all other
+        // attempts on it.
         let statement = text("doc").and_then(|doc| BASE64_STANDARD.decode(doc).ok());
         let Some(statement) = statement.filter(|s| !s.is_empty() && std::str::from_utf8(s).is_ok()) else {
-            return wrong(PARAMS, "doc");
+            return error(PARAMS, "doc");
         };
-        let ask = ClientRequest {
+        let request = ClientRequest {
             asker: ClientHandle { front: Front::JsonRpc, conn: key, id },
             name: Arc::from(name),
             class: *class,
-            sent,
+            sent: sent_at,
             budget,
             waited_at_client: 0.0,
             tables: table_group::table_group(&statement).unwrap_or(0),
@@ -177,6 +191,6 @@
             payload: Rc::new(Payload { statement, ..Payload::default() }),
             admitted: None,
         };
-        Ok(Asked::Run(id, Box::new(ask)))
+        Ok(Message::Request(id, Box::new(request)))
     }
 }
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's front: JSON-RPC 2.0 behind `Content-Length` heads.
+//! The JSON-RPC front: JSON-RPC 2.0 messages, each with a `Content-Length` header.
 
 mod framing;
 pub mod key_pacing;
@@ -14,7 +14,7 @@
 use crate::node::timer_queue::{TimerEvent, TimerHandle};
 use crate::{ClassId, Settings};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
-use framing::{framed, Framed};
+use framing::{split_frame, Frame};
 use key_pacing::KeyPacing;
 use message::*;
 use mio::net::TcpStream;
@@ -22,133 +22,154 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-const HEAD_MOST: usize = 4096; // a head is one short line; longer, the framing is lost
-const MESSAGE_MOST: usize = 1 << 20; // a statement of some 700 kB in base64
-const MESSAGE_LEAST: usize = 64 * 1024; // and where memory is short: a long statement still
-const MESSAGE_PART: usize = 32; // of what all clients may keep here, a message takes no more than such a part
-const OPEN_MOST: usize = 32; // requests on one connection, as the platform promises
-const OUT_HIGH: usize = 256 * 1024; // unwritten answers past which nothing more is read from a client
-const OUT_MOST: usize = 4 << 20; // and past which a client that reads nothing is let go: 32 whole results
-const CLIENT_LIGHT: usize = 32 * 1024; // bytes of one client that call for no look at all of them
-const KEY_MOST: usize = 64; // bytes of a key of order: the platform's have 16
-const NAME_LENGTH: usize = 16; // hex digits, as the platform promises: engines read nothing else
-const TURN_BYTES: usize = 64 * 1024; // of one client at a time; then it is the others' turn
-const TURN_MESSAGES: usize = 32; // likewise: a whole connection's worth
-const FIRST_MS: f64 = 2000.0; // from the connect to a first whole message; then a client is let go
-const WHOLE_MS: f64 = 2000.0; // from a message's first byte to its last; likewise
-const NEW_MS: f64 = 100.0; // a client this new has yet to say its first word
-const FAR: f64 = 2.0; // times its class's longest wait past which a client's budget is out of range
-const MOST_MS: f64 = 1e7; // work past which an estimate is out of range: three hours
-const MOST_MB: f64 = 1e7; // memory, likewise: ten terabytes
-const LOG_MOST: u32 = 20; // lines on bad messages a second; the rest are counted
+/// Longest message header in bytes. A valid header is one short line, so a longer one is a framing error.
+const MAX_HEADER_BYTES: usize = 4096;
+/// Upper bound of the message size limit in bytes: a statement of about 700 kB in base64.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Lower bound of the message size limit in bytes, for nodes with little memory: it still fits a long statement.
+const MIN_MESSAGE_LIMIT: usize = 64 * 1024;
+/// The message size limit is the memory limit of all client buffers divided by this number.
+const MESSAGE_LIMIT_DIVISOR: usize = 32;
+/// Most open requests on one connection, as specified by the platform.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Unwritten response bytes above which the front stops reading from a client.
+const READ_PAUSE_BYTES: usize = 256 * 1024;
+/// Unwritten response bytes above which a client that does not read is disconnected: 32 full results.
+const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
+/// Buffered bytes of one client up to which a read does not trigger the check of the total over all clients.
+const LIGHT_CLIENT_BYTES: usize = 32 * 1024;
+/// Longest valid ordering key in bytes. The platform's own keys have 16 bytes.
+const MAX_KEY_BYTES: usize = 64;
+/// Hex digits of a request name, as specified by the platform. Engines accept no other length.
+const NAME_LENGTH: usize = 16;
+/// Most bytes read from one client per event loop iteration, so that a client can't starve the others.
+const BYTES_PER_TURN: usize = 64 * 1024;
+/// Most messages handled from one client per event loop iteration: as many as it may have open requests.
+const MESSAGES_PER_TURN: usize = 32;
+/// Time from the connect to the first complete message, in milliseconds, after which a client is disconnected.
+const FIRST_MESSAGE_TIMEOUT_MS: f64 = 2000.0;
+/// Time from the first byte of a message to its last, in milliseconds, after which a client is disconnected.
+const MESSAGE_TIMEOUT_MS: f64 = 2000.0;
+/// Age in milliseconds up to which a client that has not sent a request is evicted only after all idle clients.
+const NEW_CLIENT_MS: f64 = 100.0;
+/// Largest valid budget of a request, as a multiple of the deadline of its class.
+const BUDGET_FACTOR: f64 = 2.0;
+/// Largest valid estimate of a request's work, in milliseconds: about three hours.
+const MAX_WORK_MS: f64 = 1e7;
+/// Largest valid estimate of a request's memory, in megabytes: ten terabytes.
+const MAX_MEMORY_MB: f64 = 1e7;
+/// Most log lines about bad messages per second. Further bad messages are only counted.
+const MAX_LOG_LINES: u32 = 20;
 
 struct Client {
     link: BufferedSocket,
-    open: HashSet<u64>,
-    /// The client has closed its side: nobody waits any more.
-    ended: bool,
-    /// Whether it has ever said anything that is of use.
-    asked: bool,
-    /// When it connected, or was last answered.
-    since: f64,
-    /// Since when a message stands half said.
-    part: Option<f64>,
-    due: Option<TimerHandle>,
+    /// Ids of the requests that are owed a response.
+    open_ids: HashSet<u64>,
+    /// Whether the client has closed its write side; its requests are withdrawn then.
+    read_closed: bool,
+    /// Whether the client has sent a valid request, cancel or `alive` call.
+    is_active: bool,
+    /// Time of the last response, or of the connect, in milliseconds.
+    idle_since: f64,
+    /// Time at which the first bytes of an incomplete message were read.
+    partial_since: Option<f64>,
+    timer: Option<TimerHandle>,
 }
 
 impl Client {
-    fn weight(&self) -> usize {
+    fn buffered(&self) -> usize {
         self.link.waiting() + self.link.input.capacity()
     }
 
-    /// Whether it is owed nothing and stands in no message.
-    fn is_quiet(&self) -> bool {
-        self.open.is_empty()
-            && self.link.waiting() == 0
-            && self.link.input.is_empty()
-            && !self.link.has_more()
+    /// Whether the client is owed no response and has no unread or incomplete message.
+    fn is_idle(&self) -> bool {
+        let link = &self.link;
+        self.open_ids.is_empty() && link.waiting() == 0 && link.input.is_empty() && !link.has_more()
     }
 
-    /// The order in which clients make room for others; none for whom something is open or on its way.
-    fn use_left(&self, now: f64) -> Option<u8> {
+    /// Rank for disconnecting clients when connections run out, lowest first. `None` for clients that must stay: a
+    /// request is open, a message is incomplete, or a response is not written yet.
+    fn eviction_rank(&self, now: f64) -> Option<u8> {
         match () {
-            () if !self.open.is_empty() || (self.asked && self.part.is_some()) => None,
-            () if !self.asked && now - self.since > NEW_MS => Some(1),
-            () if self.asked && self.link.waiting() == 0 => Some(2),
-            () if !self.asked => Some(3),
+            () if !self.open_ids.is_empty() || (self.is_active && self.partial_since.is_some()) => None,
+            () if !self.is_active && now - self.idle_since > NEW_CLIENT_MS => Some(1),
+            () if self.is_active && self.link.waiting() == 0 => Some(2),
+            () if !self.is_active => Some(3),
             () => None,
         }
     }
 }
 
-/// The clients of the platform's front.
+/// The JSON-RPC front with its clients.
 pub struct JsonRpc {
     clients: Slab<Client>,
     classes: HashMap<String, ClassId>,
-    /// By class, whether it keeps the order of a key.
-    ordered: Vec<bool>,
+    /// For each class, whether its requests have an ordering key.
+    is_ordered: Vec<bool>,
     key_pacing: KeyPacing,
     tenants: HashMap<String, Arc<str>>,
-    /// The longest budget by class.
-    budgets: Vec<f64>,
-    total_most: usize,
-    message_most: usize,
-    /// Clients that have said more than one turn takes.
-    again: Vec<SlotKey>,
-    /// Lines on bad messages in this second, and the second.
-    told: (u32, f64),
+    /// Largest valid budget of each class, in milliseconds.
+    max_budgets: Vec<f64>,
+    /// Limit on the buffers of all clients, in bytes.
+    max_total: usize,
+    max_message: usize,
+    /// Clients that have reached a limit on input per iteration and have input left to read.
+    unread: Vec<SlotKey>,
+    /// Number of bad messages in the current second, and the start of that second.
+    bad_messages: (u32, f64),
 }
 
 impl JsonRpc {
-    /// A front without clients. What waits on all its connections is bounded by `total_most` bytes.
-    pub fn new(settings: &Settings, total_most: usize) -> JsonRpc {
+    /// Creates a front without clients. The buffers of all its connections are limited to `max_total` bytes.
+    pub fn new(settings: &Settings, max_total: usize) -> JsonRpc {
         let classes =
             settings.classes.iter().enumerate().map(|(i, c)| (c.name.clone(), ClassId(i))).collect();
         let tenants = settings.tenants.iter().map(|t| (t.name.clone(), Arc::from(&*t.name))).collect();
-        let ordered = settings.classes.iter().map(|c| c.in_order).collect();
-        let budgets = settings.classes.iter().map(|c| FAR * c.deadline.as_millis()).collect();
-        let message_most = (total_most / MESSAGE_PART).clamp(MESSAGE_LEAST, MESSAGE_MOST);
+        let is_ordered = settings.classes.iter().map(|c| c.in_order).collect();
+        let max_budgets = settings.classes.iter().map(|c| BUDGET_FACTOR * c.deadline.as_millis()).collect();
+        let max_message = (max_total / MESSAGE_LIMIT_DIVISOR).clamp(MIN_MESSAGE_LIMIT, MAX_MESSAGE_BYTES);
         JsonRpc {
             clients: Slab::default(),
             classes,
-            ordered,
+            is_ordered,
             key_pacing: KeyPacing::default(),
             tenants,
-            budgets,
-            total_most,
-            message_most,
-            again: Vec::new(),
-            told: (0, 0.0),
+            max_budgets,
+            max_total,
+            max_message,
+            unread: Vec::new(),
+            bad_messages: (0, 0.0),
         }
     }
 
-    /// Connected clients.
+    /// Number of connected clients.
     pub fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// Whether there are none.
+    /// Whether no client is connected.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// A client has connected. `sent` is when what it has said already was sent at the latest.
-    pub fn accept(&mut self, stream: TcpStream, sent: f64, context: &mut BackendContext) {
+    /// Adds a new connection. `sent_at` is the latest time at which data that is ready to read can have been sent.
+    pub fn accept(&mut self, stream: TcpStream, sent_at: f64, context: &mut BackendContext) {
         let client = Client {
             link: BufferedSocket::new(stream),
-            open: HashSet::new(),
-            ended: false,
-            asked: false,
-            since: context.now,
-            part: None,
-            due: None,
+            open_ids: HashSet::new(),
+            read_closed: false,
+            is_active: false,
+            idle_since: context.now,
+            partial_since: None,
+            timer: None,
         };
         let key = self.clients.insert(client);
         let Some(client) = self.clients.get_mut(key) else { return };
         match client.link.watch(context.registry, SocketOwner::JsonRpc(key)) {
             Ok(()) => {
-                client.due = Some(context.timers.set(context.now + FIRST_MS, TimerEvent::Client(key)));
-                self.ready(key, false, sent, context);
+                client.timer =
+                    Some(context.timers.set(context.now + FIRST_MESSAGE_TIMEOUT_MS, TimerEvent::Client(key)));
+                self.ready(key, false, sent_at, context);
             }
             Err(e) => {
                 context.log.push(format!("accept: error={e}"));
@@ -157,18 +178,19 @@
         }
     }
 
-    /// Lets the client go of whom the least is to be had: never asked, idle. False if all are needed.
-    pub fn make_room(&mut self, sent: f64, context: &mut BackendContext) -> bool {
+    /// Disconnects the client with the lowest eviction rank and, among equals, the one idle for longest. Returns
+    /// `false` if all clients must stay.
+    pub fn make_room(&mut self, sent_at: f64, context: &mut BackendContext) -> bool {
         loop {
-            let spare =
-                self.clients.iter().filter_map(|(key, c)| Some((c.use_left(context.now)?, c.since, key)));
-            let least = spare.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-            let Some((use_left, _, key)) = least else { return false };
-            // What it has said since the poll may call for an answer.
-            self.ready(key, false, sent, context);
+            let rank = |(key, c): (_, &Client)| Some((c.eviction_rank(context.now)?, c.idle_since, key));
+            let candidates = self.clients.iter().filter_map(rank);
+            let first = candidates.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+            let Some((eviction_rank, _, key)) = first else { return false };
+            // The client may have sent a request since the poll.
+            self.ready(key, false, sent_at, context);
             match self.clients.get(key) {
                 None => return true,
-                Some(client) if client.use_left(context.now) == Some(use_left) => {
+                Some(client) if client.eviction_rank(context.now) == Some(eviction_rank) => {
                     self.close(key, context);
                     return true;
                 }
@@ -177,42 +199,42 @@
         }
     }
 
-    /// Clients that are to have another turn, after all others have had theirs.
-    pub fn take_again(&mut self) -> Vec<SlotKey> {
-        std::mem::take(&mut self.again)
+    /// Removes and returns the clients with input left to read, which get no further event from the poll.
+    pub fn take_unread(&mut self) -> Vec<SlotKey> {
+        std::mem::take(&mut self.unread)
     }
 
-    /// A socket has something to say. `sent` is when what it says was sent at the latest. One client says so much at
-    /// a time: one that floods is not to keep the others waiting. `read_closed`: it has closed its side, which counts at
-    /// once, however much of what it sent before is still to be read.
-    pub fn ready(&mut self, key: SlotKey, read_closed: bool, sent: f64, context: &mut BackendContext) {
+    /// Handles readiness of a client's socket: writes responses and reads requests, up to the limits per iteration.
+    /// `read_closed` tells that the client has closed its write side, which withdraws its requests at once, even if
+    /// input is left to read. `sent_at` is the latest time at which the input can have been sent.
+    pub fn ready(&mut self, key: SlotKey, read_closed: bool, sent_at: f64, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if client.link.flush().is_err() {
             return self.close(key, context);
         }
         if read_closed {
-            client.ended = true;
-            self.gone(key, context);
+            client.read_closed = true;
+            self.withdraw_requests(key, context);
         }
         let Some(client) = self.clients.get_mut(key) else { return };
-        if client.link.waiting() > OUT_HIGH {
-            if client.ended {
-                self.leave(key, context);
+        if client.link.waiting() > READ_PAUSE_BYTES {
+            if client.read_closed {
+                self.close_gracefully(key, context);
             }
-            return; // Read on when it has taken its answers; the poll tells of that.
+            return; // The poll reports when the socket is writable again.
         }
-        let most = (client.link.input.len() + TURN_BYTES).min(HEAD_MOST + self.message_most);
-        let end = client.link.read(most);
-        client.ended |= matches!(end, Ok(ReadEnd::Closed));
+        let max_input = (client.link.input.len() + BYTES_PER_TURN).min(MAX_HEADER_BYTES + self.max_message);
+        let end = client.link.read(max_input);
+        client.read_closed |= matches!(end, Ok(ReadEnd::Closed));
         let input = std::mem::take(&mut client.link.input);
         let (mut used, mut messages) = (0, 0);
         let framing = loop {
-            match framed(&input[used..], self.message_most) {
-                Framed::Whole(bytes, body) if messages < TURN_MESSAGES => {
+            match split_frame(&input[used..], self.max_message) {
+                Frame::Complete(frame_bytes, body) if messages < MESSAGES_PER_TURN => {
                     let message = input[used + body.start..used + body.end].to_vec();
-                    used += bytes;
+                    used += frame_bytes;
                     messages += 1;
-                    self.message(key, message, sent, context);
+                    self.handle_message(key, message, sent_at, context);
                 }
                 other => break other,
             }
@@ -222,141 +244,151 @@
         client.link.used(used);
         match (end, framing) {
             (Err(_), _) => return self.close(key, context),
-            (_, Framed::Lost) => {
-                return self.turn_away(key, PARSE, "the length can't be read, or is too much", context)
+            (_, Frame::Invalid) => {
+                return self.reject_client(key, PARSE, "Content-Length invalid or too large", context)
             }
-            _ if client.ended => self.settle(key, context),
-            (_, Framed::Whole(..)) => self.again.push(key),
-            (Ok(end), Framed::Part) => {
-                let half = !client.link.input.is_empty();
-                client.part = client.part.filter(|_| half && used == 0).or(half.then_some(context.now));
-                if let Some(since) = client.part {
-                    let first = if client.asked { f64::INFINITY } else { client.since + FIRST_MS };
-                    client.due.take().into_iter().for_each(|due| context.timers.clear(due));
-                    client.due =
-                        Some(context.timers.set(first.min(since + WHOLE_MS), TimerEvent::Client(key)));
+            _ if client.read_closed => self.flush_or_close(key, context),
+            (_, Frame::Complete(..)) => self.unread.push(key),
+            (Ok(end), Frame::Partial) => {
+                let partial = !client.link.input.is_empty();
+                client.partial_since =
+                    client.partial_since.filter(|_| partial && used == 0).or(partial.then_some(context.now));
+                if let Some(partial_since) = client.partial_since {
+                    let first_due = if client.is_active {
+                        f64::INFINITY
+                    } else {
+                        client.idle_since + FIRST_MESSAGE_TIMEOUT_MS
+                    };
+                    client.timer.take().into_iter().for_each(|timer| context.timers.clear(timer));
+                    let due = first_due.min(partial_since + MESSAGE_TIMEOUT_MS);
+                    client.timer = Some(context.timers.set(due, TimerEvent::Client(key)));
                 }
                 if end == ReadEnd::Open && client.link.has_more() {
-                    self.again.push(key);
+                    self.unread.push(key);
                 }
-                self.settle(key, context);
+                self.flush_or_close(key, context);
             }
         }
-        if self.clients.get(key).is_some_and(|client| client.weight() > CLIENT_LIGHT) {
-            self.bound_total(context);
+        if self.clients.get(key).is_some_and(|client| client.buffered() > LIGHT_CLIENT_BYTES) {
+            self.enforce_total(context);
         }
     }
 
-    /// Writes what waits; lets a client go that has closed, or that takes nothing of what it is owed.
-    fn settle(&mut self, key: SlotKey, context: &mut BackendContext) {
+    /// Writes pending responses. Disconnects a client that has closed its side or has too many unwritten bytes.
+    fn flush_or_close(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        if client.link.flush().is_err() || client.link.waiting() > OUT_MOST.min(self.total_most / 2) {
+        let max_unwritten = MAX_UNWRITTEN_BYTES.min(self.max_total / 2);
+        if client.link.flush().is_err() || client.link.waiting() > max_unwritten {
             self.close(key, context);
-        } else if client.ended {
-            self.leave(key, context);
+        } else if client.read_closed {
+            self.close_gracefully(key, context);
         }
     }
 
-    /// A deadline of a client: it has never asked, stands in the middle of a message, or has had its last word.
-    pub fn due(&mut self, key: SlotKey, context: &mut BackendContext) {
+    /// Handles a client's timer: disconnects it if it has not sent a first request or completed a message in time.
+    pub fn timed_out(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        client.due = None;
-        match client.part {
-            Some(_) => self.turn_away(key, INVALID, "the message did not come whole in time", context),
-            None if !client.asked => self.leave(key, context),
+        client.timer = None;
+        match client.partial_since {
+            Some(_) => self.reject_client(key, INVALID, "the message was not complete in time", context),
+            None if !client.is_active => self.close_gracefully(key, context),
             None => {}
         }
     }
 
-    /// Says why a client is let go, and lets it go.
-    fn turn_away(
+    /// Sends an error to a client and disconnects it.
+    fn reject_client(
         &mut self,
         key: SlotKey,
-        what: (i32, &'static str),
-        why: &'static str,
+        kind: (i32, &'static str),
+        reason: &'static str,
         context: &mut BackendContext,
     ) {
-        self.wrong(key, (None, what, why), context);
-        self.leave(key, context);
+        self.send_error(key, (None, kind, reason), context);
+        self.close_gracefully(key, context);
     }
 
-    /// Withdraws what a client has open, and lets it read what is written before its connection is closed.
-    fn leave(&mut self, key: SlotKey, context: &mut BackendContext) {
+    /// Withdraws a client's requests and closes its connection once the client had time to read pending responses.
+    fn close_gracefully(&mut self, key: SlotKey, context: &mut BackendContext) {
         if let Some(client) = self.remove(key, context) {
             context.closing.add(client.link, context.now, context.registry, context.timers);
         }
     }
 
+    /// Withdraws a client's requests and closes its connection at once.
     fn close(&mut self, key: SlotKey, context: &mut BackendContext) {
         drop(self.remove(key, context));
     }
 
     fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Client> {
-        self.gone(key, context);
+        self.withdraw_requests(key, context);
         let mut client = self.clients.remove(key)?;
-        client.due.take().into_iter().for_each(|due| context.timers.clear(due));
+        client.timer.take().into_iter().for_each(|timer| context.timers.clear(timer));
         Some(client)
     }
 
-    /// Nobody waits any more for what is open on a connection.
-    fn gone(&mut self, key: SlotKey, context: &mut BackendContext) {
+    /// Withdraws the open requests of a client that has disconnected or closed its write side.
+    fn withdraw_requests(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        let mut open: Vec<u64> = std::mem::take(&mut client.open).into_iter().collect();
-        open.sort_unstable();
-        for id in open {
+        let mut ids: Vec<u64> = std::mem::take(&mut client.open_ids).into_iter().collect();
+        ids.sort_unstable();
+        for id in ids {
             withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.heard);
         }
     }
 
-    /// Writes an answer, if its client still waits for it.
-    pub fn answer(&mut self, asker: ClientHandle, answer: &FinalResponse, context: &mut BackendContext) {
-        let Some(client) = self.clients.get_mut(asker.conn) else { return };
-        if !client.open.remove(&asker.id) {
+    /// Writes a response, if its client is still connected and has not cancelled the request.
+    pub fn respond(&mut self, handle: ClientHandle, response: &FinalResponse, context: &mut BackendContext) {
+        let Some(client) = self.clients.get_mut(handle.conn) else { return };
+        if !client.open_ids.remove(&handle.id) {
             return;
         }
-        let id = asker.id;
+        let id = handle.id;
         let error = |code: i32, message: &str| {
             format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{{"code":{code},"message":"{message}"}}}}"#)
         };
-        let text = match answer {
+        let text = match response {
             FinalResponse::Served(body) => {
                 let doc = BASE64_STANDARD.encode(body);
                 format!(r#"{{"jsonrpc":"2.0","id":{id},"result":{{"doc":"{doc}"}}}}"#)
             }
             FinalResponse::Refused { backoff_ms } => {
-                let back = backoff_ms.ceil().max(1.0);
-                let data = format!(r#""message":"refused, not run","data":{{"backoff":{back}}}"#);
+                let backoff = backoff_ms.ceil().max(1.0);
+                let data = format!(r#""message":"refused, not run","data":{{"backoff":{backoff}}}"#);
                 format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{{"code":{REFUSED},{data}}}}}"#)
             }
             FinalResponse::TimedOut => error(TIMED_OUT, "no answer in time"),
             FinalResponse::Failed | FinalResponse::Error(_) => error(FAILED, "failed, it may have run"),
         };
         put(&mut client.link, &text);
-        client.since = context.now;
-        self.settle(asker.conn, context);
-        self.bound_total(context);
+        client.idle_since = context.now;
+        self.flush_or_close(handle.conn, context);
+        self.enforce_total(context);
     }
 
-    /// Guards the memory limit against many clients that take nothing or never end a message: the heaviest goes.
-    fn bound_total(&mut self, context: &mut BackendContext) {
-        let (total, most) = heaviest(self.clients.iter().map(|(key, c)| (c.weight(), key)));
-        if let Some(key) = most.filter(|_| total > self.total_most) {
+    /// Disconnects the client with the most buffered bytes if all buffers together exceed the limit. This bounds
+    /// memory against many clients that don't read their responses or never complete a message.
+    fn enforce_total(&mut self, context: &mut BackendContext) {
+        let (total, heaviest_client) = heaviest(self.clients.iter().map(|(key, c)| (c.buffered(), key)));
+        if let Some(key) = heaviest_client.filter(|_| total > self.max_total) {
             context.log.push(format!("slow client: closed, bytes={total}"));
             self.close(key, context);
         }
     }
 
-    /// Closes the connections on which nothing is open or half said; used in a graceful shutdown.
-    pub fn close_quiet(&mut self, context: &mut BackendContext) {
+    /// Closes the idle connections; used in a graceful shutdown.
+    pub fn close_idle(&mut self, context: &mut BackendContext) {
         for key in self.clients.keys() {
-            self.ready(key, false, context.now, context); // What came since the poll is not to be lost by a close over it.
-            if self.clients.get(key).is_some_and(Client::is_quiet) {
-                self.leave(key, context);
+            // Requests that arrived since the poll are read first, as a close would lose them.
+            self.ready(key, false, context.now, context);
+            if self.clients.get(key).is_some_and(Client::is_idle) {
+                self.close_gracefully(key, context);
             }
         }
     }
 }
 
+/// Queues a JSON text with its header for writing.
 fn put(link: &mut BufferedSocket, text: &str) {
     link.put(format!("Content-Length: {}\r\n\r\n", text.len()).as_bytes());
     link.put(text.as_bytes());
--- a/src/node/front/mod.rs
+++ b/src/node/front/mod.rs
@@ -1,4 +1,4 @@
-//! Fronts: they parse and write, and hand neutral requests to the core.
+//! Fronts: they speak the client protocols and pass requests to the request dispatcher in a common form.
 
 pub mod closing;
 pub mod jsonrpc;
@@ -6,12 +6,13 @@
 
 use super::dispatcher::{ClientHandle, DispatcherEvent};
 
-/// A client has given a request up. One that the core has not heard of yet is not begun at all.
-fn withdraw(asker: ClientHandle, heard: &mut Vec<DispatcherEvent>) {
+/// Withdraws a request that its client has cancelled or abandoned. If the event that reports the request is still in
+/// `events`, it is removed, and the request dispatcher never sees the request; otherwise the dispatcher is notified.
+fn withdraw(client: ClientHandle, events: &mut Vec<DispatcherEvent>) {
     let is_its_request =
-        |heard: &DispatcherEvent| matches!(heard, DispatcherEvent::Asked(ask) if ask.asker == asker);
-    match heard.iter().position(is_its_request) {
-        Some(place) => drop(heard.remove(place)),
-        None => heard.push(DispatcherEvent::Gone(asker)),
+        |event: &DispatcherEvent| matches!(event, DispatcherEvent::Asked(request) if request.asker == client);
+    match events.iter().position(is_its_request) {
+        Some(index) => drop(events.remove(index)),
+        None => events.push(DispatcherEvent::ClientGone(client)),
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! The real front end: the decision module on real sockets, in one thread.
+//! The node: a front end on real sockets that runs the decision module in a single-threaded event loop.
 //!
-//! A request's stages: a front reads it ([`front`]), the core ([`dispatcher`]) asks the decision module and keeps the
-//! promises, a backend ([`backend`]) carries the attempt. [`discovery`] tells of engines, [`timer_queue`] of time.
+//! A front ([`front`]) reads a request from a client, the request dispatcher ([`dispatcher`]) has the decision module
+//! choose an engine, and a backend ([`backend`]) sends the attempt to that engine. [`discovery`] delivers the engine
+//! list, and [`timer_queue`] holds all deadlines.
 
 mod event_loop;
 mod start;
@@ -48,16 +49,26 @@
 use std::time::Duration;
 use timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 
-const ACCEPT_PAUSE_MS: f64 = 5.0; // before accepting again where descriptors are short
-const TRANSIT_MS: f64 = 1.0; // a message's way from its client: within a room, and no more than the grace
+/// Delay before the next accept after an accept failed or clients reached their connection limit, in milliseconds.
+const ACCEPT_PAUSE_MS: f64 = 5.0;
+/// Assumed network latency from a client to the node, in milliseconds. Clients are on the same local network. The
+/// value must not exceed the platform's grace for late responses.
+const TRANSIT_MS: f64 = 1.0;
+
+/// Number of the JSON-RPC listener among the sockets with a fixed poll token.
 const LISTENER: u32 = 1;
+/// Number of the MySQL listener among the sockets with a fixed poll token.
 const MYSQL_LISTENER: u32 = 2;
+/// Number of the HTTP control listener among the sockets with a fixed poll token.
 const HTTP_LISTENER: u32 = 3;
+/// Number of the agent-check listener among the sockets with a fixed poll token.
 const AGENT_LISTENER: u32 = 4;
+/// Number of the signal pipe among the sockets with a fixed poll token.
 const SIGNAL: u32 = 0;
+/// Number of the waker for reloads and responses of the fleet's leader among the sockets with a fixed poll token.
 const RELOAD: u32 = 5;
 
-/// The node with all its parts.
+/// A node: the event loop with its fronts, backends and control listeners.
 pub struct Node {
     clock: Clock,
     poll: Poll,
@@ -66,51 +77,54 @@
     accept_paused: bool,
     client_sockets: usize,
     timers: TimerQueue,
-    exchange: RequestDispatcher,
+    dispatcher: RequestDispatcher,
     jsonrpc: JsonRpc,
     mysql: Option<(MysqlFront, MysqlBackend)>,
-    /// Client connections that are being closed, of both fronts.
+    /// Client connections of both fronts that are being closed.
     closing: ClosingConnections,
-    warehouses: LineProtocolBackend,
-    bulletin: Option<DiscoveryClient>,
+    line_protocol: LineProtocolBackend,
+    discovery: Option<DiscoveryClient>,
     control: Control,
     control_listeners: Vec<(Kind, TcpListener)>,
-    /// The service for proxies, which has a thread of its own; none if it is off.
+    /// Feed of the xDS server, which runs in a thread of its own; `None` if xDS is off.
     xds: Option<Feed>,
-    /// Admission control of a fleet with a policy, and when its leader is next to be polled; none if it is off.
+    /// Admission control under the fleet's policy; `None` without a fleet.
     admission: Option<AdmissionControl>,
+    /// Timer of the next poll of the fleet's leader.
     admission_due: Option<TimerHandle>,
     waker: Option<Arc<Waker>>,
-    /// What the file said at the start of all that a reload does not apply.
+    /// Settings that a reload does not apply, with their values at the start of the node.
     at_start: BTreeMap<String, OwnedValue>,
     shutdown: Option<GracefulShutdown>,
     log: Vec<String>,
 }
 
 impl Node {
-    /// Where a front's clients may connect.
+    /// Address on which a front listens for clients.
     pub fn address(&self, front: Front) -> Option<SocketAddr> {
-        let (_, listener) = self.listeners.iter().find(|(of, _)| *of == front)?;
+        let (_, listener) = self.listeners.iter().find(|(listener_front, _)| *listener_front == front)?;
         listener.local_addr().ok()
     }
 
-    /// Where balancers and proxies may ask.
+    /// Address of a control listener, which serves the health checks of load balancers and proxies.
     pub fn control_address(&self, kind: Kind) -> Option<SocketAddr> {
-        let (_, listener) = self.control_listeners.iter().find(|(of, _)| *of == kind)?;
+        let (_, listener) =
+            self.control_listeners.iter().find(|(listener_kind, _)| *listener_kind == kind)?;
         listener.local_addr().ok()
     }
 
-    /// Where proxies connect over xDS.
+    /// Address of the xDS server.
     pub fn xds_address(&self) -> Option<SocketAddr> {
         self.xds.as_ref().map(Feed::address)
     }
 
-    /// Watches a stream whose first byte asks for a graceful shutdown.
+    /// Registers the signal pipe: the first byte on it starts a graceful shutdown.
     pub fn watch_signal(&mut self, stream: &mut impl mio::event::Source) -> io::Result<()> {
         self.poll.registry().register(stream, SocketOwner::Fixed(SIGNAL).token(), Interest::READABLE)
     }
 
-    /// Ends a wait for sockets from another thread, so that a configuration read there is taken in at once.
+    /// Returns a waker by which another thread interrupts the event loop's poll, so that the loop applies a
+    /// configuration that the thread has read without delay.
     pub fn waker(&mut self) -> io::Result<Arc<Waker>> {
         if let Some(waker) = &self.waker {
             return Ok(waker.clone());
@@ -120,116 +134,124 @@
         Ok(waker)
     }
 
-    /// Takes in a configuration that was read anew: the bulletin's address and events. What is open goes on as it
-    /// is. Of a file that can't be used nothing is taken, and what counts at the start only is named.
+    /// Applies a reloaded configuration: the address of service discovery and the initial engine list. Open requests
+    /// and connections are not affected. An invalid configuration changes nothing. Changed settings that need a
+    /// restart are named in the log.
     pub fn reload(&mut self, read: Result<Config, ConfigError>) {
         let config = match read {
             Ok(config) => config,
-            Err(e) => return self.log.push(format!("reload: {e}; the old settings stay")),
+            Err(e) => return self.log.push(format!("reload: {e}; the old settings remain in use")),
         };
         self.log.push("reload: done".to_owned());
         let keys = self.at_start.keys().chain(config.at_start.keys()).collect::<BTreeSet<_>>();
         let changed = keys.into_iter().filter(|key| self.at_start.get(*key) != config.at_start.get(*key));
         self.log.extend(changed.map(|key| format!("reload: {key} has changed: needs a restart")));
         let now = self.clock.now();
-        let news = match (&mut self.bulletin, config.bulletin) {
-            (Some(bulletin), Some(address)) => bulletin.moved(now, address, config.known, &mut self.timers),
+        let list_events = match (&mut self.discovery, config.bulletin) {
+            (Some(discovery), Some(address)) => discovery.moved(now, address, config.known, &mut self.timers),
             (None, None) => return,
-            _ => return self.log.push("reload: bulletin has come or gone: needs a restart".to_owned()),
+            _ => return self.log.push("reload: bulletin was added or removed: needs a restart".to_owned()),
         };
-        let mut heard = Vec::new();
-        self.news(news, &mut heard);
-        self.settle(heard);
+        let mut events = Vec::new();
+        self.apply_list_events(list_events, &mut events);
+        self.run_dispatcher(events);
     }
 
-    /// Begins a graceful shutdown: goes on accepting and answering for a while, then finishes what is open.
+    /// Starts a graceful shutdown: the node accepts connections and requests for a short time, then finishes the
+    /// requests in flight.
     pub fn begin_shutdown(&mut self) {
         if self.shutdown.is_none() {
             let now = self.clock.now();
-            let deadlines = self.exchange.settings().classes.iter().map(|c| c.deadline.as_millis());
+            let deadlines = self.dispatcher.settings().classes.iter().map(|c| c.deadline.as_millis());
             let shutdown = GracefulShutdown::new(now, deadlines.fold(0.0, f64::max));
-            self.exchange.shut_down_by(now, shutdown.response_deadline(), &mut self.timers);
+            self.dispatcher.start_shutdown(now, shutdown.response_deadline(), &mut self.timers);
             self.shutdown = Some(shutdown);
             if let Some(admission) = &mut self.admission {
                 admission.start_draining();
             }
-            self.log.push(format!("ending: open={}", self.exchange.open_requests()));
+            self.log.push(format!("ending: open={}", self.dispatcher.open_requests()));
             self.timers.set(now, TimerEvent::Shutdown);
         }
     }
 
-    /// Whether a graceful shutdown has ended.
+    /// Whether a graceful shutdown is complete.
     pub fn is_shut_down(&self) -> bool {
         self.shutdown.as_ref().is_some_and(|shutdown| shutdown.phase() == Phase::Ended)
     }
 
-    /// Lines for the log since the last call.
+    /// Removes and returns the log lines since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
         std::mem::take(&mut self.log)
     }
 
-    /// Requests that are owed an answer, or still have an attempt out.
+    /// Number of requests that are owed a response or have an attempt in flight.
     pub fn open_requests(&self) -> usize {
-        self.exchange.open_requests()
+        self.dispatcher.open_requests()
     }
 
-    /// Takes in what the fleet's leader has answered, and polls it for the lease to admit requests when that is due.
-    fn fleet(&mut self) {
+    /// Processes the responses of the fleet's leader and polls the leader when a poll is due: the leader grants the
+    /// lease to admit requests and this node's shares of the fleet's budgets.
+    fn update_admission(&mut self) {
         let Some(admission) = &mut self.admission else { return };
-        self.exchange.let_go(self.clock.now());
-        let changed = admission.process(self.exchange.open_requests());
+        self.dispatcher.release_expired_units(self.clock.now());
+        let changed = admission.process(self.dispatcher.open_requests());
         let now = self.clock.now();
-        let (used, vain) = self.warehouses.links_used();
-        let most = admission.max_connections_per_engine(used, vain);
-        self.exchange.cold_among(admission.warm_up_share());
-        let due = now + admission.next_poll_in();
-        if let Some(before) = self.admission_due.take() {
-            self.timers.clear(before);
+        let (used, more_wanted) = self.line_protocol.links_used();
+        let max_connections = admission.max_connections_per_engine(used, more_wanted);
+        self.dispatcher.set_warm_up_share(admission.warm_up_share());
+        let next_poll_at = now + admission.next_poll_in();
+        if let Some(previous) = self.admission_due.take() {
+            self.timers.clear(previous);
         }
-        self.admission_due = Some(self.timers.set(due, TimerEvent::Fleet));
-        let mut heard = Vec::new();
-        let Node { poll, timers, log, warehouses, closing, .. } = self;
-        warehouses.keep_links(
-            most,
-            &mut BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log },
+        self.admission_due = Some(self.timers.set(next_poll_at, TimerEvent::Fleet));
+        let mut events = Vec::new();
+        let Node { poll, timers, log, line_protocol, closing, .. } = self;
+        line_protocol.keep_links(
+            max_connections,
+            &mut BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut events, log },
         );
         if !changed.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
-            heard.push(DispatcherEvent::Members(crate::ListKind::Changes, 0, changed));
+            events.push(DispatcherEvent::EngineList(crate::ListKind::Changes, 0, changed));
         }
-        if !heard.is_empty() {
-            self.settle(heard);
+        if !events.is_empty() {
+            self.run_dispatcher(events);
         }
     }
 
-    /// Admits a request under the active policy, or rejects it.
-    fn admit(&mut self, heard: DispatcherEvent) -> Option<DispatcherEvent> {
-        let mut ask = match heard {
-            DispatcherEvent::Asked(ask) => ask,
+    /// Applies admission control to a new request: returns the request with its limits, or rejects it and returns
+    /// `None`. Other events are returned unchanged.
+    fn admit(&mut self, event: DispatcherEvent) -> Option<DispatcherEvent> {
+        let mut request = match event {
+            DispatcherEvent::Asked(request) => request,
             other => return Some(other),
         };
-        let Some(admission) = &mut self.admission else { return Some(DispatcherEvent::Asked(ask)) };
-        let request = AdmissionRequest {
-            id: &ask.name,
-            class: ask.class.0,
-            account: ask.tenant.as_deref(),
-            in_flight: self.exchange.open_requests(),
+        let Some(admission) = &mut self.admission else { return Some(DispatcherEvent::Asked(request)) };
+        let admission_request = AdmissionRequest {
+            id: &request.name,
+            class: request.class.0,
+            account: request.tenant.as_deref(),
+            in_flight: self.dispatcher.open_requests(),
         };
-        match admission.admit(request) {
+        match admission.admit(admission_request) {
             Ok(admitted) => {
-                ask.budget = admitted.limits.deadline_ms.map_or(ask.budget, |most| ask.budget.min(most));
-                ask.admitted = Some(admitted);
-                Some(DispatcherEvent::Asked(ask))
+                request.budget = admitted
+                    .limits
+                    .deadline_ms
+                    .map_or(request.budget, |deadline| request.budget.min(deadline));
+                request.admitted = Some(admitted);
+                Some(DispatcherEvent::Asked(request))
             }
             Err(reason) => {
-                self.exchange.turn_away(ask.asker, reason.retry_after_ms());
+                self.dispatcher.reject(request.asker, reason.retry_after_ms());
                 None
             }
         }
     }
 
-    /// Hands the module's view to the service for proxies: at once when engines came, drained or went, else rarely.
-    fn feed(&mut self) {
+    /// Publishes the node's state to the xDS server: without delay after a change of the engine list, and otherwise
+    /// at a fixed interval.
+    fn publish_view(&mut self) {
         let now = self.clock.now();
         if self.xds.as_ref().is_some_and(|xds| xds.due(now)) {
             let view = self.view();
@@ -237,9 +259,10 @@
         }
     }
 
+    /// Snapshot of the node's state for health checks and xDS.
     fn view(&self) -> View {
-        let gateway = self.exchange.gateway();
-        let with_address = |s: crate::EngineStatus| Some((s.clone(), self.warehouses.address(&s.engine)?));
+        let gateway = self.dispatcher.gateway();
+        let with_address = |s: crate::EngineStatus| Some((s.clone(), self.line_protocol.address(&s.engine)?));
         View {
             shutting_down: self.shutdown.is_some(),
             why_not: self.admission.as_ref().and_then(AdmissionControl::blocked_reason),
@@ -249,6 +272,7 @@
         }
     }
 
+    /// Handles readiness of a control listener or of one of its connections.
     fn control_ready(&mut self, owner: SocketOwner, now: f64) {
         let view = self.view();
         let Node { poll, timers, log, control, control_listeners, closing, .. } = self;
@@ -259,38 +283,39 @@
         }
         let listener = control_listeners.iter().find(|(kind, _)| control_token(*kind) == owner.token());
         let Some((kind, listener)) = listener else { return };
-        // Any error ends this round: where descriptors are short, those who ask come back by themselves.
+        // An error ends the loop without a pause: if file descriptors run out, health checkers connect again later.
         while let Ok((stream, _)) = listener.accept() {
             control.accept(stream, *kind, &view, &mut context);
         }
     }
 
-    /// Takes a graceful shutdown further, as its state machine says.
-    fn advance_shutdown(&mut self, now: f64, heard: &mut Vec<DispatcherEvent>) {
-        let Node { poll, timers, log, jsonrpc, mysql, exchange, shutdown, closing, .. } = self;
+    /// Advances the state machine of a graceful shutdown and carries out the step that it returns.
+    fn advance_shutdown(&mut self, now: f64, events: &mut Vec<DispatcherEvent>) {
+        let Node { poll, timers, log, jsonrpc, mysql, dispatcher, shutdown, closing, .. } = self;
         let Some(shutdown) = shutdown else { return };
-        exchange.refuse_unfinishable(now, timers);
+        dispatcher.reject_unfinishable(now, timers);
         let connections = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
-        let step = shutdown.advance(now, exchange.open_requests(), connections);
-        let mut context = BackendContext { now, registry: poll.registry(), timers, closing, heard, log };
+        let step = shutdown.advance(now, dispatcher.open_requests(), connections);
+        let mut context =
+            BackendContext { now, registry: poll.registry(), timers, closing, heard: events, log };
         if step.close_idle_clients {
-            exchange.refuse_new();
-            jsonrpc.close_quiet(&mut context);
+            dispatcher.reject_new();
+            jsonrpc.close_idle(&mut context);
             mysql.iter_mut().for_each(|(front, _)| front.close_quiet(&mut context));
         }
-        if let Some(next) = step.next {
-            timers.set(next, TimerEvent::Shutdown);
+        if let Some(next_step_at) = step.next {
+            timers.set(next_step_at, TimerEvent::Shutdown);
         }
         if step.close_listeners {
-            self.close_listeners(now, heard);
+            self.close_listeners(now, events);
         }
     }
 
-    /// Takes the connections that the system has accepted already, which would be reset, and closes the listeners.
-    fn close_listeners(&mut self, now: f64, heard: &mut Vec<DispatcherEvent>) {
+    /// Accepts the connections in the listen backlog, which a close would reset, and then closes the listeners.
+    fn close_listeners(&mut self, now: f64, events: &mut Vec<DispatcherEvent>) {
         self.accept_paused = false;
-        self.accept(Front::JsonRpc, now, now, heard);
-        self.accept(Front::Mysql, now, now, heard);
+        self.accept(Front::JsonRpc, now, now, events);
+        self.accept(Front::Mysql, now, now, events);
         self.listeners.clear();
     }
 }
@@ -311,6 +336,7 @@
     SocketOwner::Fixed(number).token()
 }
 
+/// Converts milliseconds to a `Duration` between zero and one hour, which is within the range of every poll timeout.
 fn millis(ms: f64) -> Duration {
     Duration::from_secs_f64((ms / 1000.0).clamp(0.0, 3600.0))
 }
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -1,10 +1,10 @@
-//! How a node is put together.
+//! Construction of a node from its configuration.
 
 use super::*;
 use crate::fleet::admission::LocalSettings;
 
 impl Node {
-    /// Builds the node and listens; it serves as soon as it is turned.
+    /// Builds the node and opens its listeners. The node serves while [`Node::poll_once`] is called repeatedly.
     pub fn new(config: Config, clock: Clock) -> io::Result<Node> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
@@ -25,41 +25,55 @@
             }
         }
         let classes = config.settings.classes.iter();
-        let names = classes.map(|c| (c.name.clone(), c.repeat == Repeat::Unsafe)).collect();
+        let class_names = classes.map(|c| (c.name.clone(), c.repeat == Repeat::Unsafe)).collect();
         let client_sockets = config.client_sockets();
         let backend_sockets = config.sockets.saturating_sub(client_sockets + 32).max(4);
-        let warehouses =
-            LineProtocolBackend::new(names, config.dial_ms, config.idle_ms, config.streams, backend_sockets);
+        let line_protocol = LineProtocolBackend::new(
+            class_names,
+            config.dial_ms,
+            config.idle_ms,
+            config.streams,
+            backend_sockets,
+        );
         let kinds = config.settings.kinds.iter().map(|k| k.name.clone()).collect();
-        let out_most = (config.memory_mb * 1048576.0 / 4.0) as usize;
-        let jsonrpc = JsonRpc::new(&config.settings, out_most);
+        let max_buffer_bytes = (config.memory_mb * 1048576.0 / 4.0) as usize;
+        let jsonrpc = JsonRpc::new(&config.settings, max_buffer_bytes);
         let mysql = config.mysql.map(|mysql| {
-            let boxes =
-                MysqlBackend::new(mysql.clone(), config.dial_ms, config.idle_ms, backend_sockets, out_most);
-            (MysqlFront::new(mysql, &config.settings, out_most), boxes)
+            let mysql_backend = MysqlBackend::new(
+                mysql.clone(),
+                config.dial_ms,
+                config.idle_ms,
+                backend_sockets,
+                max_buffer_bytes,
+            );
+            (MysqlFront::new(mysql, &config.settings, max_buffer_bytes), mysql_backend)
         });
-        // Where no seed is given, front ends still differ by their number.
-        let lots = config.seed ^ u64::from(config.settings.own_number).rotate_left(32);
+        // Mixes in the front end's number, so that front ends draw different random delays even if the configuration
+        // sets no seed.
+        let jitter_seed = config.seed ^ u64::from(config.settings.own_number).rotate_left(32);
         let zones = config.zones.clone();
-        let mut exchange = RequestDispatcher::new(config.settings, config.seed, config.open_most, out_most)
-            .map_err(io::Error::other)?;
-        let bulletin = config
+        let mut dispatcher =
+            RequestDispatcher::new(config.settings, config.seed, config.open_most, max_buffer_bytes)
+                .map_err(io::Error::other)?;
+        let discovery = config
             .bulletin
-            .map(|address| DiscoveryClient::new(address, config.zones, kinds, config.last, lots));
+            .map(|address| DiscoveryClient::new(address, config.zones, kinds, config.last, jitter_seed));
         let xds = config.xds.map(Feed::start).transpose()?;
         let mut waker = None;
         let admission = match &config.fleet {
             Some(fleet) => {
-                let wakes = Arc::new(Waker::new(poll.registry(), SocketOwner::Fixed(RELOAD).token())?);
-                waker = Some(wakes.clone());
-                // Where the loop can't be woken, it looks by itself when the next question is due.
-                let wake = move || drop(wakes.wake());
-                exchange.keep_zones();
+                let admission_waker =
+                    Arc::new(Waker::new(poll.registry(), SocketOwner::Fixed(RELOAD).token())?);
+                waker = Some(admission_waker.clone());
+                // An error is ignored: if the wake-up fails, the event loop still reads the response when the next
+                // poll of the leader is due.
+                let wake = move || drop(admission_waker.wake());
+                dispatcher.track_zones();
                 let local = LocalSettings {
                     node: &config.name,
-                    module: exchange.settings(),
+                    module: dispatcher.settings(),
                     zones: &zones,
-                    seed: lots,
+                    seed: jitter_seed,
                 };
                 Some(AdmissionControl::start(fleet, local, wake)?)
             }
@@ -73,12 +87,12 @@
             accept_paused: false,
             client_sockets,
             timers: TimerQueue::default(),
-            exchange,
+            dispatcher,
             jsonrpc,
             mysql,
             closing: ClosingConnections::default(),
-            warehouses,
-            bulletin,
+            line_protocol,
+            discovery,
             control: Control::new(config.control.cluster),
             control_listeners,
             xds,
@@ -102,13 +116,13 @@
         if let Some(address) = node.admission.as_ref().and_then(AdmissionControl::listen_address) {
             node.log.push(format!("listen: fleet address={address}"));
         }
-        let mut heard = Vec::new();
-        node.news(config.known, &mut heard);
-        if node.bulletin.is_some() {
+        let mut events = Vec::new();
+        node.apply_list_events(config.known, &mut events);
+        if node.discovery.is_some() {
             node.timers.set(node.clock.now(), TimerEvent::Bulletin);
         }
-        node.settle(heard);
-        node.fleet();
+        node.run_dispatcher(events);
+        node.update_admission();
         Ok(node)
     }
 }
