--- a/src/node/exchange/module.rs
+++ b/src/node/dispatcher/decisions.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-impl Exchange {
+impl RequestDispatcher {
     /// Tells the decision module and does what it says; what its actions end at once is told it in turn.
-    pub(super) fn tell(&mut self, now: f64, event: Event, deadlines: &mut Deadlines) {
+    pub(super) fn tell(&mut self, now: f64, event: Event, timers: &mut TimerQueue) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
             self.gateway.handle(to_micros(now), event, &mut actions);
             for action in actions.drain(..) {
-                if let Some(closed) = self.apply(now, action, deadlines) {
+                if let Some(closed) = self.apply(now, action, timers) {
                     events.push_back(Event::AttemptEnded(closed));
                 }
             }
@@ -19,44 +19,39 @@
 
     /// What a request that is given up hears. Guards against a load that may have run being sent again by its client
     /// on our word.
-    pub(super) fn given_up(&self, key: Key, backoff_ms: f64) -> Answer {
+    pub(super) fn given_up(&self, key: SlotKey, backoff_ms: f64) -> FinalResponse {
         let may_have_run = self.open.get(key).is_some_and(|open| {
             let unsafe_class = self.settings.classes[open.ask.class.0].repeat == Repeat::Unsafe;
             unsafe_class && (open.may_have_run || open.out.is_some())
         });
         if may_have_run {
-            Answer::Failed
+            FinalResponse::Failed
         } else {
-            Answer::Refused { backoff_ms }
+            FinalResponse::Refused { backoff_ms }
         }
     }
 
-    pub(super) fn key(&self, id: &RequestId) -> Option<Key> {
+    pub(super) fn key(&self, id: &RequestId) -> Option<SlotKey> {
         self.names.get(id).copied()
     }
 
-    pub(super) fn apply(
-        &mut self,
-        now: f64,
-        action: Action,
-        deadlines: &mut Deadlines,
-    ) -> Option<AttemptEnd> {
+    pub(super) fn apply(&mut self, now: f64, action: Action, timers: &mut TimerQueue) -> Option<AttemptEnd> {
         match action {
             Action::Forward { request, engine, give_up_after } => {
-                self.send(now, request, engine, give_up_after, deadlines)
+                self.send(now, request, engine, give_up_after, timers)
             }
             Action::Reject { request, retry_after } => {
                 let key = self.key(&request)?;
                 let answer = self.given_up(key, retry_after.map_or(BACKOFF, from_micros));
                 self.answer(key, answer);
-                self.forget(key, deadlines);
+                self.forget(key, timers);
                 None
             }
             Action::Fail { request } => {
                 let key = self.key(&request)?;
                 let late = self.open.get(key).is_some_and(|open| now >= open.deadline);
-                self.answer(key, if late { Answer::TimedOut } else { Answer::Failed });
-                self.forget(key, deadlines);
+                self.answer(key, if late { FinalResponse::TimedOut } else { FinalResponse::Failed });
+                self.forget(key, timers);
                 None
             }
             Action::Cancel { request, attempt } => {
@@ -69,12 +64,13 @@
                 if is_out && (again || ordered) {
                     // It may be sent again, or the next of its key comes, or the fleet counts it, but not before this one
                     // is over for sure: its end comes from outside.
-                    self.orders.push(Order::GiveUp(attempt, true));
+                    self.orders.push(DispatcherCommand::GiveUp(attempt, true));
                     return None;
                 }
-                let closed = self.close_attempt(now, &Ended::bare(attempt, Outcome::Cancelled), deadlines)?;
-                self.orders.push(Order::GiveUp(attempt, false));
-                self.forget(attempt.request, deadlines);
+                let closed =
+                    self.close_attempt(now, &FinishedAttempt::bare(attempt, Outcome::Cancelled), timers)?;
+                self.orders.push(DispatcherCommand::GiveUp(attempt, false));
+                self.forget(attempt.request, timers);
                 Some(closed)
             }
             Action::SetTerms { request, memory_mb, priority } => {
@@ -83,16 +79,16 @@
                 (open.memory_mb, open.priority) = (memory_mb, priority);
                 if let Some(out) = &open.out {
                     let attempt = AttemptRef { request: key, attempt: out.attempt };
-                    self.orders.push(Order::Hurry(attempt, priority));
+                    self.orders.push(DispatcherCommand::Hurry(attempt, priority));
                 }
                 None
             }
             Action::CloseIdle(engine) => {
-                self.orders.push(Order::CloseIdle(engine));
+                self.orders.push(DispatcherCommand::CloseIdle(engine));
                 None
             }
             Action::SetTimer { after, timer } => {
-                deadlines.set(now + from_micros(after), Wake::Module(timer));
+                timers.set(now + from_micros(after), TimerEvent::Module(timer));
                 None
             }
             Action::Log(event) => {
@@ -110,7 +106,7 @@
         request: RequestId,
         engine: EngineId,
         give_up_after: Option<Micros>,
-        deadlines: &mut Deadlines,
+        timers: &mut TimerQueue,
     ) -> Option<AttemptEnd> {
         let key = self.key(&request)?;
         let open = self.open.get_mut(key)?;
@@ -145,7 +141,7 @@
         if retry_budget.is_some_and(|budget| !budget.try_acquire(&request.0)) {
             let answer = self.given_up(key, BACKOFF);
             self.answer(key, answer);
-            self.forget(key, deadlines);
+            self.forget(key, timers);
             return Some(AttemptEnd {
                 request,
                 attempt,
@@ -161,9 +157,9 @@
         let (id, to, no) = (&request.0, &engine.0, attempt.0);
         trace!(target: ACCOUNT, "send: id={id} class={class} engine={to} attempt={no} work={work:.0}");
         open.sent += 1;
-        let due = deadlines.set(now + max_ms, Wake::AttemptOver(key, attempt));
-        open.out = Some(Out { attempt, engine: engine.clone(), since: now, due });
-        self.orders.push(Order::Start(Start {
+        let due = timers.set(now + max_ms, TimerEvent::AttemptOver(key, attempt));
+        open.out = Some(OutstandingAttempt { attempt, engine: engine.clone(), since: now, due });
+        self.orders.push(DispatcherCommand::Start(AttemptStart {
             attempt: AttemptRef { request: key, attempt },
             front: open.ask.asker.front,
             name: open.ask.name.clone(),
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -6,15 +6,17 @@
 mod run;
 mod session;
 pub mod statement;
-use crate::node::backend::Cx;
+use crate::node::backend::BackendContext;
 use crate::node::config::{MysqlSettings, OrderBy};
-use crate::node::deadlines::Wake;
-use crate::node::exchange::{Answer, Ask, Asker, Bound, Front, Heard, Payload};
+use crate::node::dispatcher::{
+    Bound, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
+};
 use crate::node::front::withdraw;
-use crate::node::packets::{self, error, PACKET_MOST};
-use crate::node::reactor::{heaviest, Link, Owner, ReadEnd};
-use crate::node::slots::{Key, Slots};
-use crate::node::tables;
+use crate::node::mysql_packets::{self, error, PACKET_MOST};
+use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::slab::{Slab, SlotKey};
+use crate::node::table_group;
+use crate::node::timer_queue::TimerEvent;
 use crate::Repeat;
 use crate::Settings;
 use mio::net::TcpStream;
@@ -87,7 +89,7 @@
 }
 
 struct Session {
-    link: Link,
+    link: BufferedSocket,
     phase: Phase,
     nonce: [u8; 20],
     user: Vec<u8>,
@@ -108,7 +110,7 @@
     }
     fn reply(&mut self, after: u8, body: &[u8]) {
         let mut out = Vec::new();
-        packets::push(&mut out, after.wrapping_add(1), body);
+        mysql_packets::push(&mut out, after.wrapping_add(1), body);
         self.link.put(&out);
     }
     fn wrong(&mut self, after: u8, (code, state, message): (u16, &str, &str)) {
@@ -121,7 +123,7 @@
     settings: MysqlSettings,
     /// Whether a class may be repeated, its time, and whether it keeps the order of a key.
     classes: Vec<(Repeat, f64, bool)>,
-    sessions: Slots<Session>,
+    sessions: Slab<Session>,
     connections: u32,
     total_most: usize,
 }
@@ -130,7 +132,7 @@
     /// A front without clients. What waits and is kept in all sessions is bounded by `total_most` bytes.
     pub fn new(settings: MysqlSettings, module: &Settings, total_most: usize) -> MysqlFront {
         let classes = module.classes.iter().map(|c| (c.repeat, c.deadline.as_millis(), c.in_order)).collect();
-        MysqlFront { settings, classes, sessions: Slots::default(), connections: 0, total_most }
+        MysqlFront { settings, classes, sessions: Slab::default(), connections: 0, total_most }
     }
 
     /// Connected clients.
@@ -144,10 +146,10 @@
     }
 
     /// A client has connected: greets it.
-    pub fn accept(&mut self, stream: TcpStream, cx: &mut Cx) {
+    pub fn accept(&mut self, stream: TcpStream, context: &mut BackendContext) {
         self.connections = self.connections.wrapping_add(1);
         let nonce = nonce();
-        let mut link = Link::new(stream);
+        let mut link = BufferedSocket::new(stream);
         let (first, rest) = nonce.split_at(8);
         let first: [u8; 8] = first.try_into().unwrap_or_default();
         let greeting = HandshakePacket::new(
@@ -156,14 +158,14 @@
             self.connections,
             first,
             Some([rest, &[0]].concat()),
-            packets::capabilities(),
+            mysql_packets::capabilities(),
             COLLATION,
             StatusFlags::SERVER_STATUS_AUTOCOMMIT,
             Some(PLUGIN),
         );
         let (mut body, mut out) = (Vec::new(), Vec::new());
         greeting.serialize(&mut body);
-        packets::push(&mut out, 0, &body);
+        mysql_packets::push(&mut out, 0, &body);
         link.put(&out);
         let key = self.sessions.insert(Session {
             link,
@@ -177,31 +179,31 @@
             requests: 0,
         });
         let Some(session) = self.sessions.get_mut(key) else { return };
-        if session.link.watch(cx.registry, Owner::Mysql(key)).is_err() {
+        if session.link.watch(context.registry, SocketOwner::Mysql(key)).is_err() {
             self.sessions.remove(key);
             return;
         }
-        cx.deadlines.set(cx.now + LOGIN_MS, Wake::MysqlLogin(key));
-        self.ready(key, false, cx);
+        context.timers.set(context.now + LOGIN_MS, TimerEvent::MysqlLogin(key));
+        self.ready(key, false, context);
     }
 
     /// Lets a client go that has not logged in.
-    pub fn login_over(&mut self, key: Key, cx: &mut Cx) {
+    pub fn login_over(&mut self, key: SlotKey, context: &mut BackendContext) {
         if self.sessions.get(key).is_some_and(|s| matches!(s.phase, Phase::Greeted | Phase::Switched)) {
-            self.close(key, cx);
+            self.close(key, context);
         }
     }
 
     /// A socket has something to say, or a command may be taken again. A client that has closed its side is gone, however
     /// much it has sent before.
-    pub fn ready(&mut self, key: Key, read_closed: bool, cx: &mut Cx) {
+    pub fn ready(&mut self, key: SlotKey, read_closed: bool, context: &mut BackendContext) {
         if read_closed {
-            return self.close(key, cx);
+            return self.close(key, context);
         }
         loop {
             let Some(session) = self.sessions.get_mut(key) else { return };
             if session.link.flush().is_err() {
-                return self.close(key, cx);
+                return self.close(key, context);
             }
             let end = session.link.read(PACKET_MOST + 8);
             let mut more = session.link.has_more();
@@ -210,95 +212,95 @@
                     more = false; // The answer, or a client that takes it, brings us back here.
                     break;
                 }
-                match packets::packet(&session.link.input) {
+                match mysql_packets::packet(&session.link.input) {
                     Ok(None) => break,
                     Ok(Some((number, body))) => {
                         let body = body.to_vec();
                         session.link.used(4 + body.len());
-                        if !self.packet(key, number, &body, cx) {
-                            return self.part(key, cx);
+                        if !self.packet(key, number, &body, context) {
+                            return self.part(key, context);
                         }
                     }
                     Err(too_long) => {
                         session.wrong(too_long.0, TOO_LONG);
-                        return self.part(key, cx);
+                        return self.part(key, context);
                     }
                 }
             }
             let Some(session) = self.sessions.get_mut(key) else { return };
             let broken = session.link.flush().is_err();
             if broken || !matches!(end, Ok(ReadEnd::Open)) {
-                return self.close(key, cx);
+                return self.close(key, context);
             }
             if !more {
                 break;
             }
         }
         if self.sessions.get(key).is_some_and(|session| session.weight() > SESSION_LIGHT) {
-            self.bound_total(cx);
+            self.bound_total(context);
         }
     }
 
     /// Lets a client go, which may first read what is written.
-    fn part(&mut self, key: Key, cx: &mut Cx) {
-        if let Some(session) = self.remove(key, cx) {
-            cx.closing.add(session.link, cx.now, cx.registry, cx.deadlines);
+    fn part(&mut self, key: SlotKey, context: &mut BackendContext) {
+        if let Some(session) = self.remove(key, context) {
+            context.closing.add(session.link, context.now, context.registry, context.timers);
         }
     }
 
-    fn close(&mut self, key: Key, cx: &mut Cx) {
-        drop(self.remove(key, cx));
+    fn close(&mut self, key: SlotKey, context: &mut BackendContext) {
+        drop(self.remove(key, context));
     }
 
-    fn remove(&mut self, key: Key, cx: &mut Cx) -> Option<Session> {
+    fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Session> {
         let session = self.sessions.remove(key)?;
         if matches!(session.phase, Phase::Busy(_)) {
-            withdraw(Asker { front: Front::Mysql, conn: key, id: session.requests }, cx.heard);
+            withdraw(ClientHandle { front: Front::Mysql, conn: key, id: session.requests }, context.heard);
         }
         Some(session)
     }
 
     /// Writes an answer, if its client still waits for it, and takes the next command.
-    pub fn answer(&mut self, asker: Asker, answer: Answer, cx: &mut Cx) {
+    pub fn answer(&mut self, asker: ClientHandle, answer: FinalResponse, context: &mut BackendContext) {
         let Some(session) = self.sessions.get_mut(asker.conn).filter(|s| s.requests == asker.id) else {
             return;
         };
         let Phase::Busy(number) = session.phase else { return };
         session.phase = Phase::Ready;
         match answer {
-            Answer::Served(mut body) => {
-                packets::renumber(&mut body, number.wrapping_add(1));
+            FinalResponse::Served(mut body) => {
+                mysql_packets::renumber(&mut body, number.wrapping_add(1));
                 session.link.put(&body);
             }
-            Answer::Error(body) => session.reply(number, &body),
-            Answer::Refused { backoff_ms } => {
+            FinalResponse::Error(body) => session.reply(number, &body),
+            FinalResponse::Refused { backoff_ms } => {
                 let back = backoff_ms.ceil().max(1.0);
                 let message = format!("refused, not run; come back in {back} ms");
                 session.wrong(number, (REFUSED.0, REFUSED.1, &message));
             }
-            Answer::TimedOut => session.wrong(number, TIMED_OUT),
-            Answer::Failed => session.wrong(number, FAILED),
+            FinalResponse::TimedOut => session.wrong(number, TIMED_OUT),
+            FinalResponse::Failed => session.wrong(number, FAILED),
         }
-        self.ready(asker.conn, false, cx);
+        self.ready(asker.conn, false, context);
     }
 
     /// Guards the memory limit against many sessions that take nothing or keep much: the heaviest goes.
-    fn bound_total(&mut self, cx: &mut Cx) {
+    fn bound_total(&mut self, context: &mut BackendContext) {
         let (total, most) = heaviest(self.sessions.iter().map(|(key, s)| (s.weight(), key)));
         if let Some(key) = most.filter(|_| total > self.total_most) {
-            cx.log.push(format!("slow client: closed, bytes={total}"));
-            self.close(key, cx);
+            context.log.push(format!("slow client: closed, bytes={total}"));
+            self.close(key, context);
         }
     }
 
     /// Closes the sessions in which nothing is open or half said; used in a graceful shutdown.
-    pub fn close_quiet(&mut self, cx: &mut Cx) {
+    pub fn close_quiet(&mut self, context: &mut BackendContext) {
         for key in self.sessions.keys() {
-            self.ready(key, false, cx); // What came since the poll is not to be lost by a close over it.
+            self.ready(key, false, context); // What came since the poll is not to be lost by a close over it.
             let is_busy = |s: &Session| matches!(s.phase, Phase::Busy(_));
             let is_quiet = |s: &Session| !is_busy(s) && s.link.waiting() == 0 && s.link.input.is_empty();
             if self.sessions.get(key).is_some_and(is_quiet) {
-                self.part(key, cx);
+                self.part(key, context);
             }
         }
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,52 +1,52 @@
 //! The real front end: the decision module on real sockets, in one thread.
 //!
-//! A request's stages: a front reads it ([`front`]), the core ([`exchange`]) asks the decision module and keeps the
-//! promises, a backend ([`backend`]) carries the attempt. [`bulletin`] tells of engines, [`deadlines`] of time.
+//! A request's stages: a front reads it ([`front`]), the core ([`dispatcher`]) asks the decision module and keeps the
+//! promises, a backend ([`backend`]) carries the attempt. [`discovery`] tells of engines, [`timer_queue`] of time.
 
+mod event_loop;
 mod start;
-mod turns;
 
 pub mod backend;
-pub mod bulletin;
 pub mod clock;
 pub mod config;
 pub mod control;
-pub mod deadlines;
-pub mod exchange;
+pub mod discovery;
+pub mod dispatcher;
 pub mod front;
 pub mod json;
+pub mod mysql_packets;
 pub mod operator;
-pub mod packets;
 pub mod reactor;
 pub mod section;
 pub mod shutdown;
-pub mod slots;
-pub mod tables;
+pub mod slab;
+pub mod table_group;
+pub mod timer_queue;
 use crate::fleet::admission::{AdmissionControl, AdmissionRequest};
 use crate::Repeat;
-use backend::mysql::MysqlBoxes;
-use backend::warehouse::Warehouses;
-use backend::Cx;
-use bulletin::{Bulletin, News};
+use backend::line_protocol::LineProtocolBackend;
+use backend::mysql::MysqlBackend;
+use backend::BackendContext;
 use clock::Clock;
 use config::{Config, ConfigError};
 use control::xds::Feed;
 use control::{Control, Kind, View};
-use deadlines::{Deadlines, Handle, Wake};
-use exchange::{AttemptRef, Exchange, Front, Heard, Order};
+use discovery::{DiscoveryClient, ListEvent};
+use dispatcher::{AttemptRef, DispatcherCommand, DispatcherEvent, Front, RequestDispatcher};
 use front::closing::ClosingConnections;
 use front::jsonrpc::JsonRpc;
 use front::mysql::MysqlFront;
 use json::OwnedValue;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Waker};
-use reactor::Owner;
+use reactor::SocketOwner;
 use shutdown::{GracefulShutdown, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
+use timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 
 const ACCEPT_PAUSE_MS: f64 = 5.0; // before accepting again where descriptors are short
 const TRANSIT_MS: f64 = 1.0; // a message's way from its client: within a room, and no more than the grace
@@ -65,21 +65,21 @@
     listeners: Vec<(Front, TcpListener)>,
     accept_paused: bool,
     client_sockets: usize,
-    deadlines: Deadlines,
-    exchange: Exchange,
+    timers: TimerQueue,
+    exchange: RequestDispatcher,
     jsonrpc: JsonRpc,
-    mysql: Option<(MysqlFront, MysqlBoxes)>,
+    mysql: Option<(MysqlFront, MysqlBackend)>,
     /// Client connections that are being closed, of both fronts.
     closing: ClosingConnections,
-    warehouses: Warehouses,
-    bulletin: Option<Bulletin>,
+    warehouses: LineProtocolBackend,
+    bulletin: Option<DiscoveryClient>,
     control: Control,
     control_listeners: Vec<(Kind, TcpListener)>,
     /// The service for proxies, which has a thread of its own; none if it is off.
     xds: Option<Feed>,
     /// Admission control of a fleet with a policy, and when its leader is next to be polled; none if it is off.
     admission: Option<AdmissionControl>,
-    admission_due: Option<Handle>,
+    admission_due: Option<TimerHandle>,
     waker: Option<Arc<Waker>>,
     /// What the file said at the start of all that a reload does not apply.
     at_start: BTreeMap<String, OwnedValue>,
@@ -107,7 +107,7 @@
 
     /// Watches a stream whose first byte asks for a graceful shutdown.
     pub fn watch_signal(&mut self, stream: &mut impl mio::event::Source) -> io::Result<()> {
-        self.poll.registry().register(stream, Owner::Fixed(SIGNAL).token(), Interest::READABLE)
+        self.poll.registry().register(stream, SocketOwner::Fixed(SIGNAL).token(), Interest::READABLE)
     }
 
     /// Ends a wait for sockets from another thread, so that a configuration read there is taken in at once.
@@ -115,7 +115,7 @@
         if let Some(waker) = &self.waker {
             return Ok(waker.clone());
         }
-        let waker = Arc::new(Waker::new(self.poll.registry(), Owner::Fixed(RELOAD).token())?);
+        let waker = Arc::new(Waker::new(self.poll.registry(), SocketOwner::Fixed(RELOAD).token())?);
         self.waker = Some(waker.clone());
         Ok(waker)
     }
@@ -133,9 +133,7 @@
         self.log.extend(changed.map(|key| format!("reload: {key} has changed: needs a restart")));
         let now = self.clock.now();
         let news = match (&mut self.bulletin, config.bulletin) {
-            (Some(bulletin), Some(address)) => {
-                bulletin.moved(now, address, config.known, &mut self.deadlines)
-            }
+            (Some(bulletin), Some(address)) => bulletin.moved(now, address, config.known, &mut self.timers),
             (None, None) => return,
             _ => return self.log.push("reload: bulletin has come or gone: needs a restart".to_owned()),
         };
@@ -150,13 +148,13 @@
             let now = self.clock.now();
             let deadlines = self.exchange.settings().classes.iter().map(|c| c.deadline.as_millis());
             let shutdown = GracefulShutdown::new(now, deadlines.fold(0.0, f64::max));
-            self.exchange.shut_down_by(now, shutdown.response_deadline(), &mut self.deadlines);
+            self.exchange.shut_down_by(now, shutdown.response_deadline(), &mut self.timers);
             self.shutdown = Some(shutdown);
             if let Some(admission) = &mut self.admission {
                 admission.start_draining();
             }
             self.log.push(format!("ending: open={}", self.exchange.open_requests()));
-            self.deadlines.set(now, Wake::Shutdown);
+            self.timers.set(now, TimerEvent::Shutdown);
         }
     }
 
@@ -186,18 +184,18 @@
         self.exchange.cold_among(admission.warm_up_share());
         let due = now + admission.next_poll_in();
         if let Some(before) = self.admission_due.take() {
-            self.deadlines.clear(before);
+            self.timers.clear(before);
         }
-        self.admission_due = Some(self.deadlines.set(due, Wake::Fleet));
+        self.admission_due = Some(self.timers.set(due, TimerEvent::Fleet));
         let mut heard = Vec::new();
-        let Node { poll, deadlines, log, warehouses, closing, .. } = self;
+        let Node { poll, timers, log, warehouses, closing, .. } = self;
         warehouses.keep_links(
             most,
-            &mut Cx { now, registry: poll.registry(), deadlines, closing, heard: &mut heard, log },
+            &mut BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut heard, log },
         );
         if !changed.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
-            heard.push(Heard::Members(crate::ListKind::Changes, 0, changed));
+            heard.push(DispatcherEvent::Members(crate::ListKind::Changes, 0, changed));
         }
         if !heard.is_empty() {
             self.settle(heard);
@@ -205,12 +203,12 @@
     }
 
     /// Admits a request under the active policy, or rejects it.
-    fn admit(&mut self, heard: Heard) -> Option<Heard> {
+    fn admit(&mut self, heard: DispatcherEvent) -> Option<DispatcherEvent> {
         let mut ask = match heard {
-            Heard::Asked(ask) => ask,
+            DispatcherEvent::Asked(ask) => ask,
             other => return Some(other),
         };
-        let Some(admission) = &mut self.admission else { return Some(Heard::Asked(ask)) };
+        let Some(admission) = &mut self.admission else { return Some(DispatcherEvent::Asked(ask)) };
         let request = AdmissionRequest {
             id: &ask.name,
             class: ask.class.0,
@@ -221,7 +219,7 @@
             Ok(admitted) => {
                 ask.budget = admitted.limits.deadline_ms.map_or(ask.budget, |most| ask.budget.min(most));
                 ask.admitted = Some(admitted);
-                Some(Heard::Asked(ask))
+                Some(DispatcherEvent::Asked(ask))
             }
             Err(reason) => {
                 self.exchange.turn_away(ask.asker, reason.retry_after_ms());
@@ -251,36 +249,37 @@
         }
     }
 
-    fn control_ready(&mut self, owner: Owner, now: f64) {
+    fn control_ready(&mut self, owner: SocketOwner, now: f64) {
         let view = self.view();
-        let Node { poll, deadlines, log, control, control_listeners, closing, .. } = self;
-        let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard: &mut Vec::new(), log };
-        if let Owner::Control(key) = owner {
-            return control.ready(key, &view, &mut cx);
+        let Node { poll, timers, log, control, control_listeners, closing, .. } = self;
+        let mut context =
+            BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut Vec::new(), log };
+        if let SocketOwner::Control(key) = owner {
+            return control.ready(key, &view, &mut context);
         }
         let listener = control_listeners.iter().find(|(kind, _)| control_token(*kind) == owner.token());
         let Some((kind, listener)) = listener else { return };
         // Any error ends this round: where descriptors are short, those who ask come back by themselves.
         while let Ok((stream, _)) = listener.accept() {
-            control.accept(stream, *kind, &view, &mut cx);
+            control.accept(stream, *kind, &view, &mut context);
         }
     }
 
     /// Takes a graceful shutdown further, as its state machine says.
-    fn advance_shutdown(&mut self, now: f64, heard: &mut Vec<Heard>) {
-        let Node { poll, deadlines, log, jsonrpc, mysql, exchange, shutdown, closing, .. } = self;
+    fn advance_shutdown(&mut self, now: f64, heard: &mut Vec<DispatcherEvent>) {
+        let Node { poll, timers, log, jsonrpc, mysql, exchange, shutdown, closing, .. } = self;
         let Some(shutdown) = shutdown else { return };
-        exchange.refuse_unfinishable(now, deadlines);
+        exchange.refuse_unfinishable(now, timers);
         let connections = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
         let step = shutdown.advance(now, exchange.open_requests(), connections);
-        let mut cx = Cx { now, registry: poll.registry(), deadlines, closing, heard, log };
+        let mut context = BackendContext { now, registry: poll.registry(), timers, closing, heard, log };
         if step.close_idle_clients {
             exchange.refuse_new();
-            jsonrpc.close_quiet(&mut cx);
-            mysql.iter_mut().for_each(|(front, _)| front.close_quiet(&mut cx));
+            jsonrpc.close_quiet(&mut context);
+            mysql.iter_mut().for_each(|(front, _)| front.close_quiet(&mut context));
         }
         if let Some(next) = step.next {
-            deadlines.set(next, Wake::Shutdown);
+            timers.set(next, TimerEvent::Shutdown);
         }
         if step.close_listeners {
             self.close_listeners(now, heard);
@@ -288,7 +287,7 @@
     }
 
     /// Takes the connections that the system has accepted already, which would be reset, and closes the listeners.
-    fn close_listeners(&mut self, now: f64, heard: &mut Vec<Heard>) {
+    fn close_listeners(&mut self, now: f64, heard: &mut Vec<DispatcherEvent>) {
         self.accept_paused = false;
         self.accept(Front::JsonRpc, now, now, heard);
         self.accept(Front::Mysql, now, now, heard);
@@ -301,7 +300,7 @@
         Front::JsonRpc => LISTENER,
         Front::Mysql => MYSQL_LISTENER,
     };
-    Owner::Fixed(number).token()
+    SocketOwner::Fixed(number).token()
 }
 
 fn control_token(kind: Kind) -> mio::Token {
@@ -309,7 +308,7 @@
         Kind::Http => HTTP_LISTENER,
         Kind::Agent => AGENT_LISTENER,
     };
-    Owner::Fixed(number).token()
+    SocketOwner::Fixed(number).token()
 }
 
 fn millis(ms: f64) -> Duration {
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -9,7 +9,7 @@
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use beamgap::node::clock::Clock;
 use beamgap::node::config::Config;
-use beamgap::node::exchange::Front;
+use beamgap::node::dispatcher::Front;
 use beamgap::node::Node;
 use beamgap_fakes::draw::Draw;
 use beamgap_fakes::rules::{judge, Asked, Rules, Said};
@@ -236,7 +236,7 @@
             now + tick
         };
         for _ in 0..3 {
-            self.node.turn(Duration::ZERO).expect("the loop goes on");
+            self.node.poll_once(Duration::ZERO).expect("the loop goes on");
             for (h, house) in self.houses.iter_mut().enumerate() {
                 house.pull();
                 let engine = &mut self.engines[h];
