--- a/src/bin/beamgap-simulator-host/action.rs
+++ b/src/bin/beamgap-simulator-host/action.rs
@@ -1,4 +1,4 @@
-//! Writes a gateway's actions as lines.
+//! Writes the actions of a gateway as output lines of the simulator's protocol.
 //!
 //! | line | action |
 //! |---|---|
@@ -19,13 +19,13 @@
 use beamgap::{Action, Micros};
 use std::fmt::{Result, Write as _};
 
-/// The receiver of a message to all peers.
+/// Receiver field of an `announce` line whose message goes to all other gateways.
 const ALL_PEERS: &str = "*";
 
-/// Appends one action of `instance` to `output`.
+/// Appends the line for one action of the gateway `instance` to `output`.
 pub fn write_action(instance: u32, action: &Action, output: &mut String) {
     let written = write_line(instance, action, output);
-    debug_assert!(written.is_ok(), "writing to a string does not fail");
+    debug_assert!(written.is_ok(), "writing to a string can't fail");
 }
 
 fn write_line(instance: u32, action: &Action, output: &mut String) -> Result {
--- a/src/bin/beamgap-simulator-host/error.rs
+++ b/src/bin/beamgap-simulator-host/error.rs
@@ -1,5 +1,5 @@
-//! Why the program ends before its input does. Each message is one line: the number of the input line, what was
-//! found there and what was expected.
+//! Errors that stop the program before the end of its input. Each error message is a single line with the number of
+//! the input line, the text that was found in that line, and the text that was expected.
 
 use beamgap::settings::{excerpt, ParseError};
 use beamgap::SettingsError;
@@ -7,48 +7,48 @@
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// The program cannot go on; `line` counts the lines of the input from 1.
+/// An error that stops the program. `line` is the number of the input line, counted from 1.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// Standard input cannot be read.
+    /// Standard input could not be read.
     #[error("line {line}: {source}")]
     Read { line: u64, source: io::Error },
     /// The input ends while a batch is open.
     #[error("line {line}: found end of input, expected eof_batch")]
     EndInsideBatch { line: u64 },
-    /// The input ends before the end of its last line.
+    /// The last line of the input has no line ending, so it may be incomplete.
     #[error("line {line}: found end of input, expected end of line")]
     EndInsideLine { line: u64 },
-    /// The line is not text.
+    /// The line is not valid UTF-8.
     #[error("line {line}: found bytes, expected UTF-8")]
     NotUtf8 { line: u64, source: Utf8Error },
-    /// The line cannot be used.
+    /// The line is not a valid message.
     #[error("line {line}: {source}")]
     Malformed { line: u64, source: LineError },
-    /// Standard output cannot be written.
+    /// The reply could not be written to standard output.
     #[error("line {line}: reply not written: {source}")]
     Write { line: u64, source: io::Error },
 }
 
-/// A line cannot be used.
+/// Why an input line is invalid.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// A field, or a setting of a start line, is not of the expected form.
+    /// A field of the line, or a setting in a `start` line, does not have the expected format.
     #[error(transparent)]
     Field(#[from] ParseError),
-    /// The message cannot come at this point of the input.
+    /// The message is not allowed at this point of the input.
     #[error("found '{}', expected {expected}", excerpt(line))]
-    OutOfPlace { line: String, expected: &'static str },
-    /// No instance runs under the number that the message names.
-    #[error("found '{}', expected an instance that was started", excerpt(line))]
+    UnexpectedLine { line: String, expected: &'static str },
+    /// The message names the number of an instance that is not running.
+    #[error("found '{}', expected the number of a running instance", excerpt(line))]
     UnknownInstance { line: String },
-    /// No list was sent under the number that the message names.
+    /// The message names the number of an engine list that was not sent before.
     #[error("found '{}', expected the number of a list", excerpt(line))]
     UnknownList { line: String },
-    /// The instance's settings have no such class.
-    #[error("found '{}', expected a class of the settings", excerpt(class))]
+    /// The request names a class that the settings of the instance don't define.
+    #[error("found '{}', expected a class in the settings", excerpt(class))]
     UnknownClass { class: String },
-    /// The gateway rejects its settings.
-    #[error("found '{}', expected settings that make sense", excerpt(&source.to_string()))]
+    /// The gateway rejected the settings of the `start` line.
+    #[error("found '{}', expected consistent settings", excerpt(&source.to_string()))]
     Settings { source: SettingsError },
 }
--- a/src/bin/beamgap-simulator-host/host.rs
+++ b/src/bin/beamgap-simulator-host/host.rs
@@ -1,4 +1,4 @@
-//! The hosted gateway instances and the engine lists that they may be told of.
+//! Runs the gateway instances and stores the engine lists that messages refer to by number.
 
 use crate::action::write_action;
 use crate::error::LineError;
@@ -6,29 +6,29 @@
 use beamgap::{Action, ClassId, EngineEntry, Event, Gateway, Micros};
 use std::collections::{BTreeMap, HashMap};
 
-/// The line that ends each reply.
+/// Last line of every reply.
 const END_OF_REPLY: &str = "ok\n";
 
-/// A gateway that was started, and the places of its classes by name.
+/// A running gateway, and the index of each of its classes by class name.
 struct Instance {
     gateway: Gateway,
-    class_places: HashMap<String, usize>,
+    class_indices: HashMap<String, usize>,
 }
 
-/// A list whose entries are still being read.
+/// An engine list whose entries are still being read.
 struct OpenList {
     list: u8,
     entries_left: usize,
 }
 
 impl OpenList {
-    /// `None` if no entry is left to read.
+    /// Returns `None` if the list has no further entries to read.
     fn new(list: u8, entries_left: usize) -> Option<Self> {
         (entries_left > 0).then_some(OpenList { list, entries_left })
     }
 }
 
-/// The hosted instances, the lists sent so far and the batch that is being read.
+/// State of the program: running gateway instances, engine lists received so far, and the batch being read.
 #[derive(Default)]
 pub struct Host {
     now: Micros,
@@ -41,11 +41,11 @@
 }
 
 impl Host {
-    /// Takes one line; returns the reply when the line closes a batch.
+    /// Handles one input line. Returns the reply to the whole batch if the line ends the batch.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, LineError> {
         let message = read_message(line)?;
-        if let Some(open) = self.open_list.take() {
-            self.add_entry(open, message, line)?;
+        if let Some(open_list) = self.open_list.take() {
+            self.add_entry(open_list, message, line)?;
             return Ok(None);
         }
         if !self.batch_is_open {
@@ -59,13 +59,13 @@
         Ok(Some(std::mem::take(&mut self.reply)))
     }
 
-    /// Whether a batch was opened and not yet closed.
+    /// Whether a batch has started and its last line has not been read yet.
     pub fn batch_is_open(&self) -> bool {
         self.batch_is_open
     }
 
     fn open_batch(&mut self, message: &Message, line: &str) -> Result<(), LineError> {
-        let Message::Clock(now) = message else { return Err(out_of_place(line, "a clock line")) };
+        let Message::Clock(now) = message else { return Err(unexpected_line(line, "a clock line")) };
         self.now = *now;
         self.batch_is_open = true;
         Ok(())
@@ -73,7 +73,7 @@
 
     fn handle_message(&mut self, message: Message, line: &str) -> Result<(), LineError> {
         match message {
-            Message::Clock(_) => Err(out_of_place(line, "an event or eof_batch")),
+            Message::Clock(_) => Err(unexpected_line(line, "an event or eof_batch")),
             Message::EndOfBatch => {
                 self.batch_is_open = false;
                 self.reply.push_str(END_OF_REPLY);
@@ -89,26 +89,26 @@
                 self.open_list = OpenList::new(list, entries);
                 Ok(())
             }
-            Message::Entry(_) => Err(out_of_place(line, "an event: no list is open")),
+            Message::Entry(_) => Err(unexpected_line(line, "an event: no list is open")),
             Message::EngineList(message) => self.engine_list(&message, line),
             Message::Event { instance, event } => self.event(instance, event, line),
             Message::Request(message) => self.request(message, line),
         }
     }
 
-    fn add_entry(&mut self, open: OpenList, message: Message, line: &str) -> Result<(), LineError> {
-        let Message::Entry(entry) = message else { return Err(out_of_place(line, "an engine line")) };
-        self.lists.entry(open.list).or_default().push(entry);
-        self.open_list = OpenList::new(open.list, open.entries_left - 1);
+    fn add_entry(&mut self, open_list: OpenList, message: Message, line: &str) -> Result<(), LineError> {
+        let Message::Entry(entry) = message else { return Err(unexpected_line(line, "an engine line")) };
+        self.lists.entry(open_list.list).or_default().push(entry);
+        self.open_list = OpenList::new(open_list.list, open_list.entries_left - 1);
         Ok(())
     }
 
     fn start(&mut self, start: StartMessage) -> Result<(), LineError> {
         let classes = start.settings.classes.iter().enumerate();
-        let class_places = classes.map(|(place, class)| (class.name.clone(), place)).collect();
+        let class_indices = classes.map(|(index, class)| (class.name.clone(), index)).collect();
         let gateway =
             Gateway::new(*start.settings, start.seed).map_err(|source| LineError::Settings { source })?;
-        self.instances.insert(start.instance, Instance { gateway, class_places });
+        self.instances.insert(start.instance, Instance { gateway, class_indices });
         Ok(())
     }
 
@@ -126,15 +126,15 @@
         let Some(instance) = self.instances.get(&message.instance) else {
             return Err(LineError::UnknownInstance { line: line.to_owned() });
         };
-        let Some(place) = instance.class_places.get(&message.class) else {
+        let Some(index) = instance.class_indices.get(&message.class) else {
             return Err(LineError::UnknownClass { class: message.class });
         };
         let mut request = message.request;
-        request.class = ClassId(*place);
+        request.class = ClassId(*index);
         self.event(message.instance, Event::RequestArrived(request), line)
     }
 
-    /// Passes an event to an instance and adds the actions that it answers with to the reply.
+    /// Passes an event to a gateway instance and appends the resulting actions to the reply.
     fn event(&mut self, number: u32, event: Event, line: &str) -> Result<(), LineError> {
         let Some(instance) = self.instances.get_mut(&number) else {
             return Err(LineError::UnknownInstance { line: line.to_owned() });
@@ -147,6 +147,6 @@
     }
 }
 
-fn out_of_place(line: &str, expected: &'static str) -> LineError {
-    LineError::OutOfPlace { line: line.to_owned(), expected }
+fn unexpected_line(line: &str, expected: &'static str) -> LineError {
+    LineError::UnexpectedLine { line: line.to_owned(), expected }
 }
--- a/src/bin/beamgap-simulator-host/main.rs
+++ b/src/bin/beamgap-simulator-host/main.rs
@@ -1,7 +1,8 @@
-//! Hosts gateways on the simulator's wire: batches of events on standard input, replies on standard output.
+//! Runs gateways under the simulator's protocol: reads batches of events from standard input and writes replies to
+//! standard output.
 //!
-//! [`message`] reads a line, [`host`] passes it to the gateway instance that it names, and [`action`] writes what
-//! the gateway answers. Nothing is decided here.
+//! [`message`] parses a line, [`host`] passes the message to the gateway instance that it names, and [`action`]
+//! writes the resulting actions. All routing decisions are made by the gateway, none in this program.
 
 mod action;
 mod error;
@@ -24,7 +25,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Reads batches and writes the reply to each, until the input ends.
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
     let mut host = Host::default();
     let mut bytes = Vec::new();
@@ -38,18 +39,18 @@
             }
             return Ok(());
         }
-        let text = text_of(&bytes, line)?;
+        let text = decode_line(&bytes, line)?;
         let reply = host.handle_line(text).map_err(|source| HostError::Malformed { line, source })?;
         if let Some(reply) = reply {
-            let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
-            sent.map_err(|source| HostError::Write { line, source })?;
+            let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+            written.map_err(|source| HostError::Write { line, source })?;
         }
     }
     Ok(())
 }
 
-/// The text of a line without its line ending.
-fn text_of(bytes: &[u8], line: u64) -> Result<&str, HostError> {
+/// Decodes a line as UTF-8 and removes the line ending.
+fn decode_line(bytes: &[u8], line: u64) -> Result<&str, HostError> {
     if bytes.last() != Some(&b'\n') {
         return Err(HostError::EndInsideLine { line });
     }
--- a/src/bin/beamgap-simulator-host/message.rs
+++ b/src/bin/beamgap-simulator-host/message.rs
@@ -1,8 +1,8 @@
-//! Reads the lines of a batch. A line is the name of a message and its fields, separated by one space each.
+//! Parses the lines of a batch. A line consists of the name of a message and its fields, separated by one space.
 //!
-//! The simulator's names and what they are here:
+//! The name at the start of the line determines the type of the message:
 //!
-//! | line | message |
+//! | name | message |
 //! |---|---|
 //! | `clock` | [`Message::Clock`] |
 //! | `eof_batch` | [`Message::EndOfBatch`] |
@@ -30,46 +30,48 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Set in an order's options if the plan cost may be used as a hint of the work.
+/// Option bit of an `order` line: the plan cost may be used as an estimate of the request's work.
 const OPTION_WORK_HINT: u64 = 1;
-/// Set in an order's options if the request repeats an earlier one.
+/// Option bit of an `order` line: the client marks the request as a repeat of an earlier one.
 const OPTION_REPEAT: u64 = 2;
 
-/// A true cost is one integer: the work in milliseconds times this, plus the memory in units.
+/// Separates the two parts of an actual cost, which is encoded as one integer: the work in milliseconds times this
+/// number, plus the memory in units of [`COST_MEMORY_UNIT_MB`].
 const COST_RADIX: u64 = 4096;
-/// Memory of one unit of a true cost, in MB.
+/// Unit of the memory in an encoded actual cost, in megabytes.
 const COST_MEMORY_UNIT_MB: f64 = 4.0;
 
-/// A notice that a request waits has a value below this if it waits for memory, else it waits for a table's holder.
+/// Threshold on the value of a `notice` line that reports a waiting query. Below this value the query waits for
+/// memory; from this value on it waits for another query that has its tables locked.
 const WAITS_FOR_HOLDER_FROM: f64 = 1.5;
 
-/// Size of an engine whose line gives none.
+/// Relative size of an engine whose `engine` line gives no size.
 const DEFAULT_SIZE_HINT: f64 = 1.0;
 
-/// A line of a batch.
+/// The message in one line of a batch.
 #[derive(Debug)]
 pub enum Message {
-    /// The batch opens at this time.
+    /// Starts a batch and sets the current time.
     Clock(Micros),
-    /// The batch closes.
+    /// Ends the batch.
     EndOfBatch,
-    /// An instance comes up.
+    /// Starts a gateway instance.
     Start(StartMessage),
-    /// An instance dies.
+    /// Stops a gateway instance at once.
     Shutdown { instance: u32 },
-    /// A list with this many entries follows.
+    /// Announces an engine list; the next `entries` lines are its entries.
     List { list: u8, entries: usize },
-    /// An entry of a list.
+    /// One entry of the announced engine list.
     Entry(EngineEntry),
-    /// An instance's request for the engine list is answered, or the list has changed.
+    /// Delivers the engine list to an instance, because the instance requested it or because the list has changed.
     EngineList(EngineListMessage),
-    /// A request arrives at an instance.
+    /// A client's request arrives at an instance.
     Request(RequestMessage),
-    /// Anything else that happens to an instance.
+    /// Any other event for an instance.
     Event { instance: u32, event: Event },
 }
 
-/// An instance comes up.
+/// Content of a `start` line, which starts a gateway instance.
 #[derive(Debug)]
 pub struct StartMessage {
     pub instance: u32,
@@ -77,30 +79,30 @@
     pub settings: Box<Settings>,
 }
 
-/// News of the engine list for an instance.
+/// Content of a `registry` line, which delivers the engine list to an instance.
 #[derive(Debug)]
 pub struct EngineListMessage {
     pub instance: u32,
-    /// `None` if the list could not be had.
+    /// Whether the list is complete or holds only changes; `None` if the list could not be fetched.
     pub kind: Option<ListKind>,
     pub version: u64,
-    /// The number under which the list was sent.
+    /// Number under which a `directory` line announced the list.
     pub list: Option<u8>,
 }
 
-/// A request arrives at an instance.
+/// Content of an `order` line: a client's request that arrives at an instance.
 #[derive(Debug)]
 pub struct RequestMessage {
     pub instance: u32,
-    /// Its class is not yet set.
+    /// The request; its class index is a placeholder until the class name is resolved.
     pub request: Request,
-    /// The name of the class, for the instance's settings to resolve.
+    /// Name of the request's class, which is looked up in the settings of the instance.
     pub class: String,
 }
 
-/// Reads one line.
+/// Parses one line.
 pub fn read_message(line: &str) -> Parsed<Message> {
-    let mut fields = Fields::of(line);
+    let mut fields = Fields::new(line);
     let message = match fields.text("the name of a message")? {
         "clock" => read_clock(&mut fields)?,
         "eof_batch" => Message::EndOfBatch,
@@ -215,7 +217,7 @@
     Ok(Message::Request(RequestMessage { instance, request, class }))
 }
 
-/// Reads a `streaming` line; its engine and its delay are checked and not used.
+/// Reads a `streaming` line. The engine and the delay must be valid but are not used.
 fn read_streaming(fields: &mut Fields) -> Parsed<Message> {
     let instance = fields.instance()?;
     let request = fields.request()?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decides, for a workload manager, when and where each query runs on a fleet of shared engines.
+//! Front end for a pool of query engines: decides when each query runs, and on which engine.
 //!
-//! Short and long queries share cores, disks and memory of a few engines. The decisions are taken by the crate
-//! `beamgap-decisions`, which is re-exported here: a [`Gateway`] takes [`Event`]s and answers with [`Action`]s. This
-//! crate holds the program around it: [`node`] with sockets and timers, [`fleet`] with what front ends agree on, and
-//! [`settings`], which reads the platform's names.
+//! Short and long queries share the cores, disks and memory of the engines. The crate `beamgap-decisions`, which is
+//! re-exported here, decides how to route the queries: its [`Gateway`] receives [`Event`]s and returns [`Action`]s. This
+//! crate contains the program that runs the gateway: [`node`] implements sockets and timers, [`fleet`] implements the
+//! policy, the budgets and the tasks that front ends share, and [`settings`] reads settings by the platform's names.
 //!
 //! ```
 //! use beamgap::*;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,5 +1,6 @@
-//! The log on standard error: lines of text or JSON by tracing, written by a thread of their own behind a bounded
-//! queue. Lines are dropped rather than waited for where nobody reads them.
+//! Writes the log to standard error as lines of text or JSON, using the `tracing` crate. A separate thread writes the
+//! lines from a bounded queue. When the queue is full, lines are dropped, so that a slow reader of standard error does
+//! not block requests.
 
 use crate::cli::LogFormat;
 use std::fmt;
@@ -13,27 +14,28 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::SubscriberInitExt;
 
-const QUEUE: usize = 1024; // lines
+/// Maximum number of log lines in the queue of the writer thread; further lines are dropped.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// Starts the log. It is written to the end when the guard is dropped.
+/// Starts logging. Dropping the returned guard writes all queued lines.
 pub fn start(node: &str, format: LogFormat, levels: &str) -> Result<WorkerGuard, String> {
     let targets: Targets = levels.parse().map_err(|e| format!("--log {levels}: {e}"))?;
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUE);
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
     let (writer, guard) = builder.thread_name("log").finish(std::io::stderr());
     let registry = tracing_subscriber::registry().with(targets);
     let layer = tracing_subscriber::fmt::layer().with_writer(writer).with_ansi(false);
     let started = match format {
-        LogFormat::Text => registry.with(layer.event_format(Text(node.to_owned()))).try_init(),
+        LogFormat::Text => registry.with(layer.event_format(TextFormat(node.to_owned()))).try_init(),
         LogFormat::Json => registry.with(layer.json().flatten_event(true)).try_init(),
     };
     started.map_err(|e| format!("log: {e}"))?;
     Ok(guard)
 }
 
-/// The node's name and the line.
-struct Text(String);
+/// Text format of the log; each line starts with the name of the node, which is stored in this struct.
+struct TextFormat(String);
 
-impl<S, N> FormatEvent<S, N> for Text
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -50,7 +52,7 @@
     }
 }
 
-/// An event as text: its message, then its fields as ` name=value`.
+/// The text of a log event: the message, and the other fields as ` name=value`.
 #[derive(Default)]
 struct EventText {
     message: String,
@@ -61,7 +63,7 @@
     fn push(&mut self, field: &Field, value: &str) {
         match field.name() {
             "message" => value.clone_into(&mut self.message),
-            // It begins the line.
+            // The line starts with the node's name, so it is not repeated as a field.
             "node" => {}
             name if value.contains(' ') => self.fields.push_str(&format!(" {name}={value:?}")),
             name => self.fields.push_str(&format!(" {name}={value}")),
@@ -79,21 +81,21 @@
     }
 }
 
-/// Logs a line of the node under its part, which is the line's first word.
+/// Logs a line of the node. The first word of the line selects the log target and the level.
 pub fn line(node: &str, text: &str) {
-    let part = text.split([':', ' ']).next().unwrap_or_default();
-    // A part's name must be known when the program is built; so must its level.
-    macro_rules! parts {
+    let target = text.split([':', ' ']).next().unwrap_or_default();
+    // `tracing` requires the target and the level of an event to be constants, so each target has its own call.
+    macro_rules! log_by_target {
         ($($name:literal => $level:ident,)* _ => $other:literal) => {
-            match part {
-                // Parts are matched by how they begin, and `list` must not mean `listen` too.
+            match target {
+                // Filters match targets by prefix, so a target `listen` would also be selected by a filter for `list`.
                 "listen" => tracing::info!(target: "start", node, "{text}"),
                 $($name => tracing::$level!(target: $name, node, "{text}"),)*
                 _ => tracing::info!(target: $other, node, "{text}"),
             }
         };
     }
-    parts! {
+    log_by_target! {
         "list" => info,
         "fleet" => info,
         "reload" => info,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The program: its command line, and what each command does. Serving is in `run.rs`.
+//! Entry point of the `beamgap` program: parses the command line and runs the command. The `run` command, which
+//! serves requests, is implemented in `run.rs`.
 
 mod cli;
 mod commands;
@@ -14,7 +15,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         Some(Command::Policy(policy)) => return commands::ended(commands::policy::run(policy)),
         Some(Command::Task(task)) => return commands::ended(commands::task::run(task)),
         Some(Command::Fleet(fleet)) => return commands::ended(commands::fleet::run(fleet)),
@@ -23,7 +24,7 @@
         Some(Command::Check(check)) => self::check(&check),
         Some(Command::Xds(Xds::Watch(watch))) => self::watch(watch),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
             eprintln!("beamgap: {text}");
@@ -32,21 +33,21 @@
     }
 }
 
-/// Reads what serving would read, and says what is wrong with it.
+/// Reads and validates the same files as the `run` command, without serving requests.
 fn check(check: &Check) -> Result<(), String> {
-    let text = |path: &std::path::Path| {
+    let read_file = |path: &std::path::Path| {
         std::fs::read_to_string(path).map_err(|e| format!("config: {}: {e}", path.display()))
     };
     let env = |name: &str| std::env::var(name).ok();
     let name = check.file.display().to_string();
     let hcl = check.file.extension().is_some_and(|e| e == "hcl");
     let checked = match (hcl, &check.config) {
-        (true, None) => read_operator_file(&name, &text(&check.file)?).map(|_| ()),
+        (true, None) => read_operator_file(&name, &read_file(&check.file)?).map(|_| ()),
         (true, Some(config)) => {
-            let (config, operator) = (text(config)?, text(&check.file)?);
+            let (config, operator) = (read_file(config)?, read_file(&check.file)?);
             Config::read_both(config.into_bytes(), Some((&name, &operator)), &env).map(|_| ())
         }
-        (false, _) => Config::read(text(&check.file)?.into_bytes(), &env).map(|_| ()),
+        (false, _) => Config::read(read_file(&check.file)?.into_bytes(), &env).map(|_| ()),
     };
     checked.map_err(|e| e.to_string())?;
     println!("{name}: good");
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the decision module's settings by the platform's names, for the simulator's wire and for the node's
-//! configuration. Unknown paths are ignored; an absent limit is no limit.
+//! Reads the settings of the decision module from the platform's setting names, both for the simulator's protocol and
+//! for the node's configuration. Unknown paths are ignored, and a limit that is not set does not apply.
 
 pub mod notes;
 
@@ -11,33 +11,33 @@
 use std::collections::{BTreeSet, HashMap};
 use thiserror::Error;
 
-/// Characters of the input that an error repeats at most.
+/// Maximum length of the input excerpt in an error message, in characters.
 const EXCERPT_CHARS: usize = 60;
 
-/// A value is not of the form that it should have.
+/// A value does not have the expected format.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("found '{found}', expected {expected}")]
 pub struct ParseError {
-    /// The beginning of what stood there.
+    /// Beginning of the text that was found.
     pub found: String,
-    /// What should have stood there.
+    /// Description of the text that was expected.
     pub expected: String,
 }
 
-/// A value that was read, or why it could not be.
+/// Result of parsing a value.
 pub type Parsed<T> = Result<T, ParseError>;
 
-/// The error for `found` where `expected` should have stood.
+/// Returns the error for finding the text `found` instead of `expected`.
 pub fn unexpected<T>(found: &str, expected: &str) -> Parsed<T> {
     Err(ParseError { found: excerpt(found), expected: expected.to_owned() })
 }
 
-/// The beginning of a text, for an error to repeat.
+/// Returns the beginning of a text, for use in an error message.
 pub fn excerpt(text: &str) -> String {
     text.chars().take(EXCERPT_CHARS).collect()
 }
 
-/// Reads a finite number.
+/// Parses a finite number; infinities and NaN are errors.
 pub fn number(text: &str, expected: &str) -> Parsed<f64> {
     match text.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
@@ -45,21 +45,21 @@
     }
 }
 
-/// Converts milliseconds to the decision module's time; negative ones become zero.
+/// Converts milliseconds to the time type of the decision module. Negative values become zero.
 pub fn micros(ms: f64) -> Micros {
     Micros((ms * 1000.0).round().max(0.0) as u64)
 }
 
-/// Values by their paths.
+/// Setting values by path, with a record of the lookups.
 struct Pairs<'a> {
     given: &'a HashMap<String, String>,
-    /// The paths that were looked up.
-    asked: RefCell<BTreeSet<String>>,
+    /// Paths that were looked up, whether or not they have a value.
+    looked_up: RefCell<BTreeSet<String>>,
 }
 
 impl Pairs<'_> {
     fn get(&self, path: &str) -> Option<&String> {
-        self.asked.borrow_mut().insert(path.to_owned());
+        self.looked_up.borrow_mut().insert(path.to_owned());
         self.given.get(path)
     }
 
@@ -117,30 +117,31 @@
         }
     }
 
-    fn one_of<T: Copy>(&self, path: &str, choices: &[(&str, T)], absent: T) -> Parsed<T> {
-        let Some(text) = self.text(path) else { return Ok(absent) };
+    fn one_of<T: Copy>(&self, path: &str, choices: &[(&str, T)], default: T) -> Parsed<T> {
+        let Some(text) = self.text(path) else { return Ok(default) };
         let found = choices.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
-        found.map_or_else(|| unexpected(text, &format!("a known word for {path}")), Ok)
+        found.map_or_else(|| unexpected(text, &format!("a known value for {path}")), Ok)
     }
 }
 
-/// Reads settings by their paths; unknown paths are ignored, and an absent limit is no limit.
+/// Reads the decision module's settings from values by path. Unknown paths are ignored, and a limit that is not set
+/// does not apply.
 ///
 /// # Errors
 ///
-/// A value is not of the expected form, or the settings contradict each other.
+/// If a value does not have the expected format, or the settings contradict each other.
 pub fn read_settings(given: &HashMap<String, String>) -> Parsed<Settings> {
     let (settings, _) = read_settings_with_notes(given)?;
     Ok(settings)
 }
 
-/// Like [`read_settings`], with lines for the log: which paths were ignored, and which defaults are assumed.
+/// Like [`read_settings`], but also returns notes for the log: which paths were ignored, and which defaults apply.
 ///
 /// # Errors
 ///
-/// Those of [`read_settings`].
+/// Same as for [`read_settings`].
 pub fn read_settings_with_notes(given: &HashMap<String, String>) -> Parsed<(Settings, Vec<String>)> {
-    let pairs = Pairs { given, asked: RefCell::default() };
+    let pairs = Pairs { given, looked_up: RefCell::default() };
     let mut settings = Settings::plain(read_classes(&pairs)?);
     settings.kinds = read_kinds(&pairs)?;
     settings.tenants = read_tenants(&pairs)?;
@@ -151,8 +152,8 @@
     settings.drain_grace = pairs.time("Contract.DrainGrace")?.unwrap_or_default();
     settings.key_rest = pairs.time("Contract.TurnGap")?.unwrap_or_default();
     read_engine_rules(&pairs, &mut settings)?;
-    settings.check().or_else(|error| unexpected(&error.to_string(), "settings that make sense"))?;
-    let notes = notes::notes(given, &pairs.asked.borrow());
+    settings.check().or_else(|error| unexpected(&error.to_string(), "consistent settings"))?;
+    let notes = notes::notes(given, &pairs.looked_up.borrow());
     Ok((settings, notes))
 }
 
@@ -162,36 +163,36 @@
     let holds_tables = pairs.flags("Domain.ClassLoad", count)?;
     let waits_for_holder = pairs.flags("Domain.ClassWaits", count)?;
     let mut classes = Vec::new();
-    for place in 0..count {
-        let mut class = read_class(pairs, place)?;
-        class.threads = threads.as_ref().map_or(1.0, |threads| threads[place]);
-        class.holds_tables = holds_tables.as_ref().is_some_and(|holds| holds[place]);
-        class.waits_for_holder = waits_for_holder.as_ref().is_some_and(|waits| waits[place]);
+    for index in 0..count {
+        let mut class = read_class(pairs, index)?;
+        class.threads = threads.as_ref().map_or(1.0, |threads| threads[index]);
+        class.holds_tables = holds_tables.as_ref().is_some_and(|holds| holds[index]);
+        class.waits_for_holder = waits_for_holder.as_ref().is_some_and(|waits| waits[index]);
         classes.push(class);
     }
     Ok(classes)
 }
 
-fn read_class(pairs: &Pairs, place: usize) -> Parsed<ClassSettings> {
-    let at = |key: &str| format!("Classes.{place}.{key}");
-    let Some(deadline) = pairs.time(&at("HardLimit"))? else {
-        return unexpected("no value", &at("HardLimit"));
+fn read_class(pairs: &Pairs, index: usize) -> Parsed<ClassSettings> {
+    let path = |key: &str| format!("Classes.{index}.{key}");
+    let Some(deadline) = pairs.time(&path("HardLimit"))? else {
+        return unexpected("no value", &path("HardLimit"));
     };
-    let window = pairs.time(&at("Window"))?.unwrap_or_default();
+    let window = pairs.time(&path("Window"))?.unwrap_or_default();
     let groups = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("cell", RepeatGroup::Cell)];
-    let group = pairs.one_of(&at("KeyScope"), &groups, RepeatGroup::All)?;
-    let name = pairs.text(&at("Name")).unwrap_or("").to_owned();
-    let latency_objective = pairs.time(&at("OnTime"))?.unwrap_or(deadline);
+    let group = pairs.one_of(&path("KeyScope"), &groups, RepeatGroup::All)?;
+    let name = pairs.text(&path("Name")).unwrap_or("").to_owned();
+    let latency_objective = pairs.time(&path("OnTime"))?.unwrap_or(deadline);
     let mut class = ClassSettings::plain(&name, latency_objective, deadline);
-    class.objective_stretch = pairs.number(&at("AimStretch"))?.unwrap_or(0.0);
-    class.priority_weight = pairs.number(&at("Value"))?.unwrap_or(1.0);
-    class.late_weight = pairs.number(&at("LateWorth"))?.unwrap_or(0.0);
+    class.objective_stretch = pairs.number(&path("AimStretch"))?.unwrap_or(0.0);
+    class.priority_weight = pairs.number(&path("Value"))?.unwrap_or(1.0);
+    class.late_weight = pairs.number(&path("LateWorth"))?.unwrap_or(0.0);
     let repeats =
         [("pure", Repeat::Safe), ("token", Repeat::Keyed { group, window }), ("side_effect", Repeat::Unsafe)];
-    class.repeat = pairs.one_of(&at("Repeat"), &repeats, Repeat::Unsafe)?;
-    class.in_order = pairs.flag(&at("ByArrival"))?.unwrap_or(false);
-    class.kinds = pairs.list(&at("MachineTypesOpen"));
-    class.zones = pairs.list(&at("AzsAllowed"));
+    class.repeat = pairs.one_of(&path("Repeat"), &repeats, Repeat::Unsafe)?;
+    class.in_order = pairs.flag(&path("ByArrival"))?.unwrap_or(false);
+    class.kinds = pairs.list(&path("MachineTypesOpen"));
+    class.zones = pairs.list(&path("AzsAllowed"));
     Ok(class)
 }
 
@@ -200,9 +201,9 @@
     let cores = pairs.numbers("Domain.CoresByKind", names.len())?;
     let memory_mb = pairs.numbers("Domain.RamOfKindMb", names.len())?;
     let mut kinds = Vec::new();
-    for (place, name) in names.into_iter().enumerate() {
-        let cores = cores.as_ref().map(|cores| cores[place]);
-        let memory_mb = memory_mb.as_ref().map(|memory_mb| memory_mb[place]);
+    for (index, name) in names.into_iter().enumerate() {
+        let cores = cores.as_ref().map(|cores| cores[index]);
+        let memory_mb = memory_mb.as_ref().map(|memory_mb| memory_mb[index]);
         kinds.push(KindSettings { name, cores, memory_mb });
     }
     Ok(kinds)
@@ -210,15 +211,16 @@
 
 fn read_tenants(pairs: &Pairs) -> Parsed<Vec<TenantSettings>> {
     let mut tenants = Vec::new();
-    for place in 0..pairs.count("Parties")? {
-        let name = pairs.text(&format!("Parties.{place}.Name")).unwrap_or("").to_owned();
-        let quota_per_s = pairs.number(&format!("Parties.{place}.QuotaPerS"))?;
+    for index in 0..pairs.count("Parties")? {
+        let name = pairs.text(&format!("Parties.{index}.Name")).unwrap_or("").to_owned();
+        let quota_per_s = pairs.number(&format!("Parties.{index}.QuotaPerS"))?;
         tenants.push(TenantSettings { name, quota_per_s });
     }
     Ok(tenants)
 }
 
-/// The gateways, and how load reports and the engine list reach them.
+/// Reads the number of gateways, this gateway's index and zone, and how load reports and the engine list reach the
+/// gateways.
 fn read_deployment(pairs: &Pairs, settings: &mut Settings) -> Parsed<()> {
     settings.gateways = pairs.number("Balancers")?.unwrap_or(1.0) as u32;
     settings.own_number = pairs.number("Me")?.unwrap_or(0.0) as u32;
@@ -263,7 +265,7 @@
     Ok(Some(SlowStart { start_share, warm_within, fall_multiple, fall_span }))
 }
 
-/// How engines grant memory and heed priorities, and what they report.
+/// Reads how engines grant memory and apply priorities, and what they report about running queries.
 fn read_engine_rules(pairs: &Pairs, settings: &mut Settings) -> Parsed<()> {
     settings.grants = pairs.flag("Domain.Grants")?.unwrap_or(false);
     settings.priorities = pairs.flag("Domain.Priorities")?.unwrap_or(false);
@@ -276,8 +278,8 @@
     Ok(())
 }
 
-/// Sets the field of a load report that has this name, on the simulator's wire or on the engines' sockets; a value
-/// of an unknown name is kept beside the fields.
+/// Sets the field of a load report that has this name in the simulator's protocol or in the engines' line protocol. A
+/// value with an unknown name is stored in [`LoadReport::other`].
 pub fn report_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "outstanding" | "inflight" => report.in_flight = Some(value),
--- a/src/settings/notes.rs
+++ b/src/settings/notes.rs
@@ -1,8 +1,9 @@
-//! Notes for the log on settings that were read: the paths that were ignored, and the defaults that are assumed.
+//! Log notes about the settings that were read: which given paths were ignored, and which defaults replace missing
+//! settings.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Paths that the node reads itself, beside the decision module's settings.
+/// Paths that the node reads itself; the decision module has no settings for them.
 const READ_BY_NODE: [&str; 6] = [
     "Limits.DialTimeout",
     "Limits.ConnIdle",
@@ -12,49 +13,52 @@
     "Azs",
 ];
 
-/// Paths that need no note when they are ignored: they are for people, or follow from others.
+/// Paths that are ignored without a note, because they are meant for human readers or can be derived from other
+/// settings.
 const IGNORED_SILENTLY: [&str; 3] = ["Domain.Notes", "Domain.ReportX0", "Domain.ReportX1"];
 
-/// Paths, and what is assumed where one is absent; `*` stands for the number of a class.
+/// Paths, and a description of the default that applies when the path is missing. `*` stands for the index of a class.
 const DEFAULTS: [(&str, &str); 22] = [
-    ("Azs", "no zones"),
+    ("Azs", "engines have no zones"),
     ("Balancers", "one front end"),
-    ("Classes.*.AimStretch", "an aim that does not grow with the work"),
-    ("Classes.*.LateWorth", "late answers are worth nothing"),
-    ("Classes.*.OnTime", "the aim is the deadline"),
-    ("Classes.*.Repeat", "never run twice"),
-    ("Classes.*.Value", "each is worth 1"),
-    ("Contract.DrainGrace", "nothing new to what drains, at once"),
-    ("Contract.ExtraRatio", "no ration of further attempts but its own"),
-    ("Contract.Fall", "cold engines bear what warm ones do"),
-    ("Domain.CoresByKind", "8 cores an engine"),
-    ("Domain.RamOfKindMb", "16384 MB an engine"),
-    ("Domain.TellsCost", "answers do not tell their cost"),
-    ("Domain.TellsEvery", "no notes: an attempt is silent till its end"),
+    ("Classes.*.AimStretch", "the latency objective does not grow with the work"),
+    ("Classes.*.LateWorth", "late answers have no value"),
+    ("Classes.*.OnTime", "the latency objective is the deadline"),
+    ("Classes.*.Repeat", "requests are not idempotent and never run twice"),
+    ("Classes.*.Value", "priority weight 1"),
+    ("Contract.DrainGrace", "draining engines get no new attempts"),
+    ("Contract.ExtraRatio", "no retry budget beyond the built-in limit"),
+    ("Contract.Fall", "engines need no slow start"),
+    ("Domain.CoresByKind", "8 cores per engine"),
+    ("Domain.RamOfKindMb", "16384 MB per engine"),
+    ("Domain.TellsCost", "answers carry no actual cost"),
+    ("Domain.TellsEvery", "engines report no progress before an attempt ends"),
     ("Domain.ThreadsByClass", "each query runs on one thread"),
-    ("Limits.Cancel", "attempts can't be called off"),
-    ("Limits.ConnIdle", "engines close what is idle for 15 s"),
-    ("Limits.DialTimeout", "250 ms to connect"),
-    ("Limits.MaxOpen", "30000 requests open at most"),
-    ("Limits.SendCap", "no bound on the attempts of a request"),
-    ("Limits.StreamsPerConn", "100 attempts on a connection"),
+    ("Limits.Cancel", "attempts can't be cancelled"),
+    ("Limits.ConnIdle", "engines close connections that are idle for 15 s"),
+    ("Limits.DialTimeout", "connects time out after 250 ms"),
+    ("Limits.MaxOpen", "at most 30000 open requests"),
+    ("Limits.SendCap", "no limit on the attempts of a request"),
+    ("Limits.StreamsPerConn", "100 attempts per connection"),
     ("Report.How", "no load reports"),
 ];
 
-/// Noted where load reports come with probes only.
+/// Note for settings under which load reports arrive with probe results only.
 const REPORTS_ON_PROBE: &str =
-    "Report.How: loads are told only when asked for, so own work, answers and notes tell them";
+    "Report.How: load reports arrive with probe results only, so load is also estimated from own attempts, answers and progress reports";
 
-/// Characters of a note's list at most, so that settings of any size make no longer line.
+/// Maximum length of the list in a note, in characters. The list is truncated, because the number of settings in
+/// the configuration is not limited and a note is a single log line.
 const MAX_LIST_CHARS: usize = 2000;
 
-/// Classes whose defaults are noted at most.
+/// Maximum number of classes whose defaults are included in a note.
 const MAX_CLASSES: usize = 64;
 
-/// The notes on `given`. `asked` are the paths that were looked up when it was read.
-pub fn notes(given: &HashMap<String, String>, asked: &BTreeSet<String>) -> Vec<String> {
+/// Returns the notes for the settings in `given`. `looked_up` contains the paths that were looked up while the
+/// settings were read.
+pub fn notes(given: &HashMap<String, String>, looked_up: &BTreeSet<String>) -> Vec<String> {
     let mut notes = Vec::new();
-    let ignored = ignored_paths(given, asked);
+    let ignored = ignored_paths(given, looked_up);
     if !ignored.is_empty() {
         notes.push(note("settings without use here", &ignored.join(" ")));
     }
@@ -65,21 +69,22 @@
     notes
 }
 
-/// The given paths that nothing reads, in order.
-fn ignored_paths<'a>(given: &'a HashMap<String, String>, asked: &BTreeSet<String>) -> Vec<&'a str> {
-    let is_known =
-        |path: &str| asked.contains(path) || READ_BY_NODE.contains(&path) || IGNORED_SILENTLY.contains(&path);
+/// Returns the given paths that no part of the program reads, sorted by name.
+fn ignored_paths<'a>(given: &'a HashMap<String, String>, looked_up: &BTreeSet<String>) -> Vec<&'a str> {
+    let is_known = |path: &str| {
+        looked_up.contains(path) || READ_BY_NODE.contains(&path) || IGNORED_SILENTLY.contains(&path)
+    };
     let mut ignored: Vec<&str> = given.keys().map(String::as_str).filter(|path| !is_known(path)).collect();
     ignored.sort_unstable();
     ignored
 }
 
-/// What is assumed for the paths that have no value.
+/// Returns a description of the default for each path that has no value.
 fn assumed_defaults(given: &HashMap<String, String>) -> Vec<String> {
     let classes = class_count(given);
     let mut assumed = Vec::new();
     for (pattern, default) in DEFAULTS {
-        for path in paths_of(pattern, classes) {
+        for path in expand_pattern(pattern, classes) {
             if !has_value(given, &path) {
                 assumed.push(format!("{path}: {default}"));
             }
@@ -96,8 +101,8 @@
     count.unwrap_or(0).min(MAX_CLASSES)
 }
 
-/// The paths that a pattern stands for.
-fn paths_of(pattern: &str, classes: usize) -> Vec<String> {
+/// Expands `*` in a path pattern to the index of each class.
+fn expand_pattern(pattern: &str, classes: usize) -> Vec<String> {
     if !pattern.contains('*') {
         return vec![pattern.to_owned()];
     }
@@ -108,7 +113,8 @@
     given.get(path).is_some_and(|text| !text.is_empty() && text != "-")
 }
 
-/// One line: the list is cut to its greatest length, and control characters are replaced.
+/// Formats a note as a single line. The list is truncated to [`MAX_LIST_CHARS`], and control characters are replaced
+/// by `?`.
 fn note(head: &str, list: &str) -> String {
     let printable = |c: char| if c.is_control() { '?' } else { c };
     let list: String = list.chars().take(MAX_LIST_CHARS).map(printable).collect();
