--- a/src/bin/beamgap-simulator-host/message.rs
+++ b/src/bin/beamgap-simulator-host/message.rs
@@ -67,7 +67,7 @@
     EngineList(EngineListMessage),
     /// A client's request arrives at an instance.
     Request(RequestMessage),
-    /// Any other event for an instance.
+    /// An event that is passed to an instance unchanged.
     Event { instance: u32, event: Event },
 }
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,50 +1,51 @@
-//! The command line.
+//! Definition of the command line. Doc comments on the items below are the help texts of the commands and options.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
 /// A front end for a pool of query engines, and a control service for other proxies.
 ///
-/// Without a command it serves, as `run` does.
+/// Without a command, the program serves requests like `run`.
 ///
-/// Exit codes: 0 done or ended as asked, 1 it could not be done (a line on standard error says why), 2 the command
-/// line can't be used.
+/// Exit codes: 0 success, or a graceful shutdown; 1 failure, with the reason on standard error; 2 invalid command
+/// line. The commands of `policy`, `fleet` and `task` also use 2 for invalid input files, and 3 for an outcome that is
+/// not known yet.
 #[derive(Debug, Parser)]
 #[command(version, about, args_conflicts_with_subcommands = true)]
 pub struct Cli {
-    /// What to do.
+    /// The command; `run` if absent.
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// How to serve, where no command is given.
+    /// Options of `run`, for a command line without a command.
     #[command(flatten)]
     pub run: Run,
 }
 
-/// What can be done.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve until SIGTERM, on the configuration that NODE_CONFIG names.
+    /// Serve requests until SIGTERM, with the configuration file that NODE_CONFIG names.
     Run(Run),
-    /// Check an operator's file (.hcl) or a configuration (.json), and say what is wrong and where.
+    /// Check an operator's file (.hcl) or a configuration (.json), and report errors with their positions.
     Check(Check),
-    /// What proxies are told over xDS.
+    /// Show the resources that the control service sends to proxies over xDS.
     #[command(subcommand)]
     Xds(Xds),
-    /// The policy of a fleet: check it, change it everywhere or nowhere, go back.
+    /// Check, change, roll back and show the policy of a fleet. A change applies to all members or to none.
     #[command(subcommand)]
     Policy(Policy),
-    /// A fleet's members and deciders.
+    /// Show a fleet's members and deciders, and change which deciders belong to the fleet.
     #[command(subcommand)]
     Fleet(Fleet),
-    /// Tasks of a whole fleet, each done by one front end at a time.
+    /// Define, show and control the tasks of a fleet. Each task runs on one front end at a time.
     #[command(subcommand)]
     Task(Task),
 }
 
-/// Whom to ask.
+/// Options of commands that send requests to a fleet.
 #[derive(Clone, Debug, Args)]
-pub struct Ask {
-    /// An operator's file whose `fleet` block tells where the deciders are.
+pub struct FleetArgs {
+    /// An operator's file whose `fleet` block lists the addresses of the deciders.
     #[arg(long, env = "BEAMGAP_OPERATOR", value_name = "FILE")]
     pub operator: PathBuf,
     /// Print JSON.
@@ -52,219 +53,221 @@
     pub json: bool,
 }
 
-/// Policies.
+/// Check, change and show policies.
 ///
-/// Exit codes: 0 done, 1 turned down or taken back, 2 can't be used, 3 not known yet: ask again by the change's id.
+/// Exit codes: 0 success, 1 the change was rejected or withdrawn, 2 invalid input, 3 the outcome is not known yet
+/// and can be requested again by the id of the change.
 #[derive(Debug, Subcommand)]
 pub enum Policy {
-    /// Check a policy's file; with a configuration, against its classes, accounts and zones.
+    /// Check a policy file and, with a configuration, that the policy names only known classes, accounts and zones.
     Check(PolicyCheck),
-    /// Compare two policies by their meaning.
+    /// Compare the content of two policies, regardless of their formatting.
     Diff(PolicyDiff),
-    /// Propose a policy to the fleet, and follow it until it is in force everywhere or nowhere.
-    Propose(Propose),
-    /// Go back to the version before the one in force; a change as any other.
-    Rollback(Follow),
-    /// Take a change back that is not decided yet.
-    TakeBack(Outcome),
-    /// What became of a change.
-    Outcome(Outcome),
+    /// Propose a policy to the fleet and wait until the policy is in force on all members or the change has failed.
+    Propose(ProposeArgs),
+    /// Propose a change back to the policy version before the one in force.
+    Rollback(FollowArgs),
+    /// Withdraw a change that is not decided yet.
+    TakeBack(ChangeArgs),
+    /// Show the outcome of a change.
+    Outcome(ChangeArgs),
     /// Print the policy in force, or an earlier version.
-    Show(Show),
-    /// What became of all changes, oldest first.
-    History(Ask),
-    /// How the fleet is; the same as `fleet status`.
-    Status(Ask),
+    Show(ShowArgs),
+    /// Show the outcomes of all recorded changes, oldest first.
+    History(FleetArgs),
+    /// Show the fleet's status; same as `fleet status`.
+    Status(FleetArgs),
 }
 
-/// What to check.
+/// Arguments of `policy check`.
 #[derive(Debug, Args)]
 pub struct PolicyCheck {
-    /// The policy.
+    /// The policy file.
     pub file: PathBuf,
-    /// A front end's configuration, with the classes, accounts and zones that it knows.
+    /// A front end's configuration, which defines the known classes, accounts and zones.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 }
 
-/// What to compare.
+/// Arguments of `policy diff`.
 #[derive(Debug, Args)]
 pub struct PolicyDiff {
-    /// A policy.
+    /// The policy file to compare from.
     pub before: PathBuf,
-    /// Another one.
+    /// The policy file to compare to.
     pub after: PathBuf,
     /// Print JSON.
     #[arg(long)]
     pub json: bool,
 }
 
-/// What to propose.
+/// Arguments of `policy propose`.
 #[derive(Debug, Args)]
-pub struct Propose {
-    /// The policy.
+pub struct ProposeArgs {
+    /// The policy file.
     pub file: PathBuf,
-    /// How it is followed.
+    /// How the change is sent and followed.
     #[command(flatten)]
-    pub follow: Follow,
+    pub follow: FollowArgs,
 }
 
-/// How a change is sent, and followed to its outcome.
+/// Options of commands that send a change and follow the change to its outcome.
 #[derive(Debug, Args)]
-pub struct Follow {
-    /// The change's id; sent twice under one id it is one change. Drawn if absent.
+pub struct FollowArgs {
+    /// Id of the change. A change that is sent again with the same id is not repeated. Generated if absent.
     #[arg(long)]
     pub id: Option<String>,
-    /// Who makes it, for the history.
+    /// Who makes the change; recorded in the history.
     #[arg(long, default_value = "operator")]
     pub by: String,
-    /// How long to follow it, in seconds.
+    /// Maximum time to wait for the outcome, in seconds.
     #[arg(long, default_value_t = 30, value_name = "SECONDS")]
     pub wait: u64,
-    /// Whom to ask.
+    /// The fleet to send requests to.
     #[command(flatten)]
-    pub ask: Ask,
+    pub fleet_args: FleetArgs,
 }
 
-/// Which change.
+/// Arguments of commands that refer to one change.
 #[derive(Debug, Args)]
-pub struct Outcome {
-    /// The change's id.
+pub struct ChangeArgs {
+    /// Id of the change.
     pub id: String,
-    /// Whom to ask.
+    /// The fleet to send requests to.
     #[command(flatten)]
-    pub ask: Ask,
+    pub fleet_args: FleetArgs,
 }
 
-/// Which version.
+/// Arguments of `policy show`.
 #[derive(Debug, Args)]
-pub struct Show {
-    /// The version; the one in force if absent.
+pub struct ShowArgs {
+    /// The policy version; the version in force if absent.
     pub version: Option<u64>,
-    /// Whom to ask.
+    /// The fleet to send requests to.
     #[command(flatten)]
-    pub ask: Ask,
+    pub fleet_args: FleetArgs,
 }
 
-/// Fleets.
+/// Commands for a fleet's members and deciders.
 #[derive(Debug, Subcommand)]
 pub enum Fleet {
-    /// Members, versions, rights, deciders and their disks.
-    Status(Ask),
-    /// Found a fleet, once: all deciders must be there with empty folders.
+    /// Show the members with their policy versions and rights, and the deciders with their disks.
+    Status(FleetArgs),
+    /// Found a fleet. This is done once, with all deciders running and their data folders empty.
     #[command(alias = "bootstrap")]
-    Found(Ask),
-    /// Let a decider that lost its disk back in, or one that is new to the file.
-    Readmit(Seat),
-    /// Take a decider out of those that decide.
-    Remove(Seat),
+    Found(FleetArgs),
+    /// Let a decider take part again after it lost its disk, or add a decider that is new in the operator's file.
+    Readmit(VoterArgs),
+    /// Remove a decider from the fleet, so that it no longer counts towards the majority.
+    Remove(VoterArgs),
 }
 
-/// Tasks of the whole fleet.
+/// Commands for the tasks of a fleet.
 #[derive(Debug, Subcommand)]
 pub enum Task {
-    /// Have the tasks of the operator's file be those of the fleet.
-    Apply(Ask),
-    /// All tasks: holder, token, time left, run, why one does not run.
-    List(Ask),
-    /// One task, with what was done of it.
-    Show(Named),
-    /// The same.
-    History(Named),
-    /// Begin a run.
-    Run(Named),
-    /// Begin no further step.
-    Pause(Named),
-    /// Go on after a pause or a halt.
-    Resume(Named),
-    /// Have its lease not be renewed: another member may hold it then.
-    Release(Named),
+    /// Replace the fleet's tasks with the tasks defined in the operator's file.
+    Apply(FleetArgs),
+    /// List all tasks, with the holder, token and remaining time of the lease, the run, and why a task does not run.
+    List(FleetArgs),
+    /// Show one task, with the history of its steps.
+    Show(TaskArgs),
+    /// Show one task, with the history of its steps; same as `show`.
+    History(TaskArgs),
+    /// Start a run of a task.
+    Run(TaskArgs),
+    /// Pause a task: no further step starts.
+    Pause(TaskArgs),
+    /// Resume a task that was paused or has halted.
+    Resume(TaskArgs),
+    /// Stop the renewal of a task's lease, so that another member can acquire the lease after it has ended.
+    Release(TaskArgs),
 }
 
-/// Which task.
+/// Arguments of commands that refer to one task.
 #[derive(Debug, Args)]
-pub struct Named {
-    /// Its name.
+pub struct TaskArgs {
+    /// Name of the task.
     pub name: String,
-    /// Whom to ask.
+    /// The fleet to send requests to.
     #[command(flatten)]
-    pub ask: Ask,
+    pub fleet_args: FleetArgs,
 }
 
-/// Which decider.
+/// Arguments of commands that refer to one decider.
 #[derive(Debug, Args)]
-pub struct Seat {
-    /// Its seat.
+pub struct VoterArgs {
+    /// Seat of the decider, as in the `fleet` block of the operator's file.
     pub seat: u64,
-    /// Whom to ask.
+    /// The fleet to send requests to.
     #[command(flatten)]
-    pub ask: Ask,
+    pub fleet_args: FleetArgs,
 }
 
-/// How to serve.
+/// Options of `run`.
 #[derive(Clone, Debug, Args)]
 pub struct Run {
-    /// The operator's file, in HCL. Without it, nothing listens but the platform's front.
+    /// The operator's file, in HCL. Without this file, only the platform's listener is started.
     #[arg(long, env = "BEAMGAP_OPERATOR", value_name = "FILE")]
     pub operator: Option<PathBuf>,
-    /// The form of the log on standard error.
+    /// Format of the log on standard error.
     #[arg(long, value_enum, default_value_t, value_name = "FORM")]
     pub log_format: LogFormat,
-    /// What is logged: a level (error, warn, info, debug, trace, off), or levels by part, such as `info,list=warn`.
+    /// Log levels: one level for everything (error, warn, info, debug, trace, off), or levels per log target, such as
+    /// `info,list=warn`.
     #[arg(long, default_value = "info,openraft=error", value_name = "LEVELS")]
     pub log: String,
 }
 
-/// The form of the log.
+/// Formats of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Lines of text, with the node's name first.
+    /// Lines of text that start with the node's name.
     #[default]
     Text,
-    /// A JSON object a line, with time, level and part.
+    /// One JSON object per line, with time, level and log target.
     Json,
 }
 
-/// What to check.
+/// Arguments of `check`.
 #[derive(Debug, Args)]
 pub struct Check {
-    /// An operator's file (.hcl), or a configuration (any other name).
+    /// An operator's file (.hcl), or a configuration (any other file name).
     pub file: PathBuf,
-    /// With an operator's file: the configuration that it goes with. Then its meaning is checked too: classes,
-    /// tenants, bounds, passwords.
+    /// The configuration that is used together with the operator's file. With this option, the operator's file is
+    /// also checked against the configuration: classes, tenants, limits and passwords.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 }
 
-/// xDS.
+/// Commands for xDS.
 #[derive(Debug, Subcommand)]
 pub enum Xds {
-    /// Subscribe as a proxy would, and print each change.
+    /// Subscribe like a proxy, and print each change of a resource.
     Watch(Watch),
 }
 
-/// What to watch.
+/// Arguments of `xds watch`.
 #[derive(Debug, Args)]
 pub struct Watch {
-    /// The service, as `host:port`.
+    /// Address of the control service, as `host:port`.
     pub address: String,
-    /// Speak the incremental form of the protocol instead of state of the world.
+    /// Use the incremental (delta) variant of xDS instead of state of the world.
     #[arg(long)]
     pub delta: bool,
     /// Print JSON lines.
     #[arg(long)]
     pub json: bool,
-    /// The name to go by. It must be no proxy's.
+    /// Node name to send to the service. It must differ from the names of all proxies.
     #[arg(long, default_value_t = format!("beamgap-watch-{}", std::process::id()))]
     pub node: String,
-    /// Refuse responses of this type (cds, eds, lds, rds, all), to see what the service makes of a NACK. May be given
-    /// more than once.
+    /// Reject responses of this type (cds, eds, lds, rds, all) with a NACK, to test how the service handles a rejection.
+    /// May be given more than once.
     #[arg(long, value_name = "TYPE", value_parser = ["cds", "eds", "lds", "rds", "all"])]
     pub nack: Vec<String>,
-    /// The text of those NACKs.
+    /// Error text in the NACKs.
     #[arg(long, default_value = "refused by beamgap xds watch", value_name = "TEXT")]
     pub nack_text: String,
-    /// End after so many responses; 0: when the stream ends.
+    /// Exit after this number of responses; 0 waits until the stream ends.
     #[arg(long, default_value_t = 0, value_name = "N")]
     pub responses: u64,
 }
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,68 +1,71 @@
-//! `beamgap fleet`: the voters of a fleet, and its status.
+//! The command `beamgap fleet`: shows a fleet's status, bootstraps the fleet, and readmits or removes voters.
 
 mod status;
 
-use super::{Asker, End, NO, UNKNOWN};
-use crate::cli::{Ask, Fleet, Seat};
+use super::{CommandError, FleetClient, EXIT_FAILED, EXIT_UNKNOWN};
+use crate::cli::{Fleet, FleetArgs, VoterArgs};
 use beamgap_consensus::connection::{PeerRequest, PeerResponse};
 use beamgap_consensus::VoterSlot;
 use std::time::Duration;
 
 pub use status::status;
 
-/// Time for a bootstrap: all voters write their identities and elect a leader.
+/// Timeout of a bootstrap, in which all voters write their identities to disk and elect a leader.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time for a change of voters, a voter's catching up included.
+/// Timeout of readmitting or removing a voter. It includes the time that a readmitted voter needs to receive the log.
 const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a subcommand.
+/// Runs a `fleet` subcommand.
 ///
 /// # Errors
-/// What the command could not do, with its exit code.
-pub fn run(fleet: Fleet) -> Result<(), End> {
+/// The exit code, and why the command failed.
+pub fn run(fleet: Fleet) -> Result<(), CommandError> {
     match fleet {
-        Fleet::Status(ask) => status(&ask),
-        Fleet::Found(ask) => bootstrap(&ask),
-        Fleet::Readmit(seat) => change_voter(&seat, &PeerRequest::Readmit(seat.seat), "is back in its seat"),
-        Fleet::Remove(seat) => change_voter(&seat, &PeerRequest::Remove(seat.seat), "decides no more"),
+        Fleet::Status(args) => status(&args),
+        Fleet::Found(args) => bootstrap(&args),
+        Fleet::Readmit(voter) => {
+            change_voter(&voter, &PeerRequest::Readmit(voter.seat), "is back in its seat")
+        }
+        Fleet::Remove(voter) => change_voter(&voter, &PeerRequest::Remove(voter.seat), "decides no more"),
     }
 }
 
-fn bootstrap(ask: &Ask) -> Result<(), End> {
-    let mut asker = Asker::new(&ask.operator)?;
-    let first = asker.fleet.voters.keys().next().copied();
-    let first: VoterSlot = first.ok_or((NO, "no decider".to_owned()))?;
-    let request = asker.client.request_voter(first, &PeerRequest::Bootstrap, BOOTSTRAP_TIMEOUT);
-    match asker.runtime.block_on(request) {
+fn bootstrap(args: &FleetArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.operator)?;
+    let first = client.fleet.voters.keys().next().copied();
+    let first: VoterSlot = first.ok_or((EXIT_FAILED, "the operator's file lists no decider".to_owned()))?;
+    let request = client.leader_client.request_voter(first, &PeerRequest::Bootstrap, BOOTSTRAP_TIMEOUT);
+    match client.runtime.block_on(request) {
         Ok(PeerResponse::Done) => {
-            println!("fleet {} is founded", asker.fleet.name);
+            println!("fleet {} is founded", client.fleet.name);
             Ok(())
         }
-        Ok(PeerResponse::Rejected(reason)) => Err((NO, reason)),
-        Ok(_) => Err((UNKNOWN, "another answer".to_owned())),
+        Ok(PeerResponse::Rejected(reason)) => Err((EXIT_FAILED, reason)),
+        Ok(_) => Err((EXIT_UNKNOWN, "unexpected response".to_owned())),
         Err(error) => {
-            let advice = "it may be founded, `beamgap fleet status` tells";
-            Err((UNKNOWN, format!("decider {first}: {error}; {advice}")))
+            let advice = "the fleet may have been founded; check with `beamgap fleet status`";
+            Err((EXIT_UNKNOWN, format!("decider {first}: {error}; {advice}")))
         }
     }
 }
 
-/// Has the leader readmit or remove a voter: asks all other voters in turn.
-fn change_voter(seat: &Seat, request: &PeerRequest, done: &str) -> Result<(), End> {
-    let mut asker = Asker::new(&seat.ask.operator)?;
-    let slots: Vec<VoterSlot> = asker.fleet.voters.keys().copied().collect();
+/// Asks the leader to readmit or remove a voter. The request goes to the other voters in turn until one of them
+/// accepts it, because any of them can be the leader.
+fn change_voter(voter: &VoterArgs, request: &PeerRequest, success_text: &str) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&voter.fleet_args.operator)?;
+    let slots: Vec<VoterSlot> = client.fleet.voters.keys().copied().collect();
     let mut problems = Vec::new();
-    for other in slots.into_iter().filter(|slot| *slot != seat.seat) {
-        let response = asker.client.request_voter(other, request, MEMBERSHIP_TIMEOUT);
-        match asker.runtime.block_on(response) {
+    for other in slots.into_iter().filter(|slot| *slot != voter.seat) {
+        let response = client.leader_client.request_voter(other, request, MEMBERSHIP_TIMEOUT);
+        match client.runtime.block_on(response) {
             Ok(PeerResponse::Done) => {
-                println!("decider {} {done}", seat.seat);
+                println!("decider {} {success_text}", voter.seat);
                 return Ok(());
             }
             Ok(PeerResponse::Rejected(reason)) => problems.push(format!("decider {other}: {reason}")),
-            Ok(_) => problems.push(format!("decider {other} answered another question")),
+            Ok(_) => problems.push(format!("decider {other}: unexpected response")),
             Err(error) => problems.push(format!("decider {other}: {error}")),
         }
     }
-    Err((NO, problems.join("; ")))
+    Err((EXIT_FAILED, problems.join("; ")))
 }
--- a/src/commands/fleet/status.rs
+++ b/src/commands/fleet/status.rs
@@ -1,10 +1,10 @@
-//! `beamgap fleet status`: voters, members and budgets, as text or JSON.
+//! The command `beamgap fleet status`: prints the voters, members and budgets as text or JSON.
 //!
-//! Text and JSON keep the words that operators know: a voter is a decider in a seat, an incarnation is a life, an
-//! admission lease is a right.
+//! The output uses other terms than the code: a voter is printed as a `decider`, its slot as a `seat`, an incarnation
+//! as a `life`, and an admission lease as a `right`. Scripts of operators read these words, so they must not change.
 
-use crate::cli::Ask;
-use crate::commands::{Asker, End, UNKNOWN};
+use crate::cli::FleetArgs;
+use crate::commands::{CommandError, FleetClient, EXIT_UNKNOWN};
 use beamgap::fleet::message::{FleetRequest, FleetResponse, FleetStatus, MemberSummary};
 use beamgap_budgets::message::BudgetStatus;
 use beamgap_consensus::connection::{PeerRequest, PeerResponse, VoterStatus};
@@ -13,12 +13,12 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Time for one voter, or for a leader that is known to be there.
+/// Timeout of a request to one voter, and of a request to a leader that has just responded.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time for the leader to be found and to respond.
+/// Timeout of the first request to the leader, which includes the time to find the leader.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a voter responded.
+/// The status of one voter, or why the voter did not send its status.
 struct VoterReport {
     slot: VoterSlot,
     status: Result<Box<VoterStatus>, String>,
@@ -27,18 +27,18 @@
 /// Prints the fleet's status.
 ///
 /// # Errors
-/// If no leader with a majority responds. What is known is printed nevertheless.
-pub fn status(ask: &Ask) -> Result<(), End> {
-    let mut asker = Asker::new(&ask.operator)?;
-    let voters = voter_reports(&mut asker);
-    let fleet = match asker.ask(&FleetRequest::Status, LEADER_TIMEOUT) {
+/// If no leader with a majority of the voters responds. The status of the voters is printed nevertheless.
+pub fn status(args: &FleetArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.operator)?;
+    let voters = voter_reports(&mut client);
+    let fleet = match client.request(&FleetRequest::Status, LEADER_TIMEOUT) {
         Ok(FleetResponse::Status(status)) => Ok(status),
-        Ok(_) => Err("another answer".to_owned()),
+        Ok(_) => Err("unexpected response".to_owned()),
         Err(reason) => Err(reason),
     };
-    let budgets = if fleet.is_ok() { budget_statuses(&mut asker) } else { Vec::new() };
-    let name = &asker.fleet.name;
-    if ask.json {
+    let budgets = if fleet.is_ok() { budget_statuses(&mut client) } else { Vec::new() };
+    let name = &client.fleet.name;
+    if args.json {
         let mut report = to_json(name, &voters, fleet.as_deref().ok());
         report["budgets"] = budgets.iter().map(budget_json).collect();
         println!("{report}");
@@ -50,7 +50,7 @@
     }
     match fleet {
         Ok(_) => Ok(()),
-        Err(reason) => Err((UNKNOWN, no_leader(&voters, &reason))),
+        Err(reason) => Err((EXIT_UNKNOWN, no_leader(&voters, &reason))),
     }
 }
 
@@ -59,16 +59,16 @@
     let responding = voters.iter().filter(|voter| voter.status.is_ok()).count();
     let majority = total / 2 + 1;
     format!(
-        "no leader with a majority ({reason}); {responding} of {total} deciders answer, {majority} are needed"
+        "no leader with a majority ({reason}); {responding} of {total} deciders respond, {majority} are needed"
     )
 }
 
-fn voter_reports(asker: &mut Asker) -> Vec<VoterReport> {
-    let slots: Vec<VoterSlot> = asker.fleet.voters.keys().copied().collect();
+fn voter_reports(client: &mut FleetClient) -> Vec<VoterReport> {
+    let slots: Vec<VoterSlot> = client.fleet.voters.keys().copied().collect();
     let mut reports = Vec::new();
     for slot in slots {
-        let request = asker.client.request_voter(slot, &PeerRequest::Status, VOTER_TIMEOUT);
-        let status = match asker.runtime.block_on(request) {
+        let request = client.leader_client.request_voter(slot, &PeerRequest::Status, VOTER_TIMEOUT);
+        let status = match client.runtime.block_on(request) {
             Ok(PeerResponse::Status(status)) => Ok(status),
             Ok(_) => Err("another answer".to_owned()),
             Err(error) => Err(error.to_string()),
@@ -78,10 +78,11 @@
     reports
 }
 
-fn budget_statuses(asker: &mut Asker) -> Vec<BudgetStatus> {
-    match asker.ask(&FleetRequest::Budgets, VOTER_TIMEOUT) {
+fn budget_statuses(client: &mut FleetClient) -> Vec<BudgetStatus> {
+    match client.request(&FleetRequest::Budgets, VOTER_TIMEOUT) {
         Ok(FleetResponse::Budgets(budgets)) => budgets,
-        // A leader of an older version knows none.
+        // The budgets are optional in the output: a leader with an older version of the program does not know this
+        // request.
         _ => Vec::new(),
     }
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands that ask a fleet, or look at policies: each prints text or JSON and ends with a code of its own.
+//! The commands `fleet`, `policy` and `task`. Each prints text or JSON on standard output and sets the exit code.
 
 pub mod fleet;
 pub mod policy;
@@ -14,56 +14,56 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Turned down, or not done.
-pub const NO: u8 = 1;
-/// The command can't be used as it is.
-pub const UNUSABLE: u8 = 2;
-/// Not known yet: to be asked again by the change's id.
-pub const UNKNOWN: u8 = 3;
+/// Exit code of a command that failed or whose change was rejected.
+pub const EXIT_FAILED: u8 = 1;
+/// Exit code of a command with invalid input, such as an operator's file or a policy with errors.
+pub const EXIT_INVALID_INPUT: u8 = 2;
+/// Exit code of a command whose outcome is not known, for example because no leader responded in time.
+pub const EXIT_UNKNOWN: u8 = 3;
 
-/// What ends a command before it is done: its code, and a line on why.
-pub type End = (u8, String);
+/// Why a command did not succeed: the exit code, and the reason for standard error.
+pub type CommandError = (u8, String);
 
-/// Says how a command ended.
-pub fn ended(done: Result<(), End>) -> ExitCode {
-    match done {
+/// Prints the error of a command, if any, to standard error and returns the exit code.
+pub fn exit_code(result: Result<(), CommandError>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err((code, why)) => {
-            eprintln!("beamgap: {why}");
+        Err((code, reason)) => {
+            eprintln!("beamgap: {reason}");
             ExitCode::from(code)
         }
     }
 }
 
-fn unusable(why: impl ToString) -> End {
-    (UNUSABLE, why.to_string())
+fn invalid_input(reason: impl ToString) -> CommandError {
+    (EXIT_INVALID_INPUT, reason.to_string())
 }
 
-fn text_of(path: &Path) -> Result<String, End> {
-    std::fs::read_to_string(path).map_err(|e| unusable(format!("{}: {e}", path.display())))
+fn read_file(path: &Path) -> Result<String, CommandError> {
+    std::fs::read_to_string(path).map_err(|e| invalid_input(format!("{}: {e}", path.display())))
 }
 
-/// The `fleet` block of an operator's file.
-fn fleet_of(path: &Path) -> Result<FleetSettings, End> {
+/// Reads the `fleet` block of an operator's file.
+fn read_fleet_settings(path: &Path) -> Result<FleetSettings, CommandError> {
     let name = path.display().to_string();
-    let document = config::read_operator_file(&name, &text_of(path)?).map_err(unusable)?;
-    let root = beamgap::node::json::read(document.root.json().into_bytes()).map_err(unusable)?;
+    let document = config::read_operator_file(&name, &read_file(path)?).map_err(invalid_input)?;
+    let root = beamgap::node::json::read(document.root.json().into_bytes()).map_err(invalid_input)?;
     let Some(block) = simd_json::prelude::ValueObjectAccess::get(&root, "fleet") else {
-        return Err(unusable(format!("{name}: has no `fleet` block; add one, docs/policy.md shows it")));
+        return Err(invalid_input(format!("{name}: has no `fleet` block; docs/policy.md shows an example")));
     };
-    settings::read(block, "operator", &|_| None).map_err(|e| unusable(operator::located(&document, e)))
+    settings::read(block, "operator", &|_| None).map_err(|e| invalid_input(operator::located(&document, e)))
 }
 
-/// Asks the fleet.
-struct Asker {
-    client: LeaderClient,
+/// Sends requests to the leader and the voters of a fleet.
+struct FleetClient {
+    leader_client: LeaderClient,
     fleet: FleetSettings,
     runtime: tokio::runtime::Runtime,
 }
 
-impl Asker {
-    fn new(path: &Path) -> Result<Asker, End> {
-        let fleet = fleet_of(path)?;
+impl FleetClient {
+    fn new(path: &Path) -> Result<FleetClient, CommandError> {
+        let fleet = read_fleet_settings(path)?;
         let settings = Settings {
             fleet: fleet.name.clone(),
             member: "operator".to_owned(),
@@ -74,20 +74,24 @@
             clock: TestHooks::default().clock(),
             injected_bugs: InjectedBugs::default(),
         };
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(unusable)?;
-        let client = LeaderClient::new(&settings, &fleet.voters, Arc::default());
-        Ok(Asker { client, fleet, runtime })
+        let runtime =
+            tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(invalid_input)?;
+        let leader_client = LeaderClient::new(&settings, &fleet.voters, Arc::default());
+        Ok(FleetClient { leader_client, fleet, runtime })
     }
 
-    /// Asks the leader; `Err` tells why nobody answered.
-    fn ask(&mut self, request: &FleetRequest, deadline: Duration) -> Result<FleetResponse, String> {
+    /// Sends a request to the leader.
+    ///
+    /// # Errors
+    /// Why no usable response arrived before the deadline.
+    fn request(&mut self, request: &FleetRequest, deadline: Duration) -> Result<FleetResponse, String> {
         let bytes = self
             .runtime
-            .block_on(self.client.request(encode(request), deadline))
+            .block_on(self.leader_client.request(encode(request), deadline))
             .map_err(|e| e.to_string())?;
         match decode(&bytes) {
             Some(FleetResponse::Unreadable) | None => {
-                Err("the leader runs another program: use its own `beamgap`".into())
+                Err("the leader runs another version of the program; use that version of `beamgap`".into())
             }
             Some(response) => Ok(response),
         }
--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -1,7 +1,9 @@
-//! `beamgap policy`: validate, compare, propose, withdraw and show policies.
+//! The command `beamgap policy`: validates, compares, proposes, withdraws and shows policies.
 
-use super::{text_of, unusable, Asker, End, NO, UNKNOWN, UNUSABLE};
-use crate::cli::{Ask, Follow, Outcome as OutcomeOf, Policy, PolicyCheck, PolicyDiff, Propose, Show};
+use super::{
+    invalid_input, read_file, CommandError, FleetClient, EXIT_FAILED, EXIT_INVALID_INPUT, EXIT_UNKNOWN,
+};
+use crate::cli::{ChangeArgs, FleetArgs, FollowArgs, Policy, PolicyCheck, PolicyDiff, ProposeArgs, ShowArgs};
 use beamgap::fleet::document::{self, FleetPolicy, ValidationContext};
 use beamgap::fleet::message::{FleetRequest, FleetResponse, OutcomeReport, PolicyText};
 use beamgap::fleet::test_hooks::machine_clock;
@@ -13,67 +15,68 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Time for one request to the leader while a change is followed.
+/// Timeout of one request to the leader by a command that repeats its requests.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for the one request of a command that only shows something.
+/// Timeout of the request of a command that only shows something and does not repeat the request.
 const SHOW_TIMEOUT: Duration = Duration::from_secs(5);
-/// A change is proposed again after this time: the proposal may have been lost.
+/// Interval at which a change is proposed again, because the previous proposal may have been lost.
 const PROPOSE_AGAIN_AFTER: Duration = Duration::from_secs(1);
-/// Pause between two requests for a change's outcome, in milliseconds.
+/// Pause between two requests for the outcome of a change, in milliseconds.
 const OUTCOME_POLL_MS: u64 = 20;
-/// How long a withdrawal is tried.
+/// Time after which a withdrawal without a final outcome is given up.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause before a withdrawal is tried again, in milliseconds.
+/// Pause before a withdrawal is sent again, in milliseconds.
 const WITHDRAW_RETRY_MS: u64 = 50;
 
-/// Runs a subcommand.
+/// Runs a `policy` subcommand.
 ///
 /// # Errors
-/// The exit code and why the command was not done.
-pub fn run(policy: Policy) -> Result<(), End> {
+/// The exit code, and why the command failed.
+pub fn run(policy: Policy) -> Result<(), CommandError> {
     match policy {
         Policy::Check(check) => self::check(&check),
         Policy::Diff(files) => self::diff(&files),
         Policy::Propose(propose) => self::propose(propose),
         Policy::Rollback(follow) => change(None, follow),
-        Policy::TakeBack(of) => self::withdraw(&of),
-        Policy::Outcome(of) => self::outcome(&of),
+        Policy::TakeBack(args) => self::withdraw(&args),
+        Policy::Outcome(args) => self::outcome(&args),
         Policy::Show(show) => self::show(&show),
-        Policy::History(ask) => self::history(&ask),
-        Policy::Status(ask) => super::fleet::status(&ask),
+        Policy::History(args) => self::history(&args),
+        Policy::Status(args) => super::fleet::status(&args),
     }
 }
 
-fn parse(path: &Path) -> Result<FleetPolicy, End> {
-    let text = text_of(path)?;
-    document::parse(&path.display().to_string(), &text).map_err(problems_end)
+fn parse(path: &Path) -> Result<FleetPolicy, CommandError> {
+    let text = read_file(path)?;
+    document::parse(&path.display().to_string(), &text).map_err(policy_problems)
 }
 
-fn problems_end(problems: Vec<Problem>) -> End {
+fn policy_problems(problems: Vec<Problem>) -> CommandError {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
-    (UNUSABLE, lines.join("\n  "))
+    (EXIT_INVALID_INPUT, lines.join("\n  "))
 }
 
-fn check(check: &PolicyCheck) -> Result<(), End> {
+fn check(check: &PolicyCheck) -> Result<(), CommandError> {
     let name = check.file.display().to_string();
     match &check.config {
         None => drop(parse(&check.file)?),
         Some(config) => {
             let context = validation_context(config)?;
-            let text = text_of(&check.file)?;
-            document::parse_and_validate(&name, &text, &context).map_err(problems_end)?;
+            let text = read_file(&check.file)?;
+            document::parse_and_validate(&name, &text, &context).map_err(policy_problems)?;
         }
     }
     println!("{name}: good");
     Ok(())
 }
 
-/// What the front end with this configuration validates policies against.
-fn validation_context(config: &Path) -> Result<ValidationContext, End> {
-    // The address on which it listens does not matter here.
+/// Reads from a front end's configuration the names and deadlines that policies are validated against.
+fn validation_context(config: &Path) -> Result<ValidationContext, CommandError> {
+    // The configuration may refer to NODE_LISTEN for its listening address. Any address will do, because this
+    // command does not listen.
     let any_address = |name: &str| (name == "NODE_LISTEN").then(|| "127.0.0.1:0".to_owned());
     let env = |name: &str| std::env::var(name).ok().or_else(|| any_address(name));
-    let config = Config::read(text_of(config)?.into_bytes(), &env).map_err(unusable)?;
+    let config = Config::read(read_file(config)?.into_bytes(), &env).map_err(invalid_input)?;
     let settings = &config.settings;
     let names = KnownNames {
         classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
@@ -84,7 +87,7 @@
     Ok(ValidationContext { names, class_deadlines_ms })
 }
 
-fn diff(files: &PolicyDiff) -> Result<(), End> {
+fn diff(files: &PolicyDiff) -> Result<(), CommandError> {
     let differences = document::diff(&parse(&files.before)?, &parse(&files.after)?);
     if files.json {
         let rows = differences
@@ -103,65 +106,67 @@
     format!("c-{:x}-{:x}", machine_clock().to_bits() & 0xffff_ffff_ffff, std::process::id())
 }
 
-fn propose(propose: Propose) -> Result<(), End> {
-    // A text with problems is not sent.
+fn propose(propose: ProposeArgs) -> Result<(), CommandError> {
+    // An invalid policy is not sent to the fleet.
     parse(&propose.file)?;
-    let text = text_of(&propose.file)?;
+    let text = read_file(&propose.file)?;
     change(Some(text), propose.follow)
 }
 
-/// Proposes a change, or a rollback where there is no text, and follows it to its outcome.
-fn change(policy_text: Option<String>, follow: Follow) -> Result<(), End> {
-    let Follow { id, by, wait, ask } = follow;
+/// Proposes a policy change and follows the change to its outcome. Without a text, the change is a rollback to the
+/// previous policy version.
+fn change(policy_text: Option<String>, follow: FollowArgs) -> Result<(), CommandError> {
+    let FollowArgs { id, by, wait, fleet_args } = follow;
     let id = id.unwrap_or_else(new_change_id);
-    let mut follower = ChangeFollower::new(id.clone(), Duration::from_secs(wait), &ask)?;
-    // Made from what is active now: if that changes before, the change is rejected.
+    let mut follower = ChangeFollower::new(id.clone(), Duration::from_secs(wait), &fleet_args)?;
+    // The leader rejects the change if another version than `base_version` is active when the change is proposed.
     let base_version = Some(follower.active_version()?);
     follower.follow(&ChangeRequest { id, requested_by: by, policy_text, base_version })
 }
 
-/// Follows a change to its outcome. It is proposed under one id as often as need be: that is one change.
+/// Proposes a change and follows the change to its outcome. The change is proposed again until its outcome is known;
+/// the leader treats proposals with the same id as one change.
 struct ChangeFollower<'a> {
-    asker: Asker,
+    client: FleetClient,
     progress: Progress<'a>,
-    ask: &'a Ask,
+    args: &'a FleetArgs,
     deadline: Instant,
     proposed_at: Option<Instant>,
-    /// When it was first seen to be active.
+    /// When this command first saw the change active.
     active_since: Option<Instant>,
 }
 
 impl<'a> ChangeFollower<'a> {
-    fn new(id: String, wait: Duration, ask: &'a Ask) -> Result<ChangeFollower<'a>, End> {
+    fn new(id: String, wait: Duration, args: &'a FleetArgs) -> Result<ChangeFollower<'a>, CommandError> {
         Ok(ChangeFollower {
-            asker: Asker::new(&ask.operator)?,
-            progress: Progress { id, ask, last_state: String::new() },
-            ask,
+            client: FleetClient::new(&args.operator)?,
+            progress: Progress { id, args, last_state: String::new() },
+            args,
             deadline: Instant::now() + wait,
             proposed_at: None,
             active_since: None,
         })
     }
 
-    fn active_version(&mut self) -> Result<Version, End> {
+    fn active_version(&mut self) -> Result<Version, CommandError> {
         loop {
-            match self.asker.ask(&FleetRequest::PolicyText(None), REQUEST_TIMEOUT) {
+            match self.client.request(&FleetRequest::PolicyText(None), REQUEST_TIMEOUT) {
                 Ok(FleetResponse::PolicyText(Some(PolicyText { version, .. }))) => return Ok(version),
-                Ok(_) => return Err(self.not_known_yet("another answer")),
-                Err(why) if Instant::now() >= self.deadline => return Err(self.not_known_yet(&why)),
+                Ok(_) => return Err(self.unknown_outcome("unexpected response")),
+                Err(reason) if Instant::now() >= self.deadline => return Err(self.unknown_outcome(&reason)),
                 Err(_) => {}
             }
         }
     }
 
-    fn follow(&mut self, request: &ChangeRequest) -> Result<(), End> {
+    fn follow(&mut self, request: &ChangeRequest) -> Result<(), CommandError> {
         let mut last_error = None;
         while Instant::now() < self.deadline {
             if let Err(error) = self.propose_if_due(request) {
                 last_error = Some(error);
                 continue;
             }
-            match self.asker.ask(&FleetRequest::Outcome(request.id.clone()), REQUEST_TIMEOUT) {
+            match self.client.request(&FleetRequest::Outcome(request.id.clone()), REQUEST_TIMEOUT) {
                 Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(outcome), members_behind })) => {
                     if let Some(end) = self.report(&outcome, members_behind) {
                         return end;
@@ -170,9 +175,9 @@
                 Ok(_) => self.progress.state("is on its way"),
                 Err(error) => last_error = Some(error),
             }
-            self.asker.sleep(OUTCOME_POLL_MS);
+            self.client.sleep(OUTCOME_POLL_MS);
         }
-        Err(self.not_known_yet(last_error.as_deref().unwrap_or("time is up")))
+        Err(self.unknown_outcome(last_error.as_deref().unwrap_or("timed out")))
     }
 
     fn propose_if_due(&mut self, request: &ChangeRequest) -> Result<(), String> {
@@ -181,11 +186,11 @@
             return Ok(());
         }
         self.proposed_at = Some(Instant::now());
-        self.asker.ask(&FleetRequest::Propose(request.clone()), REQUEST_TIMEOUT).map(drop)
+        self.client.request(&FleetRequest::Propose(request.clone()), REQUEST_TIMEOUT).map(drop)
     }
 
-    /// Shows how far the change is; gives how the command ends, if the outcome is final.
-    fn report(&mut self, outcome: &ChangeOutcome, members_behind: usize) -> Option<Result<(), End>> {
+    /// Prints the progress of the change. Returns the result of the command if the outcome is final.
+    fn report(&mut self, outcome: &ChangeOutcome, members_behind: usize) -> Option<Result<(), CommandError>> {
         let id = &self.progress.id;
         match outcome {
             ChangeOutcome::Validating => self.progress.state("is checked by the members"),
@@ -201,40 +206,40 @@
             }
             ChangeOutcome::Rejected(errors) => {
                 self.progress.show("turned down", &json!(error_lines(errors)));
-                return Some(Err((NO, format!("{id} was turned down; it was never in force"))));
+                return Some(Err((EXIT_FAILED, format!("{id} was rejected and was never in force"))));
             }
             ChangeOutcome::Withdrawn => {
                 self.progress.show("taken back", &Value::Null);
-                return Some(Err((NO, format!("{id} was taken back; it was never in force"))));
+                return Some(Err((EXIT_FAILED, format!("{id} was withdrawn and was never in force"))));
             }
         }
         None
     }
 
-    /// Whether no member admits requests under an older version. Members that are behind have stopped admitting after
-    /// the switch bound, wherever they are.
+    /// Whether no member admits requests under an older version. A member that does not have the active version stops
+    /// admitting requests within the switch bound, even if it can't reach the leader.
     fn is_active_everywhere(&mut self, members_behind: usize) -> bool {
         let since = *self.active_since.get_or_insert_with(Instant::now);
-        let switch_bound = Duration::from_secs_f64(self.asker.fleet.timings.switch_bound_ms / 1000.0);
+        let switch_bound = Duration::from_secs_f64(self.client.fleet.timings.switch_bound_ms / 1000.0);
         members_behind == 0 || since.elapsed() >= switch_bound
     }
 
-    fn not_known_yet(&self, why: &str) -> End {
+    fn unknown_outcome(&self, reason: &str) -> CommandError {
         let id = &self.progress.id;
-        let how = format!("beamgap policy outcome {id} --operator {}", self.ask.operator.display());
-        (UNKNOWN, format!("the outcome of {id} is not known yet ({why}); ask again: {how}"))
+        let command = format!("beamgap policy outcome {id} --operator {}", self.args.operator.display());
+        (EXIT_UNKNOWN, format!("the outcome of {id} is not known yet ({reason}); ask again with: {command}"))
     }
 }
 
-/// Shows the states of a change as lines of text or JSON.
+/// Prints the states of a change as lines of text or JSON.
 struct Progress<'a> {
     id: String,
-    ask: &'a Ask,
+    args: &'a FleetArgs,
     last_state: String,
 }
 
 impl Progress<'_> {
-    /// Shows a state that is not final, once.
+    /// Prints a state that is not final, unless it was the last state printed.
     fn state(&mut self, state: &str) {
         if self.last_state != state {
             state.clone_into(&mut self.last_state);
@@ -244,7 +249,7 @@
 
     fn show(&self, state: &str, details: &Value) {
         let id = &self.id;
-        if self.ask.json {
+        if self.args.json {
             println!("{}", json!({"change": id, "state": state, "more": details}));
             return;
         }
@@ -260,33 +265,37 @@
     }
 }
 
-fn withdraw(of: &OutcomeOf) -> Result<(), End> {
-    let mut asker = Asker::new(&of.ask.operator)?;
+fn withdraw(args: &ChangeArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.fleet_args.operator)?;
     let deadline = Instant::now() + WITHDRAW_TIMEOUT;
     while Instant::now() < deadline {
-        // Where this is lost, the outcome tells so and it is sent again.
-        let _ = asker.ask(&FleetRequest::Withdraw(of.id.clone()), REQUEST_TIMEOUT);
-        match asker.ask(&FleetRequest::Outcome(of.id.clone()), REQUEST_TIMEOUT) {
+        // The response is ignored: if the withdrawal was lost, the outcome shows this and the loop sends the withdrawal
+        // again.
+        let _ = client.request(&FleetRequest::Withdraw(args.id.clone()), REQUEST_TIMEOUT);
+        match client.request(&FleetRequest::Outcome(args.id.clone()), REQUEST_TIMEOUT) {
             Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(ChangeOutcome::Withdrawn), .. })) => {
-                println!("{} taken back", of.id);
+                println!("{} taken back", args.id);
                 return Ok(());
             }
             Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(outcome), .. }))
                 if outcome != ChangeOutcome::Validating =>
             {
-                return Err((NO, format!("too late: {} is {}", of.id, outcome_text(&outcome))));
+                return Err((EXIT_FAILED, format!("too late: {} is {}", args.id, outcome_text(&outcome))));
             }
-            _ => asker.sleep(WITHDRAW_RETRY_MS),
+            _ => client.sleep(WITHDRAW_RETRY_MS),
         }
     }
-    Err((UNKNOWN, format!("whether {} was taken back is not known yet; ask for its outcome", of.id)))
+    Err((
+        EXIT_UNKNOWN,
+        format!("whether {} was withdrawn is not known yet; check with `beamgap policy outcome`", args.id),
+    ))
 }
 
 fn error_lines(errors: &[ValidationError]) -> Vec<String> {
     errors.iter().map(|error| format!("{}: {}", error.member, error.message)).collect()
 }
 
-/// An outcome in the words of the commands' output.
+/// Text for an outcome in the output of the commands.
 fn outcome_text(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::Validating => "checked by the members".to_owned(),
@@ -297,62 +306,68 @@
     }
 }
 
-fn outcome(of: &OutcomeOf) -> Result<(), End> {
-    let mut asker = Asker::new(&of.ask.operator)?;
-    match asker.ask(&FleetRequest::Outcome(of.id.clone()), SHOW_TIMEOUT) {
+fn outcome(args: &ChangeArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.fleet_args.operator)?;
+    match client.request(&FleetRequest::Outcome(args.id.clone()), SHOW_TIMEOUT) {
         Ok(FleetResponse::Outcome(OutcomeReport { outcome: Some(outcome), .. })) => {
-            show_outcome(of, &outcome);
-            outcome_end(&of.id, &outcome)
+            show_outcome(args, &outcome);
+            outcome_result(&args.id, &outcome)
         }
-        Ok(_) => Err((UNKNOWN, format!("no change {} is known; it may still be on its way", of.id))),
-        Err(why) => Err((UNKNOWN, why)),
+        Ok(_) => Err((
+            EXIT_UNKNOWN,
+            format!("change {} is not known; its proposal may not have arrived yet", args.id),
+        )),
+        Err(reason) => Err((EXIT_UNKNOWN, reason)),
     }
 }
 
-fn show_outcome(of: &OutcomeOf, outcome: &ChangeOutcome) {
+fn show_outcome(args: &ChangeArgs, outcome: &ChangeOutcome) {
     let text = outcome_text(outcome);
-    if of.ask.json {
-        println!("{}", json!({"change": of.id, "outcome": text, "final": outcome.is_final()}));
+    if args.fleet_args.json {
+        println!("{}", json!({"change": args.id, "outcome": text, "final": outcome.is_final()}));
     } else {
-        println!("{} {text}", of.id);
+        println!("{} {text}", args.id);
     }
 }
 
-fn outcome_end(id: &str, outcome: &ChangeOutcome) -> Result<(), End> {
+fn outcome_result(id: &str, outcome: &ChangeOutcome) -> Result<(), CommandError> {
     match outcome {
         ChangeOutcome::Active(_) => Ok(()),
         ChangeOutcome::Rejected(_) | ChangeOutcome::Withdrawn => {
-            Err((NO, format!("{id} was never in force")))
+            Err((EXIT_FAILED, format!("{id} was never in force")))
         }
         ChangeOutcome::Validating | ChangeOutcome::Committed(_) => {
-            Err((UNKNOWN, format!("{id} is under way")))
+            Err((EXIT_UNKNOWN, format!("{id} is still in progress")))
         }
     }
 }
 
-fn show(show: &Show) -> Result<(), End> {
-    let mut asker = Asker::new(&show.ask.operator)?;
-    match asker.ask(&FleetRequest::PolicyText(show.version), SHOW_TIMEOUT) {
+fn show(show: &ShowArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&show.fleet_args.operator)?;
+    match client.request(&FleetRequest::PolicyText(show.version), SHOW_TIMEOUT) {
         Ok(FleetResponse::PolicyText(Some(PolicyText { version, text }))) => {
-            if show.ask.json {
+            if show.fleet_args.json {
                 println!("{}", json!({"version": version, "text": text}));
             } else {
                 print!("# version {version}\n{text}");
             }
             Ok(())
         }
-        Ok(_) => Err((NO, "that version is not kept; `beamgap policy history` lists them".to_owned())),
-        Err(why) => Err((UNKNOWN, why)),
+        Ok(_) => Err((
+            EXIT_FAILED,
+            "this policy version is not stored; `beamgap policy history` lists the changes".to_owned(),
+        )),
+        Err(reason) => Err((EXIT_UNKNOWN, reason)),
     }
 }
 
-fn history(ask: &Ask) -> Result<(), End> {
-    let mut asker = Asker::new(&ask.operator)?;
-    match asker.ask(&FleetRequest::History, SHOW_TIMEOUT) {
+fn history(args: &FleetArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.operator)?;
+    match client.request(&FleetRequest::History, SHOW_TIMEOUT) {
         Ok(FleetResponse::History(records)) => {
             for record in records {
                 let (id, by, outcome) = (record.id, record.requested_by, outcome_text(&record.outcome));
-                if ask.json {
+                if args.json {
                     println!("{}", json!({"change": id, "by": by, "outcome": outcome}));
                 } else {
                     println!("{id} by {by}: {outcome}");
@@ -360,7 +375,7 @@
             }
             Ok(())
         }
-        Ok(_) => Err((UNKNOWN, "another answer".to_owned())),
-        Err(why) => Err((UNKNOWN, why)),
+        Ok(_) => Err((EXIT_UNKNOWN, "unexpected response".to_owned())),
+        Err(reason) => Err((EXIT_UNKNOWN, reason)),
     }
 }
--- a/src/commands/task.rs
+++ b/src/commands/task.rs
@@ -1,54 +1,55 @@
-//! `beamgap task`: defines, shows and changes the tasks of the fleet.
+//! The command `beamgap task`: defines, shows and controls the tasks of the fleet.
 
 mod output;
 
-use super::{Asker, End, NO, UNKNOWN};
-use crate::cli::{Ask, Named, Task as TaskCommand};
+use super::{CommandError, FleetClient, EXIT_FAILED, EXIT_UNKNOWN};
+use crate::cli::{FleetArgs, Task as TaskCommand, TaskArgs};
 use beamgap::fleet::message::{FleetRequest, FleetResponse, TaskStatus};
 use beamgap_leases::{Command, Task, TaskSpec};
 use std::time::{Duration, Instant};
 
-/// How long one request to the leader may take.
+/// Timeout of one request to the leader.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long to wait for a change to take effect.
+/// Maximum time to wait for a change to take effect.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The pause before the fleet is asked whether a change has taken effect, in milliseconds.
+/// Pause between a change and the status request that checks whether the change has taken effect, in milliseconds.
 const PAUSE_MS: u64 = 60;
-/// A lease that is not renewed ends within its length times this.
+/// Upper bound on the time until a lease without renewal has ended, as a multiple of the lease's length.
 const LEASE_END_FACTOR: f64 = 1.5;
 
-/// Runs a command.
+/// Runs a `task` subcommand.
 ///
 /// # Errors
 ///
-/// The exit code and a line on why the command was not done.
-pub fn run(command: TaskCommand) -> Result<(), End> {
+/// The exit code, and why the command failed.
+pub fn run(command: TaskCommand) -> Result<(), CommandError> {
     match command {
-        TaskCommand::Apply(ask) => apply(&ask),
-        TaskCommand::List(ask) => list(&ask),
-        TaskCommand::Show(named) | TaskCommand::History(named) => show(&named),
-        TaskCommand::Run(named) => change(&named, TaskChange::StartRun),
-        TaskCommand::Pause(named) => change(&named, TaskChange::Pause),
-        TaskCommand::Resume(named) => change(&named, TaskChange::Resume),
-        TaskCommand::Release(named) => change(&named, TaskChange::Release),
+        TaskCommand::Apply(args) => apply(&args),
+        TaskCommand::List(args) => list(&args),
+        TaskCommand::Show(args) | TaskCommand::History(args) => show(&args),
+        TaskCommand::Run(args) => change(&args, TaskChange::StartRun),
+        TaskCommand::Pause(args) => change(&args, TaskChange::Pause),
+        TaskCommand::Resume(args) => change(&args, TaskChange::Resume),
+        TaskCommand::Release(args) => change(&args, TaskChange::Release),
     }
 }
 
-/// A change of one task.
+/// An operator's change to one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TaskChange {
     /// Starts the next run.
     StartRun,
-    /// Begins no further step.
+    /// Pauses the task: no further step starts.
     Pause,
-    /// Goes on after a pause or a halt.
+    /// Resumes the task after a pause or a halt.
     Resume,
-    /// Ends the lease.
+    /// Ends the task's lease, so that another member can acquire it.
     Release,
 }
 
 impl TaskChange {
-    /// What to ask the leader for, given the task before the change. Asked again, it means the same change.
+    /// Returns the request to the leader for this change. `before` is the task before the change. The request is
+    /// idempotent and can be sent again.
     fn request(self, before: &Task) -> FleetRequest {
         let task = before.spec.name.clone();
         match self {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether the change has taken effect.
+    /// Whether the change has taken effect, judged by the task before the change and the task now.
     fn is_done(self, before: &Task, now: &Task) -> bool {
         match self {
             TaskChange::StartRun => now.runs > before.runs,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// What is printed once the change has taken effect.
+    /// Text that is printed after the change has taken effect.
     fn message(self) -> &'static str {
         match self {
             TaskChange::StartRun => "a run begins",
@@ -84,7 +85,7 @@
         }
     }
 
-    /// How long to wait for the change.
+    /// Maximum time to wait for the change to take effect.
     fn timeout(self, before: &Task) -> Duration {
         match self {
             TaskChange::Release => {
@@ -95,96 +96,104 @@
         }
     }
 
-    /// Why the change can't take effect, judged before it is asked for.
+    /// Why the change can't take effect, judged by the task's status before the change is requested.
     fn problem_before(self, before: &Task) -> Option<String> {
         let releases_nothing = self == TaskChange::Release && before.lease.is_none();
-        releases_nothing.then(|| "nobody holds it".to_owned())
+        releases_nothing.then(|| "no member holds its lease".to_owned())
     }
 
-    /// Why the change can't take effect, judged after it was asked for.
+    /// Why the change can't take effect, judged by the task's status after the change was requested.
     fn problem_after(self, before: &Task, now: &Task) -> Option<String> {
         if self != TaskChange::StartRun || before.run.is_none() || now.runs != before.runs {
             return None;
         }
-        now.run.as_ref().map(|run| format!("run {} is under way", run.number))
+        now.run.as_ref().map(|run| format!("run {} is still in progress", run.number))
     }
 }
 
-/// Asks the leader for the status of all tasks, or of one with its history.
-fn statuses(asker: &mut Asker, name: Option<&str>) -> Result<Vec<TaskStatus>, End> {
-    match asker.ask(&FleetRequest::Tasks(name.map(str::to_owned)), REQUEST_TIMEOUT) {
+/// Requests from the leader the status of all tasks, or of one task with its history.
+fn statuses(client: &mut FleetClient, name: Option<&str>) -> Result<Vec<TaskStatus>, CommandError> {
+    match client.request(&FleetRequest::Tasks(name.map(str::to_owned)), REQUEST_TIMEOUT) {
         Ok(FleetResponse::Tasks(statuses)) => Ok(statuses),
-        Ok(_) => Err((UNKNOWN, "another answer".to_owned())),
-        Err(why) => Err((UNKNOWN, format!("no leader with a majority: {why}"))),
+        Ok(_) => Err((EXIT_UNKNOWN, "unexpected response".to_owned())),
+        Err(reason) => Err((EXIT_UNKNOWN, format!("no leader with a majority: {reason}"))),
     }
 }
 
-fn status(asker: &mut Asker, name: &str) -> Result<TaskStatus, End> {
-    let found = statuses(asker, Some(name))?.into_iter().next();
-    found.ok_or_else(|| (NO, format!("task {name} is not known; `beamgap task list` names all")))
+fn status(client: &mut FleetClient, name: &str) -> Result<TaskStatus, CommandError> {
+    let found = statuses(client, Some(name))?.into_iter().next();
+    found.ok_or_else(|| {
+        (EXIT_FAILED, format!("task {name} is not known; `beamgap task list` lists all tasks"))
+    })
 }
 
-/// Asks for a change until it has taken effect, and says so.
-fn change(named: &Named, change: TaskChange) -> Result<(), End> {
-    let name = &named.name;
-    let mut asker = Asker::new(&named.ask.operator)?;
-    let before = status(&mut asker, name)?.task;
+/// Requests a change repeatedly until the change has taken effect, and prints the result.
+fn change(args: &TaskArgs, change: TaskChange) -> Result<(), CommandError> {
+    let name = &args.name;
+    let mut client = FleetClient::new(&args.fleet_args.operator)?;
+    let before = status(&mut client, name)?.task;
     if let Some(problem) = change.problem_before(&before) {
-        return Err((NO, format!("task {name}: {problem}")));
+        return Err((EXIT_FAILED, format!("task {name}: {problem}")));
     }
     let request = change.request(&before);
     let deadline = Instant::now() + change.timeout(&before);
     loop {
-        // Whether this was answered does not matter: the status tells.
-        let _ = asker.ask(&request, REQUEST_TIMEOUT);
-        asker.sleep(PAUSE_MS);
-        if let Ok(TaskStatus { task: now, .. }) = status(&mut asker, name) {
+        // The response is ignored: the status shows whether the request has taken effect.
+        let _ = client.request(&request, REQUEST_TIMEOUT);
+        client.sleep(PAUSE_MS);
+        if let Ok(TaskStatus { task: now, .. }) = status(&mut client, name) {
             if change.is_done(&before, &now) {
                 println!("task {name}: {}", change.message());
                 return Ok(());
             }
             if let Some(problem) = change.problem_after(&before, &now) {
-                return Err((NO, format!("task {name}: {problem}")));
+                return Err((EXIT_FAILED, format!("task {name}: {problem}")));
             }
         }
         if Instant::now() > deadline {
-            return Err((UNKNOWN, format!("task {name}: not known yet; `beamgap task show` tells")));
+            return Err((
+                EXIT_UNKNOWN,
+                format!("task {name}: the outcome is not known yet; check with `beamgap task show`"),
+            ));
         }
     }
 }
 
-/// Has the tasks of the operator's file be those of the fleet.
-fn apply(ask: &Ask) -> Result<(), End> {
-    let mut asker = Asker::new(&ask.operator)?;
-    let specs = asker.fleet.tasks.clone();
+/// Replaces the fleet's tasks with the tasks defined in the operator's file.
+fn apply(args: &FleetArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.operator)?;
+    let specs = client.fleet.tasks.clone();
     let request = FleetRequest::SubmitTaskCommand(Command::DefineTasks(specs.clone()));
     let deadline = Instant::now() + CHANGE_TIMEOUT;
     loop {
-        // Whether this was answered does not matter: the status tells.
-        let _ = asker.ask(&request, REQUEST_TIMEOUT);
-        asker.sleep(PAUSE_MS);
-        let known = statuses(&mut asker, None).unwrap_or_default();
+        // The response is ignored: the status shows whether the request has taken effect.
+        let _ = client.request(&request, REQUEST_TIMEOUT);
+        client.sleep(PAUSE_MS);
+        let known = statuses(&mut client, None).unwrap_or_default();
         if are_defined(&specs, &known) {
             println!("{} tasks are known to the fleet", specs.len());
             return Ok(());
         }
         if Instant::now() > deadline {
-            return Err((UNKNOWN, "not known yet; `beamgap task list` tells".to_owned()));
+            return Err((
+                EXIT_UNKNOWN,
+                "the outcome is not known yet; check with `beamgap task list`".to_owned(),
+            ));
         }
     }
 }
 
-/// Whether these tasks and no others are those of the fleet.
+/// Whether the fleet's tasks are exactly the tasks in `specs`, ignoring tasks that are being removed.
 fn are_defined(specs: &[TaskSpec], known: &[TaskStatus]) -> bool {
     let defined: Vec<&Task> = known.iter().map(|status| &status.task).filter(|task| !task.removed).collect();
     let is_defined = |spec: &TaskSpec| defined.iter().any(|task| task.spec == *spec);
     defined.len() == specs.len() && specs.iter().all(is_defined)
 }
 
-fn list(ask: &Ask) -> Result<(), End> {
-    let mut asker = Asker::new(&ask.operator)?;
-    let statuses = statuses(&mut asker, None)?;
-    if ask.json {
+fn list(args: &FleetArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.operator)?;
+    let statuses = statuses(&mut client, None)?;
+    if args.json {
         println!("{}", serde_json::Value::from_iter(statuses.iter().map(output::json)));
         return Ok(());
     }
@@ -194,10 +203,10 @@
     Ok(())
 }
 
-fn show(named: &Named) -> Result<(), End> {
-    let mut asker = Asker::new(&named.ask.operator)?;
-    let status = status(&mut asker, &named.name)?;
-    if named.ask.json {
+fn show(args: &TaskArgs) -> Result<(), CommandError> {
+    let mut client = FleetClient::new(&args.fleet_args.operator)?;
+    let status = status(&mut client, &args.name)?;
+    if args.fleet_args.json {
         println!("{}", output::json(&status));
         return Ok(());
     }
--- a/src/commands/task/output.rs
+++ b/src/commands/task/output.rs
@@ -1,18 +1,19 @@
-//! The status of a task as JSON and as text. The keys of the JSON form are stable; it is what scripts read.
+//! Formats the status of a task as JSON or as text. Scripts read the JSON output, so its keys must not change.
 
 use beamgap::fleet::message::TaskStatus;
 use beamgap_leases::{FencingToken, Outcome, Run, Schedule, StepRecord, Task};
 use serde::Serialize;
 use serde_json::Value;
 
-/// What is left of a task's lease, in milliseconds, if the task is held and the leader renewed the lease.
+/// Returns the remaining time of a task's lease, in milliseconds, rounded. `None` if the task has no lease, or if the
+/// current leader has not renewed the lease.
 fn remaining_ms(status: &TaskStatus) -> Option<f64> {
     status.task.lease.as_ref()?;
     let renewed_ms_ago = status.renewed_ms_ago?;
     Some((status.task.spec.lease_ms - renewed_ms_ago).max(0.0).round())
 }
 
-/// A task in the JSON form.
+/// JSON output for a task.
 #[derive(Serialize)]
 struct TaskJson<'a> {
     task: &'a str,
@@ -26,7 +27,7 @@
     record: Vec<StepJson<'a>>,
 }
 
-/// The run in progress.
+/// JSON output for the run in progress.
 #[derive(Serialize)]
 struct RunJson<'a> {
     no: u64,
@@ -36,7 +37,7 @@
     halted: Option<&'a str>,
 }
 
-/// A step of the history.
+/// JSON output for a step in the task's history.
 #[derive(Serialize)]
 struct StepJson<'a> {
     run: u64,
@@ -87,11 +88,11 @@
     }
 }
 
-/// The JSON form of a task.
+/// Formats a task as JSON.
 pub fn json(status: &TaskStatus) -> Value {
     let task = &status.task;
     let lease = task.lease.as_ref();
-    let form = TaskJson {
+    let output = TaskJson {
         task: &task.spec.name,
         holder: lease.map(|lease| lease.holder.name.as_str()),
         token: lease.map(|lease| lease.token),
@@ -102,10 +103,10 @@
         fenced: task.spec.requires_fencing,
         record: task.history.iter().map(StepJson::new).collect(),
     };
-    serde_json::to_value(form).expect("all keys of the form are strings")
+    serde_json::to_value(output).expect("all keys of the JSON output are strings")
 }
 
-/// A task in a line of text.
+/// Formats a task as a line of text.
 pub fn line(status: &TaskStatus) -> String {
     let task = &status.task;
     let blocked = match task.blocked_reason() {
@@ -132,7 +133,7 @@
     }
 }
 
-/// A step of the history in a line of text.
+/// Formats a step of the task's history as a line of text.
 pub fn history_line(record: &StepRecord) -> String {
     let word = outcome_word(&record.outcome);
     let outcome = match outcome_reason(&record.outcome) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //! let mut gateway = Gateway::new(Settings::plain(vec![class]), 7)?;
 //! let engine = EngineId(Arc::from("10.0.0.1:7000"));
 //! let mut actions = Vec::new();
-//! let member = EngineEntry {
+//! let entry = EngineEntry {
 //!     engine: engine.clone(),
 //!     zone: "a".into(),
 //!     kind: "std".into(),
@@ -22,7 +22,7 @@
 //!     started: None,
 //!     state: EngineState::Serving,
 //! };
-//! let list = Event::EngineList { kind: ListKind::Cached, version: 1, entries: vec![member] };
+//! let list = Event::EngineList { kind: ListKind::Cached, version: 1, entries: vec![entry] };
 //! gateway.handle(Micros(0), list, &mut actions);
 //! let request = Request {
 //!     id: RequestId(Arc::from("r1")),
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,9 +16,9 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let result = match cli.command {
-        Some(Command::Policy(policy)) => return commands::ended(commands::policy::run(policy)),
-        Some(Command::Task(task)) => return commands::ended(commands::task::run(task)),
-        Some(Command::Fleet(fleet)) => return commands::ended(commands::fleet::run(fleet)),
+        Some(Command::Policy(policy)) => return commands::exit_code(commands::policy::run(policy)),
+        Some(Command::Task(task)) => return commands::exit_code(commands::task::run(task)),
+        Some(Command::Fleet(fleet)) => return commands::exit_code(commands::fleet::run(fleet)),
         None => run::run(cli.run),
         Some(Command::Run(run)) => run::run(run),
         Some(Command::Check(check)) => self::check(&check),
--- a/src/settings/notes.rs
+++ b/src/settings/notes.rs
@@ -27,7 +27,7 @@
     ("Classes.*.Repeat", "requests are not idempotent and never run twice"),
     ("Classes.*.Value", "priority weight 1"),
     ("Contract.DrainGrace", "draining engines get no new attempts"),
-    ("Contract.ExtraRatio", "no retry budget beyond the built-in limit"),
+    ("Contract.ExtraRatio", "no retry budget proportional to the requests"),
     ("Contract.Fall", "engines need no slow start"),
     ("Domain.CoresByKind", "8 cores per engine"),
     ("Domain.RamOfKindMb", "16384 MB per engine"),
