--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decides, for a workload manager, when and where each query runs on a fleet of shared engines.
+//! Front end for a pool of query engines: decides when each query runs, and on which engine.
 //!
-//! Short and long queries share cores, disks and memory of a few engines. The decisions are taken by the crate
-//! `beamgap-decisions`, which is re-exported here: a [`Gateway`] takes [`Event`]s and answers with [`Action`]s. This
-//! crate holds the program around it: [`node`] with sockets and timers, [`fleet`] with what front ends agree on, and
-//! [`settings`], which reads the platform's names.
+//! Short and long queries share the cores, disks and memory of the engines. The crate `beamgap-decisions`, which is
+//! re-exported here, decides how to route the queries: its [`Gateway`] receives [`Event`]s and returns [`Action`]s. This
+//! crate contains the program that runs the gateway: [`node`] implements sockets and timers, [`fleet`] implements the
+//! policy, the budgets and the tasks that front ends share, and [`settings`] reads settings by the platform's names.
 //!
 //! ```
 //! use beamgap::*;
@@ -13,7 +13,7 @@
 //! let mut gateway = Gateway::new(Settings::plain(vec![class]), 7)?;
 //! let engine = EngineId(Arc::from("10.0.0.1:7000"));
 //! let mut actions = Vec::new();
-//! let member = EngineEntry {
+//! let entry = EngineEntry {
 //!     engine: engine.clone(),
 //!     zone: "a".into(),
 //!     kind: "std".into(),
@@ -22,7 +22,7 @@
 //!     started: None,
 //!     state: EngineState::Serving,
 //! };
-//! let list = Event::EngineList { kind: ListKind::Cached, version: 1, entries: vec![member] };
+//! let list = Event::EngineList { kind: ListKind::Cached, version: 1, entries: vec![entry] };
 //! gateway.handle(Micros(0), list, &mut actions);
 //! let request = Request {
 //!     id: RequestId(Arc::from("r1")),
