--- a/src/node/dispatcher/recent_names.rs
+++ b/src/node/dispatcher/recent_names.rs
@@ -22,7 +22,8 @@
 }
 
 impl RecentNames {
-    /// Creates an empty set. Names are remembered for the span of the retry budget, limited to 10 s to 60 s.
+    /// Creates an empty set. Names are remembered for the span of the retry budget, but no less than 10 s
+    /// and no more than 60 s.
     pub fn new(settings: &Settings) -> RecentNames {
         let budget_span_ms = settings.retry_budget.map_or(0.0, |budget| budget.span.as_millis());
         RecentNames {
--- a/src/node/dispatcher/request.rs
+++ b/src/node/dispatcher/request.rs
@@ -72,8 +72,7 @@
     pub sent: f64,
     /// How long the client waits for the response from `sent` on, in milliseconds.
     pub budget: f64,
-    /// Longest part of `budget` that the request may have spent in a queue at the client before `sent`, in
-    /// milliseconds.
+    /// Longest part of `budget`, in milliseconds, that may have passed in the client's queue before `sent`.
     pub waited_at_client: f64,
     /// Group of tables that the request reads or loads.
     pub tables: u64,
