--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -5,46 +5,50 @@
 
 use std::cmp::{Ordering, Reverse};
 
-/// Least weight that counts, so that no division is by zero.
+/// Smaller weights are raised to this value, so that no division is by zero.
 const MIN_WEIGHT: f64 = 1e-9;
-/// Least sum of weights that counts.
+/// Lower bound on the sum of the remaining weights, so that rounding errors cause no division by zero.
 const MIN_TOTAL_WEIGHT: f64 = 1e-12;
-/// Rounding error of a sum that should be a whole number.
+/// Added, in units, before a fractional allocation is rounded down, so that a floating-point error loses no whole unit.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What one member could use.
+/// Demand and weight of one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// In units; may be more than there are.
+    /// Units that the member could use; may exceed the budget.
     pub units: f64,
-    /// Its weight, above 0.
+    /// Weight of the member in the allocation; greater than 0.
     pub weight: f64,
 }
 
 /// Allocates `total` units among members; the result is in the order of `demands` and sums to `total`.
 ///
-/// - Nobody gets more by demanding more than its fair share.
-/// - What nobody demands is spread by weight, so that each has something at once when its demand begins.
-/// - Units that rounding leaves over go one each to those with the largest unmet demand, then to the first in order.
-/// - Whoever demands something gets at least one unit, as long as there are as many.
+/// - A member whose demand exceeds its fair share gains nothing by a still larger demand.
+/// - Units beyond the total demand are spread by weight, so that an idle member can admit requests as soon as they
+///   arrive.
+/// - Units that remain after rounding down are allocated one each: first by unmet demand, then by the fraction that was
+///   cut off, then in the order of `demands`.
+/// - Every member with demand is allocated at least one unit, provided that `total` is at least the number of such
+///   members.
 ///
-/// Without members nothing is allocated.
+/// The result is empty if there are no members.
 pub fn allocate(demands: &[Demand], total: u64) -> Vec<u64> {
     if demands.is_empty() {
         return Vec::new();
     }
     let mut shares = max_min_shares(demands, total as f64);
-    spread_unclaimed(demands, total as f64, &mut shares);
+    spread_surplus(demands, total as f64, &mut shares);
     let mut units: Vec<u64> = shares
         .iter()
         .map(|share| (share + ROUNDING_TOLERANCE).floor() as u64)
         .collect();
     distribute_remainder(demands, total, &shares, &mut units);
-    give_everyone_one(demands, &mut units);
+    ensure_one_unit_each(demands, &mut units);
     units
 }
 
-/// Progressive filling: each gets what it demands, or its weight's part of one level that uses all up.
+/// Progressive filling: allocates to each member the smaller of its demand and its weight times a common level. The
+/// level is such that the budget is used up, unless all demands are met before.
 fn max_min_shares(demands: &[Demand], total: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     let demand_per_weight =
@@ -66,8 +70,8 @@
     shares
 }
 
-/// Spreads what nobody demands by weight.
-fn spread_unclaimed(demands: &[Demand], total: f64, shares: &mut [f64]) {
+/// Spreads the units that exceed the total demand among all members in proportion to their weights.
+fn spread_surplus(demands: &[Demand], total: f64, shares: &mut [f64]) {
     let left = total - shares.iter().sum::<f64>();
     let total_weight: f64 = demands.iter().map(|demand| demand.weight).sum();
     if left > 0.0 && total_weight > 0.0 {
@@ -77,7 +81,8 @@
     }
 }
 
-/// Gives the units that rounding down left over: first to the largest unmet demand, then to the largest fraction cut off.
+/// Allocates the units that remain after rounding down, one to a member: first to members with the largest unmet
+/// demand, then to those that lost the largest fraction to rounding.
 fn distribute_remainder(demands: &[Demand], total: u64, shares: &[f64], units: &mut [u64]) {
     let remainder = total.saturating_sub(units.iter().sum());
     let unmet = |i: usize| (demands[i].units - units[i] as f64).clamp(0.0, 1.0);
@@ -90,21 +95,23 @@
     }
 }
 
-/// Moves one unit to each that demands something and has none, from those without demand first, then from the richest.
-fn give_everyone_one(demands: &[Demand], units: &mut [u64]) {
+/// Moves one unit to each member that has demand but no unit. The donor is a member without demand if one has a unit to
+/// spare, otherwise the member with the most units.
+fn ensure_one_unit_each(demands: &[Demand], units: &mut [u64]) {
     for i in 0..demands.len() {
         if demands[i].units <= 0.0 || units[i] > 0 {
             continue;
         }
-        if let Some(donor) = donor(demands, units) {
+        if let Some(donor) = find_donor(demands, units) {
             units[donor] -= 1;
             units[i] += 1;
         }
     }
 }
 
-/// Who can best spare a unit.
-fn donor(demands: &[Demand], units: &[u64]) -> Option<usize> {
+/// The member that gives up a unit: one without demand is preferred, then the one with the most units. `None` if no
+/// member has a unit to spare; a member with demand keeps its last unit.
+fn find_donor(demands: &[Demand], units: &[u64]) -> Option<usize> {
     let has_demand = |i: usize| demands[i].units > 0.0;
     let can_spare = |i: &usize| units[*i] > u64::from(has_demand(*i));
     (0..demands.len())
--- a/crates/budgets/src/error.rs
+++ b/crates/budgets/src/error.rs
@@ -1,50 +1,50 @@
-//! What can be wrong with a budget in a policy.
+//! Validation errors of a budget in a policy.
 
 use thiserror::Error;
 
-/// A budget block that can't be used. The text says what is wrong with [`BudgetError::key`].
+/// An invalid `budget` block. The message is a predicate whose subject is the key that [`BudgetError::key`] returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BudgetError {
-    /// The name is empty, too long or not unique, or there are too many budgets.
+    /// The name is empty, too long or not unique, or the policy has too many budgets.
     #[error("is empty, too long, one too many or stands twice")]
     Name,
-    /// `limits` is missing or names no resource.
+    /// `limits` is missing or does not name a known resource.
     #[error("is nothing that a budget limits")]
     UnknownResource,
-    /// An account or a class where the resource has none.
+    /// `account` or `class` is given, but the resource is limited per engine and belongs to no account or class.
     #[error("is of engines, not of an account or a class")]
     HasNoAccountOrClass,
-    /// Figures of a concurrency limit in a rate.
+    /// `most` or `longest`, keys of a concurrency limit, is given in a budget that limits a rate.
     #[error("is for what is held at once; this is a rate")]
     ConcurrencyKeyInRate,
-    /// `rate` is missing.
+    /// `rate` is missing in a budget that limits a rate.
     #[error("is missing")]
     MissingRate,
-    /// Figures where the settings have them.
+    /// An amount is given for warming engines, whose limits come from the settings of the front ends.
     #[error("is all that cold engines bear, as the settings say")]
     AmountIsFixed,
-    /// Figures of a rate in a concurrency limit.
+    /// `rate` or `burst`, keys of a rate, is given in a budget that limits concurrency.
     #[error("is for what comes in; this is held at once")]
     RateKeyInConcurrency,
-    /// `most` is missing.
+    /// `most` is missing in a budget that limits concurrency.
     #[error("is missing")]
     MissingMost,
-    /// `longest` is missing.
+    /// `longest` is missing in a budget that limits concurrency.
     #[error("is missing")]
     MissingLongest,
-    /// `floor_among` is missing.
+    /// `floor` is given without `floor_among`, the number of members that the floors are reserved for.
     #[error("is missing")]
     MissingFloorAmong,
-    /// More than half is reserved.
+    /// `floor` reserves more than half of the budget, which leaves too little to be allocated by demand.
     #[error("is over 50%")]
     FloorTooLarge,
-    /// A floor that comes to no whole unit.
+    /// The floor of one member is less than one whole unit, so that it would admit nothing.
     #[error("gives each front end less than one")]
     FloorTooSmall,
 }
 
 impl BudgetError {
-    /// The key of the block that is wrong; empty for the block itself.
+    /// The key in the `budget` block that the error refers to; empty if the error refers to the block as a whole.
     pub fn key(self) -> &'static str {
         match self {
             BudgetError::Name => "",
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What to do about it.
+    /// Advice to the operator on how to correct the policy.
     pub fn fix(self) -> &'static str {
         match self {
             BudgetError::Name => "give each budget a name of its own",
--- a/crates/budgets/src/injected_bug.rs
+++ b/crates/budgets/src/injected_bug.rs
@@ -1,19 +1,22 @@
-//! Bugs that tests inject to see that they are found.
+//! Bugs that tests inject to verify that their checks detect violations.
 
-/// A bug injected on purpose. Never set outside of tests.
+/// A deliberate bug in the leader or the member. Set in tests only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
-    /// None.
+    /// No injected bug.
     #[default]
     None,
-    /// A new leader takes shares that no member has stated yet for free.
+    /// A new leader treats shares that no member has stated yet as free instead of waiting until they have expired.
     NewLeaderDoesNotWait,
-    /// A share is reassigned as soon as its holder is told of it, not when the holder has confirmed it.
+    /// The leader reassigns a released share when it sends the reduction, before the holder has confirmed the
+    /// reduction.
     ReassignedBeforeConfirmed,
-    /// A share that arrives brings its full burst with it.
+    /// A member fills its token bucket whenever it receives a share, so that each move of a share yields an extra
+    /// burst.
     FullBurstOnArrival,
-    /// A share is used past its expiry.
+    /// A member continues to use its share after the share has expired.
     UsedAfterExpiry,
-    /// What a dead member has in use counts no longer than its share.
+    /// The leader stops counting the units that a dead member has in use when the member's share expires, although they
+    /// may remain in use for longer.
     DeadMemberUsageForgotten,
 }
--- a/crates/budgets/src/leader/division.rs
+++ b/crates/budgets/src/leader/division.rs
@@ -1,4 +1,4 @@
-//! How the leader divides one budget among the members.
+//! Division of one budget among the members by the leader.
 
 use crate::allocation::{allocate, Demand};
 use crate::ledger::ShareLedger;
@@ -8,30 +8,32 @@
 use beamgap_fleet_types::{clock, MemberId};
 use std::collections::BTreeMap;
 
-/// A budget is not allocated anew more often than this, in milliseconds.
+/// Minimum interval between two allocations of a budget, in milliseconds. A poll of a member without a target causes an
+/// allocation sooner.
 const MIN_ALLOCATION_INTERVAL_MS: f64 = 120.0;
-/// A member is allocated this multiple of its demand, so that some growth is served before it is reported.
+/// Factor applied to a member's reported demand before allocation, so that moderate growth of the demand is covered
+/// before the member reports it.
 const DEMAND_HEADROOM: f64 = 1.15;
-/// Units that are allocated on top of [`DEMAND_HEADROOM`].
+/// Units added to a member's demand after it was multiplied by [`DEMAND_HEADROOM`].
 const EXTRA_DEMAND_UNITS: f64 = 0.5;
-/// Most demand that is taken from a report, as a multiple of the whole budget.
+/// Upper bound on the demand accepted from a report, as a multiple of the whole budget.
 const MAX_DEMAND_BUDGETS: f64 = 4.0;
-/// For how many lease lengths the fleet surely keeps an incarnation that is not heard of in its list of members. It keeps
-/// it for two more.
+/// Number of lease lengths for which a silent incarnation is guaranteed to stay in the fleet's list of members. The
+/// fleet removes the incarnation two lease lengths later.
 pub(super) const MEMBER_RETENTION_LEASES: f64 = 10.0;
 
-/// What a poll tells of the asker's holdings.
+/// The holdings of the polling member, as derived from its poll.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum StatedHoldings {
-    /// All that it holds, by budget.
+    /// A full statement: all holdings, by name of the budget.
     Complete(BTreeMap<String, Holding>),
-    /// It has applied the last response.
+    /// The member has applied the last response.
     LastResponseApplied,
-    /// It has not received the last response and holds by the one before.
+    /// The member has not received the last response; its holdings are those of the response that it applied before.
     LastResponseMissed,
 }
 
-/// How long after it was granted anything of a budget may count.
+/// Parameters that determine when a grant, and the units admitted under it, have expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ExpiryRules {
     pub(super) timings: BudgetTimings,
@@ -39,7 +41,8 @@
 }
 
 impl ExpiryRules {
-    /// After how many milliseconds what was granted for `length_ms`, and what it admitted, has ended everywhere.
+    /// Time in milliseconds, by any clock within the drift bound, after which a grant with a lifetime of `length_ms`
+    /// has expired and no unit admitted under the grant is still in use.
     fn ended_after(&self, spec: &BudgetSpec, length_ms: f64) -> f64 {
         let max_drift = self.timings.max_drift;
         let outlives_ms = match self.injected_bug {
@@ -50,32 +53,32 @@
     }
 }
 
-/// A member that takes part in an allocation.
+/// A member that budgets are allocated to: it is present and has stated its holdings in the current epoch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Participant<'a> {
     pub(super) id: &'a MemberId,
     pub(super) zone: &'a str,
 }
 
-/// What a member is granted of one budget in response to a poll.
+/// The part of one budget that a member is granted in the response to a poll.
 #[derive(Clone, Debug)]
 pub(super) struct Grant {
     pub(super) holding: Holding,
-    /// Whether it differs from the grant before.
+    /// Whether the grant differs from the member's previous one.
     pub(super) is_changed: bool,
-    /// Whether the member should poll soon: it lacks some of its target, or gives something back.
+    /// Whether the member should poll again soon, because its share is still below its target or was reduced.
     pub(super) is_moving: bool,
 }
 
-/// The division of one budget.
+/// The division of one budget among the members.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct BudgetDivision {
     spec: BudgetSpec,
     shares: ShareLedger,
-    /// Counts floors, one for each member.
+    /// Ledger of the floors; its total is the number of floors, and each member is granted at most one.
     floors: ShareLedger,
-    /// Whether everything is known once all members of the fleet have stated their holdings. It is not where the budget
-    /// has changed its form, or where usage outlives the fleet's memory of its members.
+    /// Whether no holdings are unknown once all members in the fleet's list have stated theirs. False if the budget has
+    /// replaced an incompatible one, or if units may stay in use after a dead member was removed from the list.
     statements_are_exhaustive: bool,
     demands: BTreeMap<MemberId, f64>,
     targets: BTreeMap<MemberId, Share>,
@@ -84,17 +87,18 @@
 }
 
 impl BudgetDivision {
-    /// A division of which nothing is known: everything granted until `granted_until` may be held by somebody.
-    /// `has_changed_form` says whether it may be held under another form of the budget.
+    /// Creates a division without any record of holdings: any part of the budget may have been granted until the time
+    /// `granted_until`. `replaces_incompatible` says whether members may hold shares of an incompatible earlier version
+    /// of the budget.
     pub(super) fn new(
         spec: &BudgetSpec,
         granted_until: f64,
-        has_changed_form: bool,
+        replaces_incompatible: bool,
         rules: &ExpiryRules,
     ) -> BudgetDivision {
         let timings = rules.timings;
-        let share_ms = if has_changed_form {
-            // It may have been a floor.
+        let share_ms = if replaces_incompatible {
+            // A part that is a share now may have been a floor in the earlier version, and floors last longer.
             timings.share_ms.max(timings.floor_ms)
         } else {
             timings.share_ms
@@ -103,7 +107,8 @@
             InjectedBug::NewLeaderDoesNotWait => f64::NEG_INFINITY,
             _ => granted_until + rules.ended_after(spec, length_ms),
         };
-        let is_remembered = spec.outlives_share_ms() < MEMBER_RETENTION_LEASES * timings.floor_ms;
+        let usage_ends_before_removal =
+            spec.outlives_share_ms() < MEMBER_RETENTION_LEASES * timings.floor_ms;
         BudgetDivision {
             spec: spec.clone(),
             shares: ShareLedger::new(
@@ -111,7 +116,7 @@
                 unknown_expires_at(share_ms),
             ),
             floors: ShareLedger::new(spec.max_members, unknown_expires_at(timings.floor_ms)),
-            statements_are_exhaustive: !has_changed_form && is_remembered,
+            statements_are_exhaustive: !replaces_incompatible && usage_ends_before_removal,
             demands: BTreeMap::new(),
             targets: BTreeMap::new(),
             needs_allocation: true,
@@ -119,39 +124,41 @@
         }
     }
 
-    /// Whether shares of this budget are shares of the new version, too.
+    /// Whether shares of this budget remain valid under the `new` version of the budget.
     pub(super) fn is_compatible_with(&self, new: &BudgetSpec) -> bool {
         self.spec.limits_same(new) && self.spec.outlives_share_ms() <= new.outlives_share_ms()
     }
 
-    /// Goes on under the new version.
+    /// Replaces the budget by a compatible new version and keeps all recorded shares.
     pub(super) fn set_spec(&mut self, spec: &BudgetSpec) {
         self.spec = spec.clone();
         self.needs_allocation = true;
     }
 
-    /// Frees what has expired.
+    /// Frees shares and floors that have expired. `all_have_stated` says whether every member in the fleet's list has
+    /// stated its holdings in the current epoch.
     pub(super) fn expire(&mut self, now: f64, all_have_stated: bool) {
         let free_before = (self.shares.free(), self.floors.free());
-        let is_all_known = all_have_stated && self.statements_are_exhaustive;
-        self.shares.expire(now, is_all_known);
-        self.floors.expire(now, is_all_known);
+        let all_known = all_have_stated && self.statements_are_exhaustive;
+        self.shares.expire(now, all_known);
+        self.floors.expire(now, all_known);
         if free_before != (self.shares.free(), self.floors.free()) {
             self.needs_allocation = true;
         }
     }
 
-    /// Has targets computed anew with the next poll.
+    /// Marks the targets as outdated. One of the next polls recomputes them, at the earliest
+    /// [`MIN_ALLOCATION_INTERVAL_MS`] after the last allocation.
     pub(super) fn request_allocation(&mut self) {
         self.needs_allocation = true;
     }
 
-    /// Whether anything is known of what the member holds.
+    /// Whether the leader has a record of the member's share of this budget.
     pub(super) fn has_entry(&self, member: &MemberId) -> bool {
         self.shares.contains(member)
     }
 
-    /// Records what a member's poll tells of its holdings, which are renewed thereby.
+    /// Records the holdings stated in a member's poll and renews them from `now` on.
     pub(super) fn renew(
         &mut self,
         now: f64,
@@ -197,15 +204,15 @@
         self.shares.set_in_use(member, in_use.parts());
     }
 
-    /// Whether targets are to be computed anew when this member polls.
+    /// Whether the targets have to be recomputed before this member's poll is answered.
     pub(super) fn is_allocation_due(&self, now: f64, member: &MemberId) -> bool {
         let has_target = self.targets.contains_key(member);
         self.needs_allocation
             && (!has_target || now - self.allocated_at >= MIN_ALLOCATION_INTERVAL_MS)
     }
 
-    /// Computes the members' targets from their demands. Demands of members that are not known any more
-    /// are dropped.
+    /// Computes the targets of all participants from their demands, and drops the demands of members for which
+    /// `is_known` returns false.
     pub(super) fn allocate(
         &mut self,
         now: f64,
@@ -219,7 +226,7 @@
             .iter()
             .map(|member| self.demand_of(member))
             .collect();
-        // In whole units, because a fraction of a unit admits nothing.
+        // Targets are whole units, because a fraction of a unit admits no request.
         let allocatable = self.spec.allocatable_share().to_units_floor(total);
         let units = allocate(&demands, allocatable);
         self.targets = participants
@@ -243,7 +250,7 @@
         }
     }
 
-    /// Grants a member what is free of its target; a draining member has none.
+    /// Grants a member its target, or as much of the target as is free. The target of a draining member is 0.
     pub(super) fn grant(
         &mut self,
         member: &MemberId,
@@ -277,7 +284,7 @@
         self.targets.get(member).map_or(0, |share| share.parts())
     }
 
-    /// How the budget is divided, for operators.
+    /// The division of the budget among the members, as shown to operators.
     pub(super) fn status(&self) -> BudgetStatus {
         let total = self.spec.total_units().max(1) as f64;
         let fraction = |parts: u64| parts as f64 / FULL_SHARE.parts() as f64;
--- a/crates/budgets/src/leader/member_status.rs
+++ b/crates/budgets/src/leader/member_status.rs
@@ -1,26 +1,26 @@
-//! What the leader keeps of one member.
+//! The leader's record of one member.
 
 use super::division::StatedHoldings;
 use crate::message::{Epoch, PollRequest};
 use crate::BudgetTimings;
 
-/// What the leader keeps of a member.
+/// The leader's record of a member's polls, except the shares and demands, which are recorded for each budget.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct MemberStatus {
     pub(super) last_sequence: u64,
     pub(super) last_poll_at: f64,
     pub(super) zone: String,
     pub(super) draining: bool,
-    /// The epoch in which it has stated all its holdings.
+    /// The epoch for which the member has last sent a full statement of its holdings.
     pub(super) stated_in: Option<Epoch>,
-    /// The request whose response it holds by.
+    /// Sequence number of the request whose response the member has applied; 0 after a full statement.
     pub(super) applied_sequence: u64,
-    /// The request that was answered last.
+    /// Sequence number of the request that was answered last.
     pub(super) answered_sequence: u64,
 }
 
 impl MemberStatus {
-    /// Whether it has polled recently enough to hold something, and is not draining.
+    /// Whether the member is not draining and has polled within the lifetime of a share, so that it may hold shares.
     pub(super) fn is_present(&self, now: f64, timings: &BudgetTimings) -> bool {
         !self.draining && now - self.last_poll_at < timings.share_ms
     }
@@ -32,7 +32,7 @@
         self.zone.clone_from(&request.zone);
     }
 
-    /// Records what the member has applied, and that its request is about to be answered.
+    /// Records which response the member has applied, and that the request with this sequence number is being answered.
     pub(super) fn record_statement(
         &mut self,
         epoch: Epoch,
--- a/crates/budgets/src/leader/mod.rs
+++ b/crates/budgets/src/leader/mod.rs
@@ -1,8 +1,9 @@
-//! The leader's side: learns what each member holds and demands, and moves shares among members.
+//! The leader's part of the protocol: tracks the holdings and demand of each member, and moves shares among members.
 //!
-//! A member's poll names the last response that the member has applied, so that the leader knows its holdings from a few
-//! bytes, however many budgets there are. Where that is not enough, as after a change of leaders, the member is asked to
-//! state all its holdings. All times are milliseconds of the leader's own monotonic clock.
+//! A member's poll names the last response that the member has applied. From this the leader derives the member's
+//! holdings in all budgets, so that a poll stays small with many budgets. If the leader can't derive the holdings, as
+//! after a change of leaders, it requests a full statement. All times are in milliseconds of the leader's own monotonic
+//! clock.
 
 mod division;
 mod member_status;
@@ -16,27 +17,29 @@
 use member_status::MemberStatus;
 use std::collections::BTreeMap;
 
-/// When a member polls again while shares are being moved, in milliseconds.
+/// Delay in milliseconds that the leader requests before a member's next poll while shares are being moved.
 const MOVING_POLL_INTERVAL_MS: f64 = 40.0;
-/// What has expired is looked for at most this often, in milliseconds.
+/// Minimum interval in milliseconds between two checks for expired shares by [`BudgetLeader::tick`].
 const MIN_TICK_INTERVAL_MS: f64 = 20.0;
-/// A member that falls silent is noticed within this time of it, in milliseconds.
+/// For this many milliseconds after a silent member's shares have expired, each check for expired shares triggers a new
+/// allocation. Several checks fall into this period, so that the expiry is not missed.
 const SILENCE_NOTICE_MS: f64 = 60.0;
-/// Multiplier that makes the epochs of one process differ: the golden ratio in 64 bits.
+/// Multiplier for the count of leaderships, 2^64 divided by the golden ratio. It spreads consecutive counts over 64
+/// bits, so that the epochs of one process differ.
 const EPOCH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What the fleet has agreed on, as the leader has applied it.
+/// The state that the fleet has agreed on, as applied by the leader from the replicated log.
 #[derive(Clone, Copy, Debug)]
 pub struct AgreedState<'a> {
     /// The policy version in force.
     pub version: u64,
     /// The budgets of this version.
     pub specs: &'a [BudgetSpec],
-    /// The members that may hold something; what the map holds of them does not matter here.
+    /// The members that may hold shares. Only the keys of the map are used here.
     pub members: &'a BTreeMap<MemberId, u64>,
 }
 
-/// The leader of the fleet's budgets. It forgets everything when the leadership changes.
+/// The leader of the fleet's budgets. Its records of members and shares are discarded when the leadership changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetLeader {
     seed: u64,
@@ -52,7 +55,8 @@
 }
 
 impl BudgetLeader {
-    /// One that does not lead yet. The seed has to differ from that of any other process of the fleet.
+    /// Creates an instance that does not hold the leadership yet. The seed determines the epochs and must differ from
+    /// that of every other process in the fleet.
     pub fn new(seed: u64, timings: BudgetTimings, injected_bug: InjectedBug) -> BudgetLeader {
         BudgetLeader {
             seed,
@@ -71,7 +75,7 @@
         }
     }
 
-    /// Gains or loses the leadership.
+    /// Records at time `now`, in milliseconds, that this process has gained or lost the leadership.
     pub fn set_leadership(&mut self, now: f64, is_leader: bool) {
         if is_leader == self.is_leader() {
             return;
@@ -88,17 +92,17 @@
         };
     }
 
-    /// Whether it leads.
+    /// Whether this process holds the leadership.
     pub fn is_leader(&self) -> bool {
         self.leader_since.is_some()
     }
 
-    /// Sets the fleet's timings.
+    /// Sets the fleet's timings. Expiry times recorded earlier are unchanged.
     pub fn set_timings(&mut self, timings: BudgetTimings) {
         self.timings = timings;
     }
 
-    /// Lets time pass: what has expired becomes free.
+    /// Frees shares that have expired by `now`, in milliseconds. The caller calls this periodically.
     pub fn tick(&mut self, now: f64, agreed: &AgreedState<'_>) {
         let is_early = now - self.expired_at < MIN_TICK_INTERVAL_MS;
         if !self.is_leader() || (is_early && self.version == Some(agreed.version)) {
@@ -108,7 +112,8 @@
         self.expire(now, agreed.members);
     }
 
-    /// Answers a member. `agreed` has to be what was agreed on after the request arrived.
+    /// Handles a member's poll and returns the response. The caller must read `agreed` from the replicated state after
+    /// the request has arrived.
     pub fn handle_poll(
         &mut self,
         now: f64,
@@ -133,7 +138,7 @@
         self.respond(now, request, is_complete)
     }
 
-    /// How all budgets are divided, for operators.
+    /// The division of every budget among the members, as shown to operators.
     pub fn status(&self) -> Vec<BudgetStatus> {
         self.divisions
             .values()
@@ -148,13 +153,14 @@
         }
     }
 
-    /// Takes on the budgets of the version in force. A budget that is new or has another form begins a new epoch, so that
-    /// members state what they hold of it.
+    /// Applies the budgets of the policy version in force. If a budget is new or incompatible with its previous
+    /// version, a new epoch begins, so that all members state their holdings again.
     fn apply_version(&mut self, now: f64, agreed: &AgreedState<'_>) {
         if self.version == Some(agreed.version) {
             return;
         }
-        // What is in force when the leadership begins was granted by earlier leaders.
+        // Earlier leaders granted shares until this leadership began. Under a later version, this leader may have
+        // granted shares until now.
         let granted_until = match self.version {
             None => self.leader_since.unwrap_or(now),
             Some(_) => now,
@@ -181,7 +187,8 @@
         self.version = Some(agreed.version);
     }
 
-    /// Records a poll. Gives nothing if it is late, of another version or too little is known of the member's holdings.
+    /// Records a poll. Returns `None` if the poll is out of order, if it was sent under another policy version, or if
+    /// it does not determine the member's holdings.
     fn accept_poll(
         &mut self,
         now: f64,
@@ -190,12 +197,12 @@
     ) -> Option<StatedHoldings> {
         let member = self.members.entry(request.member.clone()).or_default();
         if request.sequence <= member.last_sequence {
-            // Late or duplicated: its response does not count for the member, and it tells nothing here.
+            // The poll is late or duplicated. The member ignores the response to it, and its content is outdated.
             return None;
         }
         member.record_poll(now, request);
         if request.version != version {
-            // The member counts by other forms of the budgets, perhaps.
+            // Under another policy version, the member's shares may refer to incompatible budgets of the same names.
             return None;
         }
         let stated = self.stated_holdings(request)?;
@@ -219,7 +226,7 @@
         }
     }
 
-    /// What a member holds that has named the response that it has applied.
+    /// Derives a member's holdings from the last response that the member has applied.
     fn holdings_by_response(
         &mut self,
         id: &MemberId,
@@ -234,7 +241,8 @@
             .values()
             .all(|division| division.has_entry(id))
         {
-            // It was silent so long that its entry has expired: it has to state that it holds nothing.
+            // The member was silent until its entry in a ledger expired. It has to send a full statement, which says
+            // that it holds nothing any more.
             member.stated_in = None;
             return None;
         }
@@ -247,12 +255,13 @@
         }
     }
 
-    /// Records a member's holdings and its demands. After a complete statement, a demand that is missing is none.
+    /// Records a member's holdings and demands. In a poll with a full statement, a budget without a report has no
+    /// demand.
     fn renew(&mut self, now: f64, request: &PollRequest, stated: &StatedHoldings) {
         let rules = self.expiry_rules();
         let is_complete = matches!(stated, StatedHoldings::Complete(_));
         let no_demand = DemandReport::default();
-        // Of two reports of a budget the last one counts.
+        // If a request contains two reports for one budget, the last one is used.
         let reports: BTreeMap<&str, &DemandReport> = request
             .demands
             .iter()
@@ -267,7 +276,7 @@
         }
     }
 
-    /// Frees what has expired and forgets members that are gone.
+    /// Frees expired shares and removes the status of members that have left the fleet.
     fn expire(&mut self, now: f64, agreed_members: &BTreeMap<MemberId, u64>) {
         self.expired_at = now;
         let all_have_stated = agreed_members.keys().all(|member| self.has_stated(member));
@@ -301,7 +310,7 @@
         self.members.values().any(is_newly_silent)
     }
 
-    /// Allocates anew those budgets for which it is due.
+    /// Recomputes the allocation of those budgets for which it is due.
     fn allocate(&mut self, now: f64, asker: &MemberId) {
         let members = &self.members;
         let takes_part = |member: &MemberStatus| {
@@ -322,8 +331,8 @@
         }
     }
 
-    /// Grants the asker what is free of its targets. A response to a complete statement names all holdings, any other only
-    /// those that change.
+    /// Grants the polling member the free part of its target in each budget. A response to a full statement lists all
+    /// holdings; any other response lists only those that change.
     fn respond(&mut self, now: f64, request: &PollRequest, is_complete: bool) -> PollResponse {
         let mut response = PollResponse {
             epoch: self.epoch,
@@ -347,7 +356,7 @@
         response
     }
 
-    /// The position of a member among those that are present.
+    /// The polling member's position among the members that are present.
     fn position(&self, now: f64, asker: &MemberId) -> Position {
         let is_present = |member: &MemberStatus| member.is_present(now, &self.timings);
         let mut position = Position::default();
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -1,9 +1,10 @@
-//! The leader's account of who may use how much of one total.
+//! The leader's record of the largest amount of one total that each member may be using.
 //!
-//! For each member the ledger keeps what the member has confirmed that it holds, and what it was granted since and may have
-//! learned of or not. The larger of the two counts, and no less than what the member has in use. All incarnations that
-//! have stated nothing to this leader are counted together as unknown. What is free is the total less all that counts,
-//! so that nothing is granted twice. Amounts are in parts of the total; times are milliseconds of the leader's clock.
+//! For each member the ledger records the confirmed amount, the amount granted since, and the amount in use. The member
+//! may or may not have received the latest grant, so the largest of the three amounts counts against the total. An
+//! upper bound on the holdings of all incarnations that have stated nothing to this leader is recorded as one unknown
+//! amount. The free amount is the total less the unknown amount and all members' worst cases, so that no part is
+//! granted twice. Amounts are in parts of the total; times are in milliseconds of the leader's clock.
 
 use beamgap_fleet_types::MemberId;
 use std::collections::BTreeMap;
@@ -17,18 +18,18 @@
 }
 
 impl Entry {
-    /// The most that the member may use.
+    /// The largest amount that the member may be using now.
     fn worst_case(&self) -> u64 {
         self.confirmed.max(self.granted).max(self.in_use)
     }
 }
 
-/// The ledger of one total under one leader.
+/// The ledger of one total during one leadership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShareLedger {
     total: u64,
     unknown: u64,
-    /// By then all that is unknown has expired.
+    /// Time by which every grant that is counted as unknown has expired.
     unknown_expires_at: f64,
     entries: BTreeMap<MemberId, Entry>,
     /// Sum of the entries' worst cases.
@@ -36,7 +37,8 @@
 }
 
 impl ShareLedger {
-    /// A new leader's ledger: everything may be held by somebody until `unknown_expires_at`.
+    /// Creates the ledger of a new leader. The whole total counts as unknown until `unknown_expires_at`, because
+    /// members may hold grants of earlier leaders.
     pub fn new(total: u64, unknown_expires_at: f64) -> ShareLedger {
         ShareLedger {
             total,
@@ -47,40 +49,42 @@
         }
     }
 
-    /// What nobody can hold.
+    /// The amount that no member can be using, and that can therefore be granted.
     pub fn free(&self) -> u64 {
-        let taken = u128::from(self.unknown) + self.entries_sum;
-        u128::from(self.total).saturating_sub(taken) as u64
+        let reserved = u128::from(self.unknown) + self.entries_sum;
+        u128::from(self.total).saturating_sub(reserved) as u64
     }
 
-    /// What may be held by incarnations that have stated nothing.
+    /// The amount that may be held by incarnations that have not stated their holdings.
     pub fn unknown(&self) -> u64 {
         self.unknown
     }
 
-    /// The most that a member may use.
+    /// The largest amount that a member may be using now: the maximum of confirmed, granted and in use.
     pub fn worst_case(&self, member: &MemberId) -> u64 {
         self.entries.get(member).map_or(0, Entry::worst_case)
     }
 
-    /// Whether a member has an entry. If not, all that it held has expired.
+    /// Whether the ledger has an entry for the member. A member without an entry has stated nothing to this leader, or
+    /// its holdings have expired.
     pub fn contains(&self, member: &MemberId) -> bool {
         self.entries.contains_key(member)
     }
 
-    /// What a member was granted last.
+    /// The amount of the latest grant to a member; 0 without an entry.
     pub fn granted(&self, member: &MemberId) -> u64 {
         self.entries.get(member).map_or(0, |entry| entry.granted)
     }
 
-    /// All members with an entry, and what each was granted last.
+    /// All members that have an entry, each with the amount of its latest grant.
     pub fn grants(&self) -> impl Iterator<Item = (&MemberId, u64)> + '_ {
         self.entries
             .iter()
             .map(|(member, entry)| (member, entry.granted))
     }
 
-    /// Records all that a member holds. This amount is unknown no more.
+    /// Records the holdings in a member's full statement. If the member had no entry, the stated amount is deducted
+    /// from the unknown amount.
     pub fn state(&mut self, member: &MemberId, holds: u64, expires_at: f64) {
         if !self.entries.contains_key(member) {
             self.unknown = self.unknown.saturating_sub(holds);
@@ -91,26 +95,29 @@
         });
     }
 
-    /// Records that a member has applied its last grant.
+    /// Records that a member has applied its latest grant.
     pub fn confirm(&mut self, member: &MemberId, expires_at: f64) {
         self.update(member, expires_at, |entry| entry.confirmed = entry.granted);
     }
 
-    /// Records that a member never learns of its last grant: it holds what it confirmed before.
+    /// Records that a member will never apply its latest grant, because the response was lost. The member still holds
+    /// the amount that it confirmed before.
     pub fn revert(&mut self, member: &MemberId, expires_at: f64) {
         self.update(member, expires_at, |entry| entry.granted = entry.confirmed);
     }
 
-    /// Records what a member has in use, which counts whatever it holds.
+    /// Records the amount that a member has in use. Units in use count against the total even if the member's share is
+    /// smaller.
     pub fn set_in_use(&mut self, member: &MemberId, in_use: u64) {
         if self.entries.contains_key(member) {
             self.update(member, f64::NEG_INFINITY, |entry| entry.in_use = in_use);
         }
     }
 
-    /// Grants a member as much of `target` as nobody else can hold, and gives the amount granted.
+    /// Grants a member as much of `target` as no other member can be using, and returns the amount granted.
     ///
-    /// A reduction is granted at once, but what it frees is free only when the member has confirmed it.
+    /// A reduction is granted at once, but the released amount becomes free only after the member has confirmed the
+    /// reduction.
     pub fn grant(&mut self, member: &MemberId, target: u64) -> u64 {
         let Some(entry) = self.entries.get(member) else {
             return 0;
@@ -124,21 +131,22 @@
             granted = target.min(available.max(confirmed));
         }
         if available < own {
-            // Members have stated more than the total: nobody is granted anything on top.
+            // The amounts that members have stated exceed the total, so no member is granted an increase.
             granted = granted.min(confirmed);
         }
         self.update(member, f64::NEG_INFINITY, |entry| entry.granted = granted);
         granted
     }
 
-    /// Wrong on purpose: takes a grant for confirmed.
+    /// Injected bug: treats the latest grant as confirmed before the member has applied it.
     pub(crate) fn confirm_without_response(&mut self, member: &MemberId) {
         self.update(member, f64::NEG_INFINITY, |entry| {
             entry.confirmed = entry.granted;
         });
     }
 
-    /// Frees what has expired. With `all_have_stated`, every incarnation that can hold something has an entry.
+    /// Frees the amounts of all entries that have expired. If `all_have_stated` is true, every incarnation that can
+    /// hold a part of the total has an entry, so that the unknown amount is freed, too.
     pub fn expire(&mut self, now: f64, all_have_stated: bool) {
         if all_have_stated || now >= self.unknown_expires_at {
             self.unknown = 0;
@@ -154,7 +162,8 @@
         self.entries.retain(|_, entry| !expired(entry));
     }
 
-    /// Changes a member's entry, creates it if need be, and keeps the sum. An expiry is never moved to an earlier time.
+    /// Changes a member's entry, creates the entry if it is missing, and updates `entries_sum`. The expiry of an entry
+    /// is never moved to an earlier time.
     fn update(&mut self, member: &MemberId, expires_at: f64, change: impl FnOnce(&mut Entry)) {
         let new_entry = Entry {
             confirmed: 0,
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,36 +1,39 @@
 //! Budgets of a whole fleet, divided among its front ends: rates and concurrency limits whose shares never sum to more
 //! than the budget.
 //!
-//! # What it promises
+//! # Guarantees
 //!
-//! - At any time the shares that members may use sum to at most the budget, whatever messages are lost, late or duplicated,
-//!   whoever dies, stands still or is cut off, as long as clocks run within the stated bound on drift.
-//! - Admission looks at memory only. Shares follow the demand: weighted max-min fair ([`allocation`]).
-//! - A change of leaders costs nobody a share.
+//! - At any time the shares that members may use sum to at most the budget, as long as clock drift stays within the
+//!   stated bound. Lost, late and duplicated messages and crashed, suspended and partitioned members do not break this
+//!   guarantee.
+//! - Admission decisions read local memory only. Shares follow demand by weighted max-min fairness ([`allocation`]).
+//! - A change of leaders takes no share away from a member.
 //!
-//! The promises are numbered in `docs/budgets.md`.
+//! The guarantees are numbered in `docs/budgets.md`.
 //!
-//! # What it does not
+//! # Non-goals
 //!
-//! It has no clock, no I/O and no randomness: time and messages come from the caller. It does not elect leaders, and it relies
-//! on the caller for which members may exist. Nothing is persisted: a division costs no write to the log.
+//! The crate has no clock, no I/O and no randomness: the caller supplies the time and delivers the messages. The crate
+//! does not elect leaders, and it relies on the caller for the list of members. The leader's state is not persisted, so
+//! that moving shares writes nothing to the replicated log.
 //!
 //! # How it works
 //!
-//! Shares are moved, never copied. A share expires at `t0` plus its length less the drift, by its holder's clock, where `t0`
-//! is when the holder asked for it. The leader reassigns only what a holder has confirmed, *in a later poll*, that it holds no
-//! more, or what has expired by any clock within the bound. A new leader knows nothing: everything is taken for held until
-//! every member has stated its holdings or all earlier grants have expired. Until then it moves what is given back by those
-//! who have stated theirs.
+//! A share is a lease on a part of a budget. The lease starts when the member sends its poll and expires, by the
+//! member's own clock, one share length later, less a margin for clock drift. The leader reassigns a share only after
+//! its holder has confirmed *in a later poll* that the share was released, or after the lease has expired by every
+//! clock within the drift bound. A new leader has no state and treats the whole budget as held until every member has
+//! stated its holdings or all earlier grants have expired. Until then the new leader reassigns only shares that are
+//! released by members that have already stated their holdings.
 //!
-//! A share is a fraction, not a figure: what it comes to follows from the policy under which its holder admits. So a budget
-//! that is lowered is lowered with the policy, and the division goes on as it was.
+//! A share is a fraction of the budget, not a number of units: the holder converts the share to units by the policy
+//! version that it applies. A policy that lowers a budget therefore lowers every share at once, without a new division.
 //!
 //! # Where to start
 //!
-//! [`member::BudgetMember`] is the part of each front end, [`leader::BudgetLeader`] that of the leading voter; they exchange
-//! the types of [`message`]. [`ledger::ShareLedger`] has the arithmetic of the first promise. [`spec`] is a budget,
-//! [`reader`] reads it from a policy.
+//! [`member::BudgetMember`] runs in each front end and [`leader::BudgetLeader`] in the leading voter; they exchange the
+//! types of [`message`]. [`ledger::ShareLedger`] does the arithmetic behind the first guarantee. [`spec`] defines a
+//! budget, and [`reader`] reads budgets from a policy document.
 //!
 //! ```
 //! use beamgap_budgets::leader::{AgreedState, BudgetLeader};
@@ -58,7 +61,7 @@
 //! leader.set_leadership(0.0, true);
 //! let mut member = BudgetMember::new(id, "east", InjectedBug::None);
 //! member.activate(0.0, 1, vec![spec]);
-//! assert!(member.try_acquire(0.0, &[0], |_| 0).is_err(), "it holds no share yet");
+//! assert!(member.try_acquire(0.0, &[0], |_| 0).is_err(), "the member holds no share yet");
 //!
 //! // The first poll is answered with a request to state all holdings, the second with a share.
 //! for sequence in 1..=2 {
@@ -88,5 +91,5 @@
 pub use share::{Share, FULL_SHARE};
 pub use timings::BudgetTimings;
 
-/// Most budgets of a fleet.
+/// Largest number of budgets in one policy.
 pub const MAX_BUDGETS: usize = 256;
--- a/crates/budgets/src/member/held_budget.rs
+++ b/crates/budgets/src/member/held_budget.rs
@@ -1,4 +1,4 @@
-//! One budget as a member holds it: its share, its token bucket and its demand.
+//! A member's state for one budget: its share, its token bucket and its demand.
 
 use crate::message::Holding;
 use crate::spec::{Amount, BudgetSpec};
@@ -6,18 +6,20 @@
 
 /// Time constant of the exponential decay of counted demand, in milliseconds.
 const DEMAND_DECAY_MS: f64 = 500.0;
-/// Most demand that is counted, as a multiple of the whole budget: more could not be used and takes longer to decay.
+/// Upper bound on the counted demand, as a multiple of the whole budget. Demand beyond the budget could not be served,
+/// and a larger count would take longer to decay.
 const MAX_COUNTED_BUDGETS: f64 = 1.25;
-/// Most demand of a concurrency limit that is reported, as a multiple of the whole budget.
+/// Upper bound on the reported demand for a concurrency limit, as a multiple of the whole budget.
 const MAX_REPORTED_BUDGETS: f64 = 2.0;
-/// Demand below this counts as none, in requests.
+/// Counts below this number of requests are rounded down to 0, because exponential decay alone never reaches 0.
 const NEGLIGIBLE_DEMAND: f64 = 0.01;
-/// A demand is reported again when it differs by more than this fraction of the last report.
+/// Relative change of the demand since the last report above which the demand is reported again.
 const REPORT_THRESHOLD: f64 = 0.12;
-/// A demand is reported again only when it differs by more than this, in units.
+/// Absolute change of the demand, in units, up to which the demand is not reported again; applies in addition to
+/// [`REPORT_THRESHOLD`].
 const MIN_REPORT_DIFFERENCE: f64 = 0.3;
 
-/// Counts requests with exponential decay.
+/// A count of recent requests that decays exponentially with the time constant [`DEMAND_DECAY_MS`].
 #[derive(Clone, Debug, PartialEq)]
 struct DecayingCounter {
     count: f64,
@@ -40,7 +42,7 @@
     }
 }
 
-/// Tokens of a rate, refilled by the share that is held.
+/// The token bucket of a rate, refilled in proportion to the member's share.
 #[derive(Clone, Debug, PartialEq)]
 struct TokenBucket {
     tokens: f64,
@@ -49,7 +51,7 @@
     share: Share,
 }
 
-/// What was reported to the leader, in units.
+/// A demand report to the leader, in units.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Report {
     demand: f64,
@@ -61,22 +63,22 @@
     in_use: 0,
 };
 
-/// A budget as this member holds it.
+/// A member's state for one budget.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct HeldBudget {
     pub(super) spec: BudgetSpec,
     pub(super) share: Share,
     pub(super) holds_floor: bool,
     bucket: TokenBucket,
-    /// Requests of late; for a concurrency limit only those that were rejected.
+    /// Recent requests under a rate; recently rejected requests under a concurrency limit.
     counter: DecayingCounter,
     reported: Report,
-    /// What becomes `reported` when the outstanding poll is answered.
+    /// The report in the outstanding poll; becomes `reported` when the poll is answered.
     pending_report: Report,
 }
 
 impl HeldBudget {
-    /// A budget of which nothing is held yet.
+    /// Creates the state for a budget of which the member holds nothing yet.
     pub(super) fn new(spec: BudgetSpec, now: f64) -> HeldBudget {
         HeldBudget {
             spec,
@@ -96,12 +98,13 @@
         }
     }
 
-    /// The same holding under another version of the budget.
+    /// Replaces the definition of the budget and keeps the holding.
     pub(super) fn with_spec(self, spec: BudgetSpec) -> HeldBudget {
         HeldBudget { spec, ..self }
     }
 
-    /// Prepares it for a version that has just been activated: its demand has to be reported again.
+    /// Adapts the state to a policy version that has just been activated: limits the tokens to the new bucket size and
+    /// causes the demand to be reported again.
     pub(super) fn start_version(&mut self) {
         let max_tokens = self.spec.total_units() as f64;
         self.bucket.tokens = self.bucket.tokens.min(max_tokens);
@@ -115,7 +118,7 @@
         matches!(self.spec.amount, Amount::Rate { .. })
     }
 
-    /// Counts one request.
+    /// Adds one request to the counted demand, up to [`MAX_COUNTED_BUDGETS`].
     pub(super) fn count_request(&mut self, now: f64) {
         let max = match self.spec.amount {
             Amount::Rate { per_second, .. } => {
@@ -126,7 +129,7 @@
         self.counter.increment(now, max.max(1.0));
     }
 
-    /// What it could use now, in units.
+    /// The number of units that the member could use now.
     pub(super) fn demand(&self, now: f64, in_use: u64) -> f64 {
         let requests = self.counter.value(now);
         match self.spec.amount {
@@ -139,17 +142,19 @@
         }
     }
 
-    /// The demand that the leader knows of; negative if it knows none.
+    /// The demand last reported to the leader, in units; negative if none was reported since the policy version
+    /// changed.
     pub(super) fn reported_demand(&self) -> f64 {
         self.reported.demand
     }
 
-    /// Refills the bucket by the smaller of the shares available now and at the last refill; what exceeds the share
-    /// now available is lost.
+    /// Refills the bucket for the time since the last refill, at the rate of the smaller of the shares available now
+    /// and at the last refill. Tokens in excess of `max_tokens` are discarded.
     pub(super) fn refill(&mut self, now: f64, share: Share, max_tokens: f64, max_drift: f64) {
         if let Amount::Rate { per_second, .. } = self.spec.amount {
             let fraction = share.min(self.bucket.share).fraction();
-            // A clock that runs fast within the bound measures more time than has passed.
+            // The local clock may run fast by up to `max_drift`, so the measured time is divided by the largest clock
+            // rate.
             let elapsed = (now - self.bucket.refilled_at).max(0.0) / (1.0 + max_drift);
             let refilled = self.bucket.tokens + per_second * fraction * elapsed / 1000.0;
             self.bucket.tokens = refilled.min(max_tokens);
@@ -166,12 +171,13 @@
         self.bucket.tokens -= 1.0;
     }
 
-    /// For an injected bug.
+    /// Sets the number of tokens. Used by an injected bug only.
     pub(super) fn set_tokens(&mut self, tokens: f64) {
         self.bucket.tokens = tokens;
     }
 
-    /// Demand and units in use, if the leader has to learn of them with the next poll.
+    /// Returns the demand and the units in use if the next poll has to report them. `limit` is the number of units of
+    /// the member's share; `states_all` says whether the poll contains a full statement.
     pub(super) fn prepare_report(
         &mut self,
         now: f64,
@@ -203,14 +209,14 @@
         let has_changed =
             difference > (REPORT_THRESHOLD * reported.demand).max(MIN_REPORT_DIFFERENCE);
         let starts_or_ends = (demand == 0.0) != (reported.demand == 0.0);
-        // Units in use beyond the share count at the leader, so that it has to know the exact number.
+        // The leader counts units in use that exceed the member's share, so it needs their exact number.
         let exceeds_limit = in_use > limit || reported.in_use > limit;
         let excess_changed = in_use != reported.in_use && exceeds_limit;
         has_changed || starts_or_ends || excess_changed
     }
 
-    /// Applies a response. `holding` is what the response says of this budget; without it, `complete` says whether
-    /// nothing is held or everything stays as it is.
+    /// Applies a response. `holding` is the response's entry for this budget. Without an entry, the holding is cleared
+    /// if the response is `complete` and stays unchanged otherwise.
     pub(super) fn apply(&mut self, holding: Option<&Holding>, complete: bool) {
         match holding {
             Some(holding) => {
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -1,7 +1,8 @@
-//! The member's side: what each front end holds of the budgets, and its admission by them.
+//! The member's part of the protocol: the shares that a front end holds, and the admission of requests under them.
 //!
-//! A member polls the leader for shares, which expire by themselves, and admits from memory only. All times are
-//! milliseconds of the member's own monotonic clock, which counts suspension.
+//! A member polls the leader to obtain and renew shares, which expire unless renewed, and admits requests from local
+//! state only. All times are in milliseconds of the member's own monotonic clock, which must advance while the machine
+//! is suspended.
 
 mod held_budget;
 mod polling;
@@ -13,31 +14,32 @@
 use held_budget::HeldBudget;
 use thiserror::Error;
 
-/// A poll without a response so far.
+/// A poll that has not been answered yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct OutstandingPoll {
     sequence: u64,
     sent_at: f64,
 }
 
-/// A request was rejected because a budget is exhausted.
+/// The error of a request that was rejected because a budget is exhausted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("budget number {number} is exhausted")]
 pub struct Exhausted {
-    /// The budget's number, as in [`BudgetMember::specs`].
+    /// Number of the first exhausted budget: its position in [`BudgetMember::specs`].
     pub number: usize,
 }
 
-/// How the warming engines' load is split, as one member sees it.
+/// The division of the load on warming engines among the front ends, as seen by one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmingSplit {
-    /// Among how many front ends the load is split, by this member's share; very many if it holds none.
+    /// Number of front ends that the load is divided among: the reciprocal of this member's share, but at least the
+    /// number of present members. Very large if this member holds no share.
     pub members: f64,
-    /// Which of them this member is, from 0.
+    /// Zero-based index of this member among the present members.
     pub index: u64,
 }
 
-/// A member's holdings of all budgets.
+/// A member's holdings and demands in all budgets of the policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetMember {
     id: MemberId,
@@ -50,17 +52,17 @@
     max_drift: f64,
     position: Position,
     applied: Option<AppliedResponse>,
-    /// The epoch of a leader that wants to learn all holdings.
+    /// The epoch of the leader that has requested a full statement of holdings.
     restate_for: Option<Epoch>,
     outstanding: Option<OutstandingPoll>,
     poll_again_after_ms: Option<f64>,
-    /// Responses in a row that moved nothing.
+    /// Number of consecutive responses that changed no holding.
     idle_responses: u32,
     injected_bug: InjectedBug,
 }
 
 impl BudgetMember {
-    /// A member that has just started: it holds nothing.
+    /// Creates a member that has just started and holds no shares.
     pub fn new(id: MemberId, zone: &str, injected_bug: InjectedBug) -> BudgetMember {
         BudgetMember {
             id,
@@ -84,14 +86,16 @@
         }
     }
 
-    /// Admits by the budgets of this policy version from now on. Holdings of budgets whose form is unchanged are kept.
+    /// Activates a policy version: from `now` on, requests are admitted under its budgets. The holding of a budget is
+    /// kept if the new version has a budget of the same name that limits the same resource, as defined by
+    /// [`BudgetSpec::limits_same`].
     pub fn activate(&mut self, now: f64, version: u64, specs: Vec<BudgetSpec>) {
         self.refill_all(now);
         let mut earlier = std::mem::take(&mut self.budgets);
         for spec in specs {
-            let is_kept =
+            let is_same =
                 |held: &HeldBudget| held.spec.name == spec.name && held.spec.limits_same(&spec);
-            let mut budget = match earlier.iter().position(is_kept) {
+            let mut budget = match earlier.iter().position(is_same) {
                 Some(index) => earlier.swap_remove(index).with_spec(spec),
                 None => HeldBudget::new(spec, now),
             };
@@ -102,17 +106,17 @@
         self.refill_all(now);
     }
 
-    /// Whether there is no budget.
+    /// Whether the active policy version has no budgets.
     pub fn is_empty(&self) -> bool {
         self.budgets.is_empty()
     }
 
-    /// The budgets in use. Their positions are the numbers that other functions take.
+    /// The budgets of the active policy version. Other functions identify a budget by its position in this sequence.
     pub fn specs(&self) -> impl Iterator<Item = &BudgetSpec> + '_ {
         self.budgets.iter().map(|budget| &budget.spec)
     }
 
-    /// The numbers of the budgets of a resource that limit requests of this class and account.
+    /// Returns the numbers of the budgets that limit `resource` and apply to requests of this class and account.
     pub fn applicable(&self, resource: Resource, class: &str, account: Option<&str>) -> Vec<usize> {
         let applies =
             |spec: &BudgetSpec| spec.resource == resource && spec.applies_to(class, account);
@@ -123,12 +127,12 @@
             .collect()
     }
 
-    /// From now on it demands nothing more, so that the leader moves its shares to others.
+    /// Starts draining: further polls tell the leader to move the member's shares to other members.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// The share of a budget that it may use now.
+    /// The share of a budget that the member may use now: its share and its floor, each unless it has expired.
     pub fn share(&self, number: usize, now: f64) -> Share {
         let Some(budget) = self.budgets.get(number) else {
             return Share::ZERO;
@@ -143,14 +147,15 @@
         share
     }
 
-    /// What [`BudgetMember::share`] comes to in whole units: the size of its bucket, or the most that it may have in use.
+    /// [`BudgetMember::share`] in whole units: the bucket size of a rate, or the largest number of units in use of a
+    /// concurrency limit.
     pub fn unit_limit(&self, number: usize, now: f64) -> u64 {
         let limit =
             |budget: &HeldBudget| self.share(number, now).to_units(budget.spec.total_units());
         self.budgets.get(number).map_or(0, limit)
     }
 
-    /// How a budget of [`Resource::WarmingEngines`] is split.
+    /// The division of a budget of [`Resource::WarmingEngines`] among the front ends.
     pub fn warming_split(&self, number: usize, now: f64) -> WarmingSplit {
         let share = self.share(number, now).max(Share::from_parts(1));
         let by_share = crate::FULL_SHARE.parts() as f64 / share.parts() as f64;
@@ -160,12 +165,13 @@
         }
     }
 
-    /// Admits one request under all of these budgets and takes a token from each rate. `in_use` gives the units in use of
-    /// a concurrency limit. The request counts as demand even if it is rejected.
+    /// Admits one request under all the budgets in `numbers` and consumes one token of each rate. `in_use` returns the
+    /// number of units in use of a concurrency limit, which the caller counts. A rejected request counts as demand,
+    /// too.
     ///
     /// # Errors
     ///
-    /// The first budget that is exhausted; nothing is taken then.
+    /// Returns [`Exhausted`] with the number of the first exhausted budget. No token is consumed in that case.
     pub fn try_acquire(
         &mut self,
         now: f64,
@@ -191,7 +197,7 @@
         Ok(())
     }
 
-    /// Counts a request and says whether one budget could admit it.
+    /// Returns whether one budget has capacity for a request, and counts the request as demand.
     fn has_capacity(&mut self, now: f64, number: usize, in_use: &impl Fn(usize) -> u64) -> bool {
         self.refill(number, now);
         let limit = self.unit_limit(number, now);
--- a/crates/budgets/src/member/polling.rs
+++ b/crates/budgets/src/member/polling.rs
@@ -1,4 +1,4 @@
-//! Polls: what a member asks the leader for, how it applies the response, and when it polls again.
+//! A member's polls of the leader: building the request, applying the response, and the delay before the next poll.
 
 use super::held_budget::HeldBudget;
 use super::{BudgetMember, OutstandingPoll};
@@ -7,21 +7,23 @@
 use crate::{BudgetTimings, InjectedBug, Share};
 use beamgap_fleet_types::clock;
 
-/// Growth of the poll interval with each response that moves nothing.
+/// Factor by which the poll delay grows with each consecutive response that changes no holding.
 const BACKOFF_FACTOR: f64 = 1.25;
-/// Most responses that lengthen the interval.
+/// Number of consecutive responses without a change after which the poll delay stops growing.
 const MAX_BACKOFF_STEPS: u32 = 12;
-/// Delay of a poll that states all holdings, in milliseconds.
+/// Delay in milliseconds before a poll with a full statement that the leader has requested.
 const RESTATE_DELAY_MS: f64 = 10.0;
-/// Delay of a poll when far more is demanded than is held, in milliseconds.
+/// Delay in milliseconds before a poll when the demand has risen far above the last report and exceeds the member's
+/// share.
 const RISING_DEMAND_DELAY_MS: f64 = 30.0;
-/// Delay of a poll while no response has been applied, in milliseconds.
+/// Delay in milliseconds before a poll while the member has no applied response that is still valid.
 const NOTHING_APPLIED_DELAY_MS: f64 = 60.0;
-/// Delay of a poll when far less is demanded than was reported, in milliseconds.
+/// Delay in milliseconds before a poll when the demand for a rate has fallen far below the last report.
 const FALLING_DEMAND_DELAY_MS: f64 = 150.0;
 
 impl BudgetMember {
-    /// The next request to the leader. `sequence` has to grow; `in_use` gives the units in use of a concurrency limit.
+    /// Builds the next request to the leader, which becomes the outstanding poll. `sequence` must increase with each
+    /// request; `in_use` returns the number of units in use of a concurrency limit.
     pub fn poll_request(
         &mut self,
         now: f64,
@@ -51,7 +53,8 @@
         }
     }
 
-    /// What has expired is held no more, whatever is answered later.
+    /// Clears shares and floors that have expired, so that the request does not state them and a later response does
+    /// not renew them.
     fn drop_expired(&mut self, now: f64) {
         if now >= self.shares_expire_at && !self.ignores_expiry() {
             for budget in &mut self.budgets {
@@ -98,7 +101,7 @@
         reports
     }
 
-    /// Handles a response. One that does not answer the outstanding poll is ignored.
+    /// Handles a response. A response that does not answer the outstanding poll is ignored.
     pub fn handle_response(&mut self, now: f64, response: PollResponse) {
         let is_answered = |poll: &mut OutstandingPoll| poll.sequence == response.sequence;
         let Some(poll) = self.outstanding.take_if(is_answered) else {
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Takes on holdings that were requested at that time.
+    /// Applies the holdings in a response. Their lifetimes are counted from `requested_at`, when the poll was sent.
     fn apply(&mut self, response: &PollResponse, timings: &BudgetTimings, requested_at: f64) {
         for budget in &mut self.budgets {
             let holding = response
@@ -136,14 +139,16 @@
         });
         self.max_drift = timings.max_drift;
         self.position = response.position;
-        // Polls are sent one after the other, so that a response never shortens what an earlier one granted.
+        // Only the response to the latest poll is applied, so a response never shortens the expiry set by an earlier
+        // one.
         self.shares_expire_at =
             requested_at + clock::usable_for(timings.share_ms, timings.max_drift);
         self.floors_expire_at =
             requested_at + clock::usable_for(timings.floor_ms, timings.max_drift);
     }
 
-    /// Polls ever more rarely while it waits for something that has to expire first.
+    /// Lengthens the poll delay exponentially while responses change nothing, as when a target becomes free only after
+    /// another member's share has expired.
     fn back_off(&mut self, response: &PollResponse) {
         if response.holdings.is_empty() {
             self.idle_responses = (self.idle_responses + 1).min(MAX_BACKOFF_STEPS);
@@ -154,7 +159,8 @@
         self.poll_again_after_ms = response.poll_again_after_ms.map(|ms| ms * factor);
     }
 
-    /// The leader of this epoch, if there is one, knows too little of what is held here.
+    /// Prepares a full statement for the leader of `epoch`, which could not derive this member's holdings. The default
+    /// epoch means that the responder is not the leader; then no statement is prepared.
     fn prepare_restatement(&mut self, epoch: Epoch) {
         if epoch == Epoch::default() {
             self.restate_for = None;
@@ -165,8 +171,9 @@
         }
     }
 
-    /// In how many milliseconds after the last response the next poll should follow, if sooner than usual: shares are
-    /// being moved, or the demand differs from what the leader knows.
+    /// Delay in milliseconds between the last response and the next poll, if the poll should be earlier than usual:
+    /// because shares are being moved, the leader has requested a full statement, no response is in force, or the
+    /// demand differs much from the last report.
     pub fn wants_early_poll(&self, now: f64) -> Option<f64> {
         if self.budgets.is_empty() {
             return None;
@@ -183,10 +190,10 @@
             demand_rises |= demand > 2.0 * reported + 1.0 && demand > limit;
             demand_falls |= budget.is_rate() && demand < 0.7 * reported - 1.0 && limit > demand;
         }
-        let knows_nothing = self.applied.is_none() && self.restate_for.is_none();
+        let has_no_response = self.applied.is_none() && self.restate_for.is_none();
         if demand_rises {
             Some(RISING_DEMAND_DELAY_MS)
-        } else if knows_nothing {
+        } else if has_no_response {
             Some(NOTHING_APPLIED_DELAY_MS)
         } else if demand_falls {
             Some(FALLING_DEMAND_DELAY_MS)
@@ -195,7 +202,7 @@
         }
     }
 
-    /// Wrong on purpose: a share that arrives brings its full burst with it.
+    /// Injected bug: fills the token buckets of all budgets whose holdings were just received.
     fn fill_buckets(&mut self, now: f64, holdings: &[Holding]) {
         for number in 0..self.budgets.len() {
             let max_tokens = self.unit_limit(number, now) as f64;
--- a/crates/budgets/src/message.rs
+++ b/crates/budgets/src/message.rs
@@ -1,133 +1,136 @@
 //! Messages between a member and the leader.
 //!
-//! They are serialized positionally: the order of fields is part of the protocol.
+//! Messages are serialized by position, without field names: the order of the fields is part of the protocol.
 
 use crate::{BudgetTimings, Share};
 use beamgap_fleet_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Identifies what a leader knows: statements and responses count only within one epoch.
+/// Identifies a period of one leadership. Statements of holdings and responses are valid only in the epoch that they
+/// name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// Differs for each leadership.
+    /// A number that differs between any two leaderships in the fleet.
     pub leadership: u64,
-    /// How often in this leadership all members were to state their holdings anew.
+    /// How many times during this leadership the leader has required all members to state their holdings again.
     pub restatement: u64,
 }
 
-/// What a member holds of one budget.
+/// The part of one budget that a member holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Holding {
     /// The budget's name.
     pub budget: String,
-    /// The share that is held.
+    /// The member's share, not counting its floor.
     pub share: Share,
-    /// Whether the floor is held, too.
+    /// Whether the member holds its floor in addition to the share.
     pub holds_floor: bool,
 }
 
-/// Names a response that a member has applied.
+/// Identifies a response that a member has applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AppliedResponse {
     /// The epoch of the response.
     pub epoch: Epoch,
-    /// The request that it answered.
+    /// The sequence number of the request that the response answered.
     pub sequence: u64,
 }
 
-/// All that a member holds.
+/// A statement of all holdings of a member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FullStatement {
-    /// The epoch that it is stated for.
+    /// The leader's epoch for which the holdings are stated.
     pub epoch: Epoch,
-    /// All holdings; a budget that is missing is not held.
+    /// All holdings. The member holds nothing of a budget that is missing here.
     pub holdings: Vec<Holding>,
 }
 
-/// What a member could use of one budget, and what it has in use.
+/// A member's demand for one budget, and the number of units it has in use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandReport {
     /// The budget's name.
     pub budget: String,
-    /// What it could use now, in units.
+    /// Units that the member could use now.
     pub demand: f64,
-    /// What it has in use, in units; 0 for a rate.
+    /// Units that the member has in use; 0 for a rate.
     pub in_use: u64,
 }
 
-/// A member's request to the leader: what it holds and what it could use.
+/// A member's poll of the leader, with the member's holdings and demands.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// Who asks.
+    /// The member that sends the request.
     pub member: MemberId,
-    /// Grows with each request of this incarnation.
+    /// Sequence number; increases with each request of this incarnation.
     pub sequence: u64,
-    /// The version of the policy that it admits under.
+    /// The policy version under which the member admits requests.
     pub version: u64,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// Whether it is draining: it wants nothing more.
+    /// Whether the member is draining. A draining member releases its shares and receives no new ones.
     pub draining: bool,
-    /// The last response that it has applied.
+    /// The last response that the member has applied.
     pub applied: Option<AppliedResponse>,
-    /// All that it holds, if it was asked to state that.
+    /// All holdings of the member, if the leader has requested a full statement.
     pub full_statement: Option<FullStatement>,
-    /// Demand of those budgets where it has changed.
+    /// Demand reports for those budgets whose demand or units in use have changed since the last report.
     pub demands: Vec<DemandReport>,
 }
 
-/// The position of a member among those that are present, ordered by [`MemberId`].
+/// The position of a member in the list of present members, sorted by [`MemberId`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Position {
-    /// From 0.
+    /// Zero-based index of the member.
     pub index: u64,
-    /// How many members are present.
+    /// Number of members that are present.
     pub members: u64,
 }
 
-/// The leader's response.
+/// The response to a member's poll.
 ///
-/// The default stands for "not the leader, or the member is not known".
+/// The default value means that the receiver of the poll is not the leader, or that the member is not known to the
+/// fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PollResponse {
     /// The leader's epoch.
     pub epoch: Epoch,
-    /// The request that it answers.
+    /// The sequence number of the request that the response answers.
     pub sequence: u64,
-    /// Whether all that the member holds is renewed from when it asked. If not, it has to state all that it holds.
+    /// Whether all holdings of the member are renewed, counted from when it sent the poll. If `false`, the member has
+    /// to send a full statement of its holdings with the next poll.
     pub renewed: bool,
-    /// Whether `holdings` is all that it holds; if not, budgets that are missing stay as they are.
+    /// Whether `holdings` lists all budgets. If `false`, the holdings of budgets that are not listed are unchanged.
     pub complete: bool,
-    /// What it holds from now on.
+    /// The holdings that replace the member's previous ones.
     pub holdings: Vec<Holding>,
-    /// The fleet's timings.
+    /// The fleet's timings; `None` in a response that renews nothing.
     pub timings: Option<BudgetTimings>,
-    /// The member's position among those that are present.
+    /// The member's position among the members that are present.
     pub position: Position,
-    /// Poll again after so many milliseconds, as shares are being moved.
+    /// Delay before the next poll, in milliseconds, while shares are being moved; `None` for the usual poll interval.
     pub poll_again_after_ms: Option<f64>,
 }
 
-/// How a budget is divided, for operators.
+/// The division of one budget among the members, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Its name.
+    /// Name of the budget.
     pub name: String,
-    /// What it limits, in a line.
+    /// One-line description of the budget.
     pub description: String,
-    /// Fraction of the budget that may be held by incarnations that have stated nothing to this leader.
+    /// Fraction of the budget that incarnations may hold without having stated their holdings to this leader.
     pub unknown: f64,
-    /// The members that hold something.
+    /// The members that the leader has an entry for.
     pub members: Vec<MemberShare>,
 }
 
-/// What one member has of a budget, for operators.
+/// One member's part of a budget, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberShare {
-    /// The member.
+    /// Name and incarnation of the member.
     pub member: MemberId,
-    /// Fraction of the budget that it may use.
+    /// Fraction of the budget that the member was granted, including its floor.
     pub share: f64,
-    /// Fraction of the budget that it could use.
+    /// The member's reported demand as a fraction of the budget; may exceed 1.
     pub demand: f64,
 }
--- a/crates/budgets/src/reader.rs
+++ b/crates/budgets/src/reader.rs
@@ -1,6 +1,6 @@
 //! Reads budgets from a policy document.
 //!
-//! The keys of a `budget` block are the operators': they are mapped to [`BudgetSpec`] here and nowhere else.
+//! This module alone maps the keys of a `budget` block, as operators write them, to the fields of [`BudgetSpec`].
 //!
 //! | key | field |
 //! | --- | --- |
@@ -18,17 +18,19 @@
 use beamgap_config::{Document, Place, Problem, Value};
 use std::collections::BTreeMap;
 
-/// Units that the load of warming engines is divided in: fine enough for any number of front ends.
+/// Number of units that the load on warming engines is divided into. With a million units, rounding to whole units does
+/// not matter for any realistic number of front ends.
 const WARMING_UNITS: u64 = 1_000_000;
-/// Largest fraction that floors may reserve.
+/// Largest fraction of a budget that floors may reserve. Floors are not reallocated, so at least half of the budget
+/// remains to be allocated by demand.
 const MAX_FLOOR: f64 = 0.5;
-/// Longest name of a budget, in bytes.
+/// Maximum length of the name of a budget, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
 
-/// The keys of one block.
+/// The keys and values of one `budget` or `weight` block.
 type Keys = BTreeMap<String, Value>;
 
-/// The schema of `budget` blocks in a policy.
+/// Returns the schema of `budget` blocks in a policy document.
 pub fn schema() -> Block {
     let count = |least, most| Shape::Count { least, most };
     let weight = Block {
@@ -75,11 +77,12 @@
     }
 }
 
-/// Reads the budgets of a policy whose schema contains [`schema`], in the order of their names.
+/// Reads the budgets of a policy document that was parsed with a schema that contains [`schema`]. The budgets are
+/// returned in the order of their names.
 ///
 /// # Errors
 ///
-/// All problems that were found, each with its place, its key and a fix.
+/// Returns the first problem of each invalid block, with its line and column, the key and advice on how to correct it.
 pub fn read(document: &Document) -> Result<Vec<BudgetSpec>, Vec<Problem>> {
     let Value::Map(root) = &document.root else {
         return Ok(Vec::new());
@@ -108,7 +111,7 @@
     }
 }
 
-/// An error with its place in the document.
+/// Adds to an error the line and column of the key, or of the block if the key is missing.
 fn problem(document: &Document, index: usize, name: &str, error: BudgetError) -> Problem {
     let key = error.key();
     let block_path = format!("budgets[{index}]");
--- a/crates/budgets/src/spec.rs
+++ b/crates/budgets/src/spec.rs
@@ -1,28 +1,31 @@
-//! A budget as the fleet agrees on it.
+//! Definition of a budget, as agreed on by the fleet in a policy version.
 
 use crate::{Share, FULL_SHARE};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a budget limits.
+/// The resource that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Resource {
-    /// Requests that arrive: a rate.
+    /// Arriving requests, limited by a rate.
     Requests,
-    /// Attempts beyond a request's first: a rate, beside each front end's own retry budget.
+    /// Retries, that is attempts after the first of a request, limited by a rate in addition to each front end's own
+    /// retry budget.
     Retries,
-    /// Requests in flight: a concurrency limit.
+    /// Requests in flight, limited by a concurrency limit.
     OpenRequests,
-    /// Connections to each engine: a concurrency limit, divided alike for all engines.
+    /// Connections to one engine, limited by a concurrency limit. Every engine has the same limit, and the limits of
+    /// all engines are divided among the members in the same proportions.
     Connections,
-    /// The load that an engine which warms up bears, as the settings state it: divided among the front ends present.
+    /// Load on engines that are warming up. The settings define how much load a warming engine accepts; the budget
+    /// divides this load among the front ends that are present.
     WarmingEngines,
 }
 
-/// How much a budget allows.
+/// The amount that a budget allows.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Amount {
-    /// A token bucket.
+    /// A rate, enforced by token buckets.
     Rate {
         /// Tokens per second.
         per_second: f64,
@@ -31,9 +34,10 @@
     },
     /// A limit on units in use at the same time.
     Concurrency {
-        /// Most units in use.
+        /// Largest number of units in use at the same time, over all members.
         max: u64,
-        /// Longest time that one unit is in use, in milliseconds.
+        /// Longest time for which one unit stays in use, in milliseconds. The leader counts the units of a dead member
+        /// for this long after the member's share has expired.
         max_duration_ms: f64,
     },
 }
@@ -41,26 +45,28 @@
 /// A budget of the whole fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetSpec {
-    /// Its name.
+    /// Name of the budget, unique within a policy.
     pub name: String,
-    /// What it limits.
+    /// The resource that the budget limits.
     pub resource: Resource,
-    /// Limits only this account; all of them if none is named.
+    /// The account that the budget applies to; `None` for all accounts.
     pub account: Option<String>,
-    /// Limits only this class; all of them if none is named.
+    /// The request class that the budget applies to; `None` for all classes.
     pub class: Option<String>,
-    /// How much it allows.
+    /// The amount that the budget allows.
     pub amount: Amount,
-    /// Fraction, from 0 to 1, reserved in equal floors for members that can't reach a leader.
+    /// Fraction of the budget, from 0 to 1, that is reserved in equal floors. A member that can't reach a leader admits
+    /// requests under its floor until its admission lease expires.
     pub floor: f64,
-    /// How many members the floors are reserved for.
+    /// Number of members that floors are reserved for; 0 if the budget has no floors.
     pub max_members: u64,
-    /// Weights by member or by zone; 1 where none is given.
+    /// Allocation weights by name of a member or of a zone; the weight is 1 where none is given.
     pub weights: BTreeMap<String, f64>,
 }
 
 impl BudgetSpec {
-    /// The units that it is divided in: the size of the bucket, or the most units in use.
+    /// Number of units that are divided among the members: the bucket size of a rate, or the maximum of a concurrency
+    /// limit.
     pub fn total_units(&self) -> u64 {
         match self.amount {
             Amount::Rate { burst, .. } => burst,
@@ -68,7 +74,7 @@
         }
     }
 
-    /// The floor of one member.
+    /// The floor of one member, as a share of the budget.
     pub fn floor_share(&self) -> Share {
         if self.max_members == 0 {
             return Share::ZERO;
@@ -78,12 +84,13 @@
         Share::from_parts(parts as u64)
     }
 
-    /// What is left beside all floors, to be divided by demand.
+    /// The part of the budget that is not reserved for floors and is allocated by demand.
     pub fn allocatable_share(&self) -> Share {
         Share::from_parts(FULL_SHARE.parts() - self.floor_share().parts() * self.max_members)
     }
 
-    /// How long something may be in use after the share that admitted it has expired, in milliseconds.
+    /// Longest time in milliseconds for which a unit may stay in use after the share under which it was admitted has
+    /// expired. 0 for a rate, whose tokens are consumed at admission.
     pub fn outlives_share_ms(&self) -> f64 {
         match self.amount {
             Amount::Rate { .. } => 0.0,
@@ -93,13 +100,13 @@
         }
     }
 
-    /// The weight of a member.
+    /// The allocation weight of a member: the weight under the member's name, else that of its zone, else 1.
     pub fn weight(&self, member: &str, zone: &str) -> f64 {
         let weight = self.weights.get(member).or(self.weights.get(zone));
         weight.copied().unwrap_or(1.0)
     }
 
-    /// Whether it limits requests of this class and account.
+    /// Whether the budget applies to requests of this class and account.
     pub fn applies_to(&self, class: &str, account: Option<&str>) -> bool {
         let class_fits = self.class.as_deref().is_none_or(|name| name == class);
         class_fits
@@ -109,7 +116,8 @@
                 .is_none_or(|name| Some(name) == account)
     }
 
-    /// Whether it limits the same thing in the same form as `other`, whatever the figures.
+    /// Whether shares of this budget are also valid for `other`: both limit the same resource, account and class by the
+    /// same kind of amount and have equal floors. The amounts may differ, because shares are fractions.
     pub fn limits_same(&self, other: &BudgetSpec) -> bool {
         let is_rate = |spec: &BudgetSpec| matches!(spec.amount, Amount::Rate { .. });
         self.resource == other.resource
@@ -120,7 +128,7 @@
             && self.max_members == other.max_members
     }
 
-    /// What it limits in a line, for operators and for a comparison of two policies.
+    /// One-line description of the budget, shown to operators and in a comparison of two policies.
     pub fn description(&self) -> String {
         let resource = match self.resource {
             Resource::Requests => "requests",
--- a/crates/budgets/src/timings.rs
+++ b/crates/budgets/src/timings.rs
@@ -1,22 +1,22 @@
-//! How long shares last.
+//! Lifetimes of shares and floors.
 
 use serde::{Deserialize, Serialize};
 
-/// The fleet's timings that bear on budgets.
+/// The timings that the members and the leader of a fleet use for budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetTimings {
-    /// How long a share lasts from when it was requested, in milliseconds.
+    /// Lifetime of a share in milliseconds, counted from when the member sent the poll that requested or renewed it.
     pub share_ms: f64,
-    /// How long a floor lasts, in milliseconds: as long as its holder's admission lease.
+    /// Lifetime of a floor in milliseconds, counted like that of a share and as long as the holder's admission lease.
     pub floor_ms: f64,
-    /// Bound on clock drift, a fraction from 0 to 1.
+    /// Bound on clock drift: the largest relative error in the rate of a clock, a fraction from 0 to 1.
     pub max_drift: f64,
 }
 
 impl BudgetTimings {
-    /// The timings for an admission lease of this length.
+    /// The timings for an admission lease of `lease_ms` milliseconds and a drift bound of `max_drift`, a fraction.
     ///
-    /// A share lasts half of the lease, so that shares outlast a change of leaders; a floor lasts to the lease's end.
+    /// Shares last half of the lease, long enough to outlast a change of leaders. Floors last as long as the lease.
     pub fn for_lease(lease_ms: f64, max_drift: f64) -> BudgetTimings {
         BudgetTimings {
             share_ms: lease_ms / 2.0,
