--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -1,7 +1,7 @@
 //! Weighted max-min fair allocation of a budget's units.
 //!
-//! The fractional allocation is progressive filling (Bertsekas and Gallager, "Data Networks", 1992, section 6.5.2);
-//! it is then rounded to whole units.
+//! The fractional allocation is progressive filling (Bertsekas and Gallager,
+//! "Data Networks", 1992, section 6.5.2); it is then rounded to whole units.
 
 use std::cmp::{Ordering, Reverse};
 
@@ -24,12 +24,12 @@
 /// Allocates `total` units among members; the result is in the order of `demands` and sums to `total`.
 ///
 /// - A member whose demand exceeds its fair share gains nothing by a still larger demand.
-/// - Units beyond the total demand are spread by weight, so that an idle member can admit requests as soon as they
-///   arrive.
-/// - Units that remain after rounding down are allocated one each: first by unmet demand, then by the fraction that was
-///   cut off, then in the order of `demands`.
-/// - Every member with demand is allocated at least one unit, provided that `total` is at least the number of such
-///   members.
+/// - Units beyond the total demand are spread by weight, so that
+///   an idle member can admit requests as soon as they arrive.
+/// - Units that remain after rounding down are allocated one each: first by unmet
+///   demand, then by the fraction that was cut off, then in the order of `demands`.
+/// - Every member with demand is allocated at least one unit,
+///   provided that `total` is at least the number of such members.
 ///
 /// The result is empty if there are no members.
 pub fn allocate(demands: &[Demand], total: u64) -> Vec<u64> {
--- a/crates/budgets/src/leader/division.rs
+++ b/crates/budgets/src/leader/division.rs
@@ -8,11 +8,11 @@
 use beamgap_fleet_types::{clock, MemberId};
 use std::collections::BTreeMap;
 
-/// Minimum interval between two allocations of a budget, in milliseconds. A poll of a member without a target causes an
-/// allocation sooner.
+/// Minimum interval between two allocations of a budget, in milliseconds.
+/// A poll of a member without a target causes an allocation sooner.
 const MIN_ALLOCATION_INTERVAL_MS: f64 = 120.0;
-/// Factor applied to a member's reported demand before allocation, so that moderate growth of the demand is covered
-/// before the member reports it.
+/// Factor applied to a member's reported demand before allocation, so that
+/// moderate growth of the demand is covered before the member reports it.
 const DEMAND_HEADROOM: f64 = 1.15;
 /// Units added to a member's demand after it was multiplied by [`DEMAND_HEADROOM`].
 const EXTRA_DEMAND_UNITS: f64 = 0.5;
@@ -43,7 +43,7 @@
 impl ExpiryRules {
     /// Time in milliseconds, by any clock within the drift bound, after which a grant with a lifetime of `length_ms`
     /// has expired and no unit admitted under the grant is still in use.
-    fn ended_after(&self, spec: &BudgetSpec, length_ms: f64) -> f64 {
+    fn ended_after_ms(&self, spec: &BudgetSpec, length_ms: f64) -> f64 {
         let max_drift = self.timings.max_drift;
         let outlives_ms = match self.injected_bug {
             InjectedBug::DeadMemberUsageForgotten => 0.0,
@@ -87,9 +87,9 @@
 }
 
 impl BudgetDivision {
-    /// Creates a division without any record of holdings: any part of the budget may have been granted until the time
-    /// `granted_until`. `replaces_incompatible` says whether members may hold shares of an incompatible earlier version
-    /// of the budget.
+    /// Creates a division without any record of holdings: any part of the budget may
+    /// have been granted until the time `granted_until`. `replaces_incompatible` says
+    /// whether members may hold shares of an incompatible earlier version of the budget.
     pub(super) fn new(
         spec: &BudgetSpec,
         granted_until: f64,
@@ -105,7 +105,7 @@
         };
         let unknown_expires_at = |length_ms| match rules.injected_bug {
             InjectedBug::NewLeaderDoesNotWait => f64::NEG_INFINITY,
-            _ => granted_until + rules.ended_after(spec, length_ms),
+            _ => granted_until + rules.ended_after_ms(spec, length_ms),
         };
         let usage_ends_before_removal =
             spec.outlives_share_ms() < MEMBER_RETENTION_LEASES * timings.floor_ms;
@@ -135,8 +135,8 @@
         self.needs_allocation = true;
     }
 
-    /// Frees shares and floors that have expired. `all_have_stated` says whether every member in the fleet's list has
-    /// stated its holdings in the current epoch.
+    /// Frees shares and floors that have expired. `all_have_stated` says whether
+    /// every member in the fleet's list has stated its holdings in the current epoch.
     pub(super) fn expire(&mut self, now: f64, all_have_stated: bool) {
         let free_before = (self.shares.free(), self.floors.free());
         let all_known = all_have_stated && self.statements_are_exhaustive;
@@ -166,15 +166,17 @@
         stated: &StatedHoldings,
         rules: &ExpiryRules,
     ) {
-        let share_expires_at = now + rules.ended_after(&self.spec, rules.timings.share_ms);
-        let floor_expires_at = now + rules.ended_after(&self.spec, rules.timings.floor_ms);
+        let share_expires_at = now + rules.ended_after_ms(&self.spec, rules.timings.share_ms);
+        let floor_expires_at = now + rules.ended_after_ms(&self.spec, rules.timings.floor_ms);
         match stated {
             StatedHoldings::Complete(holdings) => {
                 let holding = holdings.get(&self.spec.name);
                 let share = holding.map_or(Share::ZERO, |holding| holding.share);
                 let floors = holding.map_or(0, |holding| u64::from(holding.holds_floor));
-                self.shares.state(member, share.parts(), share_expires_at);
-                self.floors.state(member, floors, floor_expires_at);
+                self.shares
+                    .record_statement(member, share.parts(), share_expires_at);
+                self.floors
+                    .record_statement(member, floors, floor_expires_at);
                 self.needs_allocation = true;
             }
             StatedHoldings::LastResponseApplied => {
@@ -211,8 +213,8 @@
             && (!has_target || now - self.allocated_at >= MIN_ALLOCATION_INTERVAL_MS)
     }
 
-    /// Computes the targets of all participants from their demands, and drops the demands of members for which
-    /// `is_known` returns false.
+    /// Computes the targets of all participants from their demands, and
+    /// drops the demands of members for which `is_known` returns false.
     pub(super) fn allocate(
         &mut self,
         now: f64,
@@ -227,7 +229,7 @@
             .map(|member| self.demand_of(member))
             .collect();
         // Targets are whole units, because a fraction of a unit admits no request.
-        let allocatable = self.spec.allocatable_share().to_units_floor(total);
+        let allocatable = self.spec.allocatable_share().to_units_rounded_down(total);
         let units = allocate(&demands, allocatable);
         self.targets = participants
             .iter()
--- a/crates/budgets/src/leader/member_status.rs
+++ b/crates/budgets/src/leader/member_status.rs
@@ -1,4 +1,4 @@
-//! The leader's record of one member.
+//! The leader's record of one member's polls.
 
 use super::division::StatedHoldings;
 use crate::message::{Epoch, PollRequest};
--- a/crates/budgets/src/leader/mod.rs
+++ b/crates/budgets/src/leader/mod.rs
@@ -1,9 +1,9 @@
 //! The leader's part of the protocol: tracks the holdings and demand of each member, and moves shares among members.
 //!
-//! A member's poll names the last response that the member has applied. From this the leader derives the member's
-//! holdings in all budgets, so that a poll stays small with many budgets. If the leader can't derive the holdings, as
-//! after a change of leaders, it requests a full statement. All times are in milliseconds of the leader's own monotonic
-//! clock.
+//! A member's poll names the last response that the member has applied. From this the leader
+//! derives the member's holdings in all budgets, so that a poll stays small with many budgets.
+//! If the leader can't derive the holdings, as after a change of leaders, it requests a full
+//! statement. All times are in milliseconds of the leader's own monotonic clock.
 
 mod division;
 mod member_status;
@@ -21,8 +21,8 @@
 const MOVING_POLL_INTERVAL_MS: f64 = 40.0;
 /// Minimum interval in milliseconds between two checks for expired shares by [`BudgetLeader::tick`].
 const MIN_TICK_INTERVAL_MS: f64 = 20.0;
-/// For this many milliseconds after a silent member's shares have expired, each check for expired shares triggers a new
-/// allocation. Several checks fall into this period, so that the expiry is not missed.
+/// For this many milliseconds after the shares of a member that stopped polling have expired, each check for expired
+/// shares triggers a new allocation. Several checks fall into this period, so that the expiry is not missed.
 const SILENCE_NOTICE_MS: f64 = 60.0;
 /// Multiplier for the count of leaderships, 2^64 divided by the golden ratio. It spreads consecutive counts over 64
 /// bits, so that the epochs of one process differ.
@@ -31,9 +31,9 @@
 /// The state that the fleet has agreed on, as applied by the leader from the replicated log.
 #[derive(Clone, Copy, Debug)]
 pub struct AgreedState<'a> {
-    /// The policy version in force.
+    /// The policy version that is in force in the fleet.
     pub version: u64,
-    /// The budgets of this version.
+    /// The budgets that this policy version defines.
     pub specs: &'a [BudgetSpec],
     /// The members that may hold shares. Only the keys of the map are used here.
     pub members: &'a BTreeMap<MemberId, u64>,
@@ -55,8 +55,8 @@
 }
 
 impl BudgetLeader {
-    /// Creates an instance that does not hold the leadership yet. The seed determines the epochs and must differ from
-    /// that of every other process in the fleet.
+    /// Creates an instance that does not hold the leadership yet. The seed determines
+    /// the epochs and must differ from that of every other process in the fleet.
     pub fn new(seed: u64, timings: BudgetTimings, injected_bug: InjectedBug) -> BudgetLeader {
         BudgetLeader {
             seed,
@@ -112,8 +112,8 @@
         self.expire(now, agreed.members);
     }
 
-    /// Handles a member's poll and returns the response. The caller must read `agreed` from the replicated state after
-    /// the request has arrived.
+    /// Handles a member's poll and returns the response. The caller must read
+    /// `agreed` from the replicated state after the request has arrived.
     pub fn handle_poll(
         &mut self,
         now: f64,
@@ -159,8 +159,8 @@
         if self.version == Some(agreed.version) {
             return;
         }
-        // Earlier leaders granted shares until this leadership began. Under a later version, this leader may have
-        // granted shares until now.
+        // Earlier leaders granted shares until this leadership began. Under
+        // a later version, this leader may have granted shares until now.
         let granted_until = match self.version {
             None => self.leader_since.unwrap_or(now),
             Some(_) => now,
@@ -187,8 +187,8 @@
         self.version = Some(agreed.version);
     }
 
-    /// Records a poll. Returns `None` if the poll is out of order, if it was sent under another policy version, or if
-    /// it does not determine the member's holdings.
+    /// Records a poll. Returns `None` if the poll is out of order, if it was sent under
+    /// another policy version, or if it does not determine the member's holdings.
     fn accept_poll(
         &mut self,
         now: f64,
@@ -241,8 +241,8 @@
             .values()
             .all(|division| division.has_entry(id))
         {
-            // The member was silent until its entry in a ledger expired. It has to send a full statement, which says
-            // that it holds nothing any more.
+            // The member was silent until its entry in a ledger expired. It has to
+            // send a full statement, which says that it holds nothing any more.
             member.stated_in = None;
             return None;
         }
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Records a member's holdings and demands. In a poll with a full statement, a budget without a report has no
-    /// demand.
+    /// Records a member's holdings and demands. In a poll with a
+    /// full statement, a budget without a report has no demand.
     fn renew(&mut self, now: f64, request: &PollRequest, stated: &StatedHoldings) {
         let rules = self.expiry_rules();
         let is_complete = matches!(stated, StatedHoldings::Complete(_));
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -32,13 +32,13 @@
     /// Time by which every grant that is counted as unknown has expired.
     unknown_expires_at: f64,
     entries: BTreeMap<MemberId, Entry>,
-    /// Sum of the entries' worst cases.
+    /// Sum of [`Entry::worst_case`] over all entries.
     entries_sum: u128,
 }
 
 impl ShareLedger {
-    /// Creates the ledger of a new leader. The whole total counts as unknown until `unknown_expires_at`, because
-    /// members may hold grants of earlier leaders.
+    /// Creates the ledger of a new leader. The whole total counts as unknown until
+    /// `unknown_expires_at`, because members may hold grants of earlier leaders.
     pub fn new(total: u64, unknown_expires_at: f64) -> ShareLedger {
         ShareLedger {
             total,
@@ -65,8 +65,8 @@
         self.entries.get(member).map_or(0, Entry::worst_case)
     }
 
-    /// Whether the ledger has an entry for the member. A member without an entry has stated nothing to this leader, or
-    /// its holdings have expired.
+    /// Whether the ledger has an entry for the member. A member without an
+    /// entry has stated nothing to this leader, or its holdings have expired.
     pub fn contains(&self, member: &MemberId) -> bool {
         self.entries.contains_key(member)
     }
@@ -83,9 +83,9 @@
             .map(|(member, entry)| (member, entry.granted))
     }
 
-    /// Records the holdings in a member's full statement. If the member had no entry, the stated amount is deducted
-    /// from the unknown amount.
-    pub fn state(&mut self, member: &MemberId, holds: u64, expires_at: f64) {
+    /// Records the holdings in a member's full statement. If the member had
+    /// no entry, the stated amount is deducted from the unknown amount.
+    pub fn record_statement(&mut self, member: &MemberId, holds: u64, expires_at: f64) {
         if !self.entries.contains_key(member) {
             self.unknown = self.unknown.saturating_sub(holds);
         }
@@ -100,14 +100,14 @@
         self.update(member, expires_at, |entry| entry.confirmed = entry.granted);
     }
 
-    /// Records that a member will never apply its latest grant, because the response was lost. The member still holds
-    /// the amount that it confirmed before.
+    /// Records that a member will never apply its latest grant, because the response
+    /// was lost. The member still holds the amount that it confirmed before.
     pub fn revert(&mut self, member: &MemberId, expires_at: f64) {
         self.update(member, expires_at, |entry| entry.granted = entry.confirmed);
     }
 
-    /// Records the amount that a member has in use. Units in use count against the total even if the member's share is
-    /// smaller.
+    /// Records the amount that a member has in use. Units in use
+    /// count against the total even if the member's share is smaller.
     pub fn set_in_use(&mut self, member: &MemberId, in_use: u64) {
         if self.entries.contains_key(member) {
             self.update(member, f64::NEG_INFINITY, |entry| entry.in_use = in_use);
@@ -116,8 +116,8 @@
 
     /// Grants a member as much of `target` as no other member can be using, and returns the amount granted.
     ///
-    /// A reduction is granted at once, but the released amount becomes free only after the member has confirmed the
-    /// reduction.
+    /// A reduction is granted at once, but the released amount becomes
+    /// free only after the member has confirmed the reduction.
     pub fn grant(&mut self, member: &MemberId, target: u64) -> u64 {
         let Some(entry) = self.entries.get(member) else {
             return 0;
@@ -162,8 +162,8 @@
         self.entries.retain(|_, entry| !expired(entry));
     }
 
-    /// Changes a member's entry, creates the entry if it is missing, and updates `entries_sum`. The expiry of an entry
-    /// is never moved to an earlier time.
+    /// Changes a member's entry, creates the entry if it is missing, and updates
+    /// `entries_sum`. The expiry of an entry is never moved to an earlier time.
     fn update(&mut self, member: &MemberId, expires_at: f64, change: impl FnOnce(&mut Entry)) {
         let new_entry = Entry {
             confirmed: 0,
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,11 +1,11 @@
-//! Budgets of a whole fleet, divided among its front ends: rates and concurrency limits whose shares never sum to more
-//! than the budget.
+//! Budgets of a whole fleet, divided among its front ends: rates and
+//! concurrency limits whose shares never sum to more than the budget.
 //!
 //! # Guarantees
 //!
-//! - At any time the shares that members may use sum to at most the budget, as long as clock drift stays within the
-//!   stated bound. Lost, late and duplicated messages and crashed, suspended and partitioned members do not break this
-//!   guarantee.
+//! - At any time the shares that members may use sum to at most the budget, as long
+//!   as clock drift stays within the stated bound. Lost, late and duplicated messages
+//!   and crashed, suspended and partitioned members do not break this guarantee.
 //! - Admission decisions read local memory only. Shares follow demand by weighted max-min fairness ([`allocation`]).
 //! - A change of leaders takes no share away from a member.
 //!
@@ -26,8 +26,9 @@
 //! stated its holdings or all earlier grants have expired. Until then the new leader reassigns only shares that are
 //! released by members that have already stated their holdings.
 //!
-//! A share is a fraction of the budget, not a number of units: the holder converts the share to units by the policy
-//! version that it applies. A policy that lowers a budget therefore lowers every share at once, without a new division.
+//! A share is a fraction of the budget, not a number of units: the holder converts
+//! the share to units by the policy version that it applies. A policy that lowers
+//! a budget therefore lowers the units of every share, without a new allocation.
 //!
 //! # Where to start
 //!
--- a/crates/budgets/src/member/held_budget.rs
+++ b/crates/budgets/src/member/held_budget.rs
@@ -15,8 +15,8 @@
 const NEGLIGIBLE_DEMAND: f64 = 0.01;
 /// Relative change of the demand since the last report above which the demand is reported again.
 const REPORT_THRESHOLD: f64 = 0.12;
-/// Absolute change of the demand, in units, up to which the demand is not reported again; applies in addition to
-/// [`REPORT_THRESHOLD`].
+/// Absolute change of the demand, in units, up to which the demand is
+/// not reported again; applies in addition to [`REPORT_THRESHOLD`].
 const MIN_REPORT_DIFFERENCE: f64 = 0.3;
 
 /// A count of recent requests that decays exponentially with the time constant [`DEMAND_DECAY_MS`].
@@ -103,8 +103,8 @@
         HeldBudget { spec, ..self }
     }
 
-    /// Adapts the state to a policy version that has just been activated: limits the tokens to the new bucket size and
-    /// causes the demand to be reported again.
+    /// Adapts the state to a policy version that has just been activated: limits the
+    /// tokens to the new bucket size and causes the demand to be reported again.
     pub(super) fn start_version(&mut self) {
         let max_tokens = self.spec.total_units() as f64;
         self.bucket.tokens = self.bucket.tokens.min(max_tokens);
@@ -142,8 +142,8 @@
         }
     }
 
-    /// The demand last reported to the leader, in units; negative if none was reported since the policy version
-    /// changed.
+    /// The demand last reported to the leader, in units; negative
+    /// if none was reported since the policy version changed.
     pub(super) fn reported_demand(&self) -> f64 {
         self.reported.demand
     }
@@ -153,8 +153,8 @@
     pub(super) fn refill(&mut self, now: f64, share: Share, max_tokens: f64, max_drift: f64) {
         if let Amount::Rate { per_second, .. } = self.spec.amount {
             let fraction = share.min(self.bucket.share).fraction();
-            // The local clock may run fast by up to `max_drift`, so the measured time is divided by the largest clock
-            // rate.
+            // The local clock may run fast by up to `max_drift`, so
+            // the measured time is divided by the largest clock rate.
             let elapsed = (now - self.bucket.refilled_at).max(0.0) / (1.0 + max_drift);
             let refilled = self.bucket.tokens + per_second * fraction * elapsed / 1000.0;
             self.bucket.tokens = refilled.min(max_tokens);
--- a/crates/budgets/src/member/mod.rs
+++ b/crates/budgets/src/member/mod.rs
@@ -1,8 +1,8 @@
 //! The member's part of the protocol: the shares that a front end holds, and the admission of requests under them.
 //!
-//! A member polls the leader to obtain and renew shares, which expire unless renewed, and admits requests from local
-//! state only. All times are in milliseconds of the member's own monotonic clock, which must advance while the machine
-//! is suspended.
+//! A member polls the leader to obtain and renew shares, which expire unless renewed,
+//! and admits requests from local state only. All times are in milliseconds of the
+//! member's own monotonic clock, which must advance while the machine is suspended.
 
 mod held_budget;
 mod polling;
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Activates a policy version: from `now` on, requests are admitted under its budgets. The holding of a budget is
-    /// kept if the new version has a budget of the same name that limits the same resource, as defined by
-    /// [`BudgetSpec::limits_same`].
+    /// Activates a policy version: from `now` on, requests are admitted under its budgets.
+    /// The holding of a budget is kept if the new version has a budget of the same name
+    /// that limits the same resource, as defined by [`BudgetSpec::limits_same`].
     pub fn activate(&mut self, now: f64, version: u64, specs: Vec<BudgetSpec>) {
         self.refill_all(now);
         let mut earlier = std::mem::take(&mut self.budgets);
@@ -147,8 +147,8 @@
         share
     }
 
-    /// [`BudgetMember::share`] in whole units: the bucket size of a rate, or the largest number of units in use of a
-    /// concurrency limit.
+    /// [`BudgetMember::share`] in whole units: the bucket size of a rate,
+    /// or the largest number of units in use of a concurrency limit.
     pub fn unit_limit(&self, number: usize, now: f64) -> u64 {
         let limit =
             |budget: &HeldBudget| self.share(number, now).to_units(budget.spec.total_units());
@@ -165,9 +165,9 @@
         }
     }
 
-    /// Admits one request under all the budgets in `numbers` and consumes one token of each rate. `in_use` returns the
-    /// number of units in use of a concurrency limit, which the caller counts. A rejected request counts as demand,
-    /// too.
+    /// Admits one request under all the budgets in `numbers` and consumes one token
+    /// of each rate. `in_use` returns the number of units in use of a concurrency
+    /// limit, which the caller counts. A rejected request counts as demand, too.
     ///
     /// # Errors
     ///
@@ -197,7 +197,8 @@
         Ok(())
     }
 
-    /// Returns whether one budget has capacity for a request, and counts the request as demand.
+    /// Returns whether one budget has capacity for a request, and counts the request as demand. Under a concurrency
+    /// limit only rejected requests are counted, because admitted requests appear in the units in use.
     fn has_capacity(&mut self, now: f64, number: usize, in_use: &impl Fn(usize) -> u64) -> bool {
         self.refill(number, now);
         let limit = self.unit_limit(number, now);
--- a/crates/budgets/src/member/polling.rs
+++ b/crates/budgets/src/member/polling.rs
@@ -13,8 +13,8 @@
 const MAX_BACKOFF_STEPS: u32 = 12;
 /// Delay in milliseconds before a poll with a full statement that the leader has requested.
 const RESTATE_DELAY_MS: f64 = 10.0;
-/// Delay in milliseconds before a poll when the demand has risen far above the last report and exceeds the member's
-/// share.
+/// Delay in milliseconds before a poll when the demand has risen
+/// far above the last report and exceeds the member's share.
 const RISING_DEMAND_DELAY_MS: f64 = 30.0;
 /// Delay in milliseconds before a poll while the member has no applied response that is still valid.
 const NOTHING_APPLIED_DELAY_MS: f64 = 60.0;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Clears shares and floors that have expired, so that the request does not state them and a later response does
-    /// not renew them.
+    /// Clears shares and floors that have expired, so that the request
+    /// does not state them and a later response does not renew them.
     fn drop_expired(&mut self, now: f64) {
         if now >= self.shares_expire_at && !self.ignores_expiry() {
             for budget in &mut self.budgets {
@@ -139,16 +139,15 @@
         });
         self.max_drift = timings.max_drift;
         self.position = response.position;
-        // Only the response to the latest poll is applied, so a response never shortens the expiry set by an earlier
-        // one.
+        // Only the response to the latest poll is applied, so a response never moves an expiry to an earlier time.
         self.shares_expire_at =
             requested_at + clock::usable_for(timings.share_ms, timings.max_drift);
         self.floors_expire_at =
             requested_at + clock::usable_for(timings.floor_ms, timings.max_drift);
     }
 
-    /// Lengthens the poll delay exponentially while responses change nothing, as when a target becomes free only after
-    /// another member's share has expired.
+    /// Lengthens the poll delay exponentially while responses change nothing, as
+    /// when a target becomes free only after another member's share has expired.
     fn back_off(&mut self, response: &PollResponse) {
         if response.holdings.is_empty() {
             self.idle_responses = (self.idle_responses + 1).min(MAX_BACKOFF_STEPS);
@@ -171,9 +170,9 @@
         }
     }
 
-    /// Delay in milliseconds between the last response and the next poll, if the poll should be earlier than usual:
-    /// because shares are being moved, the leader has requested a full statement, no response is in force, or the
-    /// demand differs much from the last report.
+    /// Delay in milliseconds between the last response and the next poll, if the poll should
+    /// be earlier than usual: because shares are being moved, the leader has requested a full
+    /// statement, no response is in force, or the demand differs much from the last report.
     pub fn wants_early_poll(&self, now: f64) -> Option<f64> {
         if self.budgets.is_empty() {
             return None;
--- a/crates/budgets/src/message.rs
+++ b/crates/budgets/src/message.rs
@@ -6,8 +6,8 @@
 use beamgap_fleet_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a period of one leadership. Statements of holdings and responses are valid only in the epoch that they
-/// name.
+/// Identifies a period of one leadership. Statements of holdings
+/// and responses are valid only in the epoch that they name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Epoch {
     /// A number that differs between any two leaderships in the fleet.
@@ -30,7 +30,7 @@
 /// Identifies a response that a member has applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AppliedResponse {
-    /// The epoch of the response.
+    /// The leader's epoch that the response names.
     pub epoch: Epoch,
     /// The sequence number of the request that the response answered.
     pub sequence: u64,
@@ -88,11 +88,11 @@
 
 /// The response to a member's poll.
 ///
-/// The default value means that the receiver of the poll is not the leader, or that the member is not known to the
-/// fleet.
+/// The default value means that the receiver of the poll is not
+/// the leader, or that the member is not known to the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PollResponse {
-    /// The leader's epoch.
+    /// The leader's epoch when it sent the response.
     pub epoch: Epoch,
     /// The sequence number of the request that the response answers.
     pub sequence: u64,
--- a/crates/budgets/src/reader.rs
+++ b/crates/budgets/src/reader.rs
@@ -21,8 +21,8 @@
 /// Number of units that the load on warming engines is divided into. With a million units, rounding to whole units does
 /// not matter for any realistic number of front ends.
 const WARMING_UNITS: u64 = 1_000_000;
-/// Largest fraction of a budget that floors may reserve. Floors are not reallocated, so at least half of the budget
-/// remains to be allocated by demand.
+/// Largest fraction of a budget that floors may reserve. Floors are not
+/// reallocated, so at least half of the budget remains to be allocated by demand.
 const MAX_FLOOR: f64 = 0.5;
 /// Maximum length of the name of a budget, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
@@ -77,8 +77,8 @@
     }
 }
 
-/// Reads the budgets of a policy document that was parsed with a schema that contains [`schema`]. The budgets are
-/// returned in the order of their names.
+/// Reads the budgets of a policy document that was parsed with a schema that
+/// contains [`schema`]. The budgets are returned in the order of their names.
 ///
 /// # Errors
 ///
--- a/crates/budgets/src/share.rs
+++ b/crates/budgets/src/share.rs
@@ -31,8 +31,8 @@
 
     /// Converts `units` of a budget of `total` units to a share, rounded down to whole parts.
     ///
-    /// Allocated units and units in use are both converted by this function, so that equal numbers of units give equal
-    /// shares and a comparison of the two is exact.
+    /// Allocated units and units in use are both converted by this function, so that
+    /// equal numbers of units give equal shares and a comparison of the two is exact.
     pub fn from_units(units: u64, total: u64) -> Share {
         let parts =
             u128::from(units.min(total)) * u128::from(FULL_SHARE.0) / u128::from(total.max(1));
@@ -53,7 +53,7 @@
 
     /// Whole units of this share in a budget of `total` units, rounded down. Unlike [`Share::to_units`], this function
     /// adds no part to compensate for the rounding in [`Share::from_units`].
-    pub fn to_units_floor(self, total: u64) -> u64 {
+    pub fn to_units_rounded_down(self, total: u64) -> u64 {
         (u128::from(self.0) * u128::from(total) / u128::from(FULL_SHARE.0)) as u64
     }
 
--- a/crates/budgets/src/spec.rs
+++ b/crates/budgets/src/spec.rs
@@ -9,8 +9,8 @@
 pub enum Resource {
     /// Arriving requests, limited by a rate.
     Requests,
-    /// Retries, that is attempts after the first of a request, limited by a rate in addition to each front end's own
-    /// retry budget.
+    /// Retries, that is attempts after the first of a request, limited
+    /// by a rate in addition to each front end's own retry budget.
     Retries,
     /// Requests in flight, limited by a concurrency limit.
     OpenRequests,
@@ -42,7 +42,7 @@
     },
 }
 
-/// A budget of the whole fleet.
+/// A budget of the whole fleet, which the leader divides among the members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetSpec {
     /// Name of the budget, unique within a policy.
@@ -65,8 +65,8 @@
 }
 
 impl BudgetSpec {
-    /// Number of units that are divided among the members: the bucket size of a rate, or the maximum of a concurrency
-    /// limit.
+    /// Number of units that are divided among the members: the
+    /// bucket size of a rate, or the maximum of a concurrency limit.
     pub fn total_units(&self) -> u64 {
         match self.amount {
             Amount::Rate { burst, .. } => burst,
