--- a/crates/budgets/tests/allocation.rs
+++ b/crates/budgets/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! How the units of a budget are allocated.
+//! Tests of the weighted max-min fair allocation in whole units, and of the conversion between units and shares.
 
 use beamgap_budgets::allocation::{allocate, Demand};
 use beamgap_budgets::{Share, FULL_SHARE};
@@ -10,11 +10,12 @@
 
 #[test]
 fn a_small_demand_is_not_rounded_to_nothing_beside_floods() {
-    // As seen in the fault harness: 16 units, three floods, one that demands a third of a unit.
+    // Found by the fault harness with 16 units: beside three members that each demanded the whole budget, a member that
+    // demanded a third of a unit (0.9 with the leader's headroom) was allocated no unit.
     let demands: Vec<Demand> = [16.0, 16.0, 16.0, 0.9, 0.9].map(demand).to_vec();
-    let got = allocate(&demands, 16);
-    assert!(got[3] >= 1 && got[4] >= 1, "{got:?}");
-    assert!(got[..3].iter().all(|n| *n >= 4), "{got:?}");
+    let units = allocate(&demands, 16);
+    assert!(units[3] >= 1 && units[4] >= 1, "{units:?}");
+    assert!(units[..3].iter().all(|n| *n >= 4), "{units:?}");
 }
 
 #[test]
@@ -23,7 +24,7 @@
     assert_eq!(
         allocate(&[0.0, 0.0, 3.0].map(demand), 1),
         [0, 0, 1],
-        "one that idles gives way"
+        "the only unit must go to the member with demand"
     );
     assert!(allocate(&[], 8).is_empty());
 }
@@ -55,7 +56,7 @@
         for (n, share) in given.iter().zip(&held) {
             prop_assert_eq!(share.to_units(total), *n);
         }
-        // The same shares of another budget.
+        // Converted with the size of another budget, the same shares must not sum to more than that budget.
         let other = total / 7 + 1;
         prop_assert!(held.iter().map(|share| share.to_units(other)).sum::<u64>() <= other);
     }
--- a/crates/budgets/tests/common/fleet.rs
+++ b/crates/budgets/tests/common/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet on a set clock: the program's own leader and members, links that delay and lose, clocks that drift apart. What
-//! was admitted is checked from outside, in true time.
+//! A simulated fleet: the real leader and members of the crate, a network that delays and loses messages, and clocks
+//! that drift apart. The simulation keeps the true time, and the tests check in true time what was admitted.
 
 use super::front::{Clock, Delivery, Front, Message, OutstandingPoll, UnitInUse};
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
@@ -11,17 +11,17 @@
 use beamgap_fleet_types::MemberId;
 use std::collections::{BTreeMap, HashMap};
 
-/// Length of a step, in milliseconds.
+/// Length of a simulation step, in milliseconds of true time.
 pub const STEP_MS: f64 = 5.0;
-/// Bound on clock drift.
+/// Bound on clock drift: the rate of each clock differs from 1 by less than this fraction.
 pub const MAX_DRIFT: f64 = 0.05;
-/// A poll without a response is given up after so long, in milliseconds.
+/// Time in milliseconds after which a front end stops waiting for the response to a poll.
 const POLL_TIMEOUT_MS: f64 = 400.0;
-/// A poll that was given up is followed by another after so long, in milliseconds.
+/// Delay in milliseconds between the timeout of a poll and the next poll.
 const RETRY_DELAY_MS: f64 = 50.0;
-/// Longest delay of a message, in milliseconds.
+/// Maximum delay of a message in the simulated network, in milliseconds.
 const MAX_DELAY_MS: f64 = 8.0;
-/// Most requests that wait in the buffers of a member that stands still.
+/// Maximum length of a front end's queue of requests for one budget. The queue grows while the process is suspended.
 const MAX_WAITING: f64 = 400.0;
 
 pub struct Fleet {
@@ -33,18 +33,19 @@
     pub fronts: Vec<Front>,
     leader: BudgetLeader,
     leader_clock: Clock,
-    /// Times of admissions in true time, by budget.
+    /// True times of all admissions, by budget.
     pub admitted: Vec<Vec<f64>>,
     /// Number of admissions, by budget and front end.
     pub counts: Vec<HashMap<usize, u64>>,
-    /// Units in use, by budget.
+    /// Units of concurrency limits in use, by budget.
     pub in_use: Vec<Vec<UnitInUse>>,
-    /// Most units in use at once, by budget.
+    /// Largest number of units in use at the same time so far, by budget.
     pub most_in_use: Vec<u64>,
+    /// Number of polls that the leader has handled.
     pub polls: u64,
     /// Probability that a message is lost.
     pub loss: f64,
-    /// Longest time that a unit is in use, in milliseconds.
+    /// Longest time for which a unit stays in use, in milliseconds.
     pub max_duration_ms: f64,
     deliveries: Vec<Delivery>,
     draw: Draw,
@@ -108,7 +109,7 @@
             id,
             clock,
             alive: true,
-            stopped_until: 0.0,
+            suspended_until: 0.0,
             cut_off_until: 0.0,
             demand: vec![0.0; self.specs.len()],
             sequence: 0,
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Another voter leads, with nothing known. Responses of the one before still arrive.
+    /// Replaces the leader by a new one without any state. Responses of
+    /// the previous leader that are still in the network are delivered.
     pub fn elect(&mut self) {
         self.leaders += 1;
         self.leader_clock = Clock::draw(&mut self.draw);
@@ -131,17 +133,17 @@
             .set_leadership(self.leader_clock.read(self.now), true);
     }
 
-    /// A front end's own reading of the time.
+    /// The current time by the clock of a front end, in milliseconds.
     pub fn local_time(&self, front: usize) -> f64 {
         self.fronts[front].clock.read(self.now)
     }
 
-    /// A member dies; what it has in use goes on.
+    /// Kills the process of a front end. Units that the member has in use remain in use until their time is over.
     pub fn kill(&mut self, front: usize) {
         self.fronts[front].alive = false;
     }
 
-    /// It comes back as another incarnation.
+    /// Restarts a front end as a new incarnation of its member, with the same clock and demand.
     pub fn start(&mut self, front: usize) {
         let incarnation = self.fronts[front].id.incarnation + 1;
         let clock = self.fronts[front].clock;
@@ -153,7 +155,7 @@
         };
     }
 
-    /// Another version is in force, and all front ends use it.
+    /// Puts a new policy version into force and activates it on all front ends at once.
     pub fn change(&mut self, specs: Vec<BudgetSpec>) {
         self.version += 1;
         self.specs = specs;
@@ -242,9 +244,9 @@
         if !front.alive || front.id.incarnation != incarnation {
             return;
         }
-        if front.stopped_until > self.now {
+        if front.suspended_until > self.now {
             self.deliveries.push(Delivery {
-                at: front.stopped_until,
+                at: front.suspended_until,
                 message: Message::Response {
                     front: index,
                     incarnation,
@@ -267,7 +269,8 @@
         }
     }
 
-    /// Requests arrive even at a member that stands still: they wait in its buffers.
+    /// Adds the requests that arrived during the step to the queue of a
+    /// front end. Requests also arrive while its process is suspended.
     fn receive_requests(&mut self, front: usize) {
         let front = &mut self.fronts[front];
         for (waiting, demand) in front.waiting.iter_mut().zip(&front.demand) {
@@ -344,7 +347,7 @@
         }
     }
 
-    /// Parts of a budget that all running members may use now, each by its own clock.
+    /// Sum of the shares of a budget, in parts, that all live members may use now, each by its own clock.
     pub fn usable_parts(&self, budget: usize) -> u128 {
         let share = |front: usize| {
             self.fronts[front]
@@ -357,7 +360,7 @@
             .sum()
     }
 
-    /// Admissions of a budget so far.
+    /// Number of admissions under a budget so far.
     pub fn count(&self, budget: usize) -> usize {
         self.admitted[budget].len()
     }
--- a/crates/budgets/tests/common/front.rs
+++ b/crates/budgets/tests/common/front.rs
@@ -6,7 +6,7 @@
 use beamgap_fakes::draw::Draw;
 use beamgap_fleet_types::MemberId;
 
-/// A clock that reads `true time * rate + offset`.
+/// A drifting clock, whose time is `true time * rate + offset`, in milliseconds.
 #[derive(Clone, Copy)]
 pub struct Clock {
     pub rate: f64,
@@ -35,26 +35,26 @@
     pub id: MemberId,
     pub clock: Clock,
     pub alive: bool,
-    /// Stands still until then.
-    pub stopped_until: f64,
-    /// Reaches no leader until then.
+    /// True time until which the process is suspended.
+    pub suspended_until: f64,
+    /// True time until which no request of this front end reaches the leader.
     pub cut_off_until: f64,
-    /// Requests per second that arrive, by budget.
+    /// Arriving requests per second, by budget.
     pub demand: Vec<f64>,
     pub sequence: u64,
     pub next_poll_at: f64,
     pub outstanding: Option<OutstandingPoll>,
-    /// Requests that have arrived and wait, by budget.
+    /// Number of requests that are queued for admission, by budget.
     pub waiting: Vec<f64>,
 }
 
 impl Front {
     pub fn is_running(&self, now: f64) -> bool {
-        self.alive && self.stopped_until <= now
+        self.alive && self.suspended_until <= now
     }
 }
 
-/// A unit of a concurrency limit in use, by a dead member, too.
+/// A unit of a concurrency limit that is in use until a given true time, even if its member dies before.
 pub struct UnitInUse {
     pub until: f64,
     pub member: MemberId,
--- a/crates/budgets/tests/common/mod.rs
+++ b/crates/budgets/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet for the tests of budgets, and how its admissions are checked.
+//! Helpers for tests of budgets: a simulated fleet, budget definitions and a check of admissions against a rate.
 
 pub mod fleet;
 pub mod front;
@@ -6,12 +6,12 @@
 use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
 use std::collections::BTreeMap;
 
-/// A rate of requests of the account that is named like the budget.
+/// A rate limit on requests of one account. The budget and the account are both called `name`.
 pub fn rate(name: &str, per_second: f64, burst: u64) -> BudgetSpec {
     spec(name, Resource::Requests, Amount::Rate { per_second, burst })
 }
 
-/// A limit on open requests of the account that is named like the budget.
+/// A concurrency limit on open requests of one account. The budget and the account are both called `name`.
 pub fn concurrency(name: &str, max: u64, max_duration_ms: f64) -> BudgetSpec {
     let amount = Amount::Concurrency {
         max,
@@ -20,7 +20,7 @@
     spec(name, Resource::OpenRequests, amount)
 }
 
-/// A budget without floors and weights.
+/// A budget without floors and without weights.
 pub fn spec(name: &str, resource: Resource, amount: Amount) -> BudgetSpec {
     BudgetSpec {
         name: name.to_owned(),
@@ -34,7 +34,8 @@
     }
 }
 
-/// By how much admissions of a rate exceeded `rate * window + burst` in the worst window, in admissions.
+/// Largest number of admissions beyond `rate * window + burst` over all time windows; negative or 0 if no window
+/// exceeds the rate. `admitted_at` is in milliseconds.
 pub fn excess(admitted_at: &[f64], per_second: f64, burst: u64) -> f64 {
     let mut level = 0.0f64;
     let mut last = f64::NEG_INFINITY;
--- a/crates/budgets/tests/faults.rs
+++ b/crates/budgets/tests/faults.rs
@@ -1,5 +1,8 @@
-//! A fleet on a set clock with faults drawn from seeds: usable shares never sum to more than the budget, and each injected
-//! bug is found. More seeds by hand: `BUDGET_SEEDS=1..2000 cargo test --release -p beamgap-budgets --test faults`
+//! Simulates a fleet with random faults: crashes, suspended processes, partitions, lost messages and changes of leaders
+//! and of policies. After each step, the usable shares must sum to at most the budget. Each injected bug must be
+//! detected by at least one seed. To run more seeds:
+//!
+//! `BUDGET_SEEDS=1..2000 cargo test --release -p beamgap-budgets --test faults`
 
 mod common;
 
@@ -13,17 +16,19 @@
 const BURST: u64 = 60;
 const MAX_IN_USE: u64 = 24;
 const LEASE_MS: f64 = 1800.0;
-/// Rounds of a seed, each with at most one fault.
+/// Number of rounds for each seed. At most one random fault is injected at the
+/// start of a round; a crash of a member and a change of leaders may coincide.
 const ROUNDS: usize = 60;
-/// Steps of a round; the shares are checked after each.
+/// Number of simulation steps in a round. The shares are checked after each step.
 const STEPS_PER_ROUND: usize = 30;
 
-/// Plays a seed and gives the number of admissions, or what was violated.
-fn play(seed: u64, injected_bug: InjectedBug) -> Result<usize, String> {
+/// Simulates a fleet with the faults of one seed. Returns the number
+/// of admissions, or a description of the violated guarantee.
+fn run_seed(seed: u64, injected_bug: InjectedBug) -> Result<usize, String> {
     let mut draw = Draw::new(seed);
-    let mut fleet = drawn_fleet(seed, &mut draw, injected_bug);
+    let mut fleet = random_fleet(seed, &mut draw, injected_bug);
     for round in 0..ROUNDS {
-        move_demand(&mut fleet, &mut draw);
+        change_demand(&mut fleet, &mut draw);
         inject_fault(&mut fleet, &mut draw, round);
         for _ in 0..STEPS_PER_ROUND {
             fleet.run(STEP_MS);
@@ -34,7 +39,7 @@
     Ok(fleet.count(0) + fleet.count(1))
 }
 
-fn drawn_fleet(seed: u64, draw: &mut Draw, injected_bug: InjectedBug) -> Fleet {
+fn random_fleet(seed: u64, draw: &mut Draw, injected_bug: InjectedBug) -> Fleet {
     let members = 3 + draw.below(6) as usize;
     let mut first = rate("a", RATE_PER_SECOND, BURST);
     if draw.below(2) == 0 {
@@ -48,7 +53,7 @@
     fleet
 }
 
-fn move_demand(fleet: &mut Fleet, draw: &mut Draw) {
+fn change_demand(fleet: &mut Fleet, draw: &mut Draw) {
     if draw.below(3) == 0 {
         let front = draw.below(fleet.fronts.len() as u64) as usize;
         let demand = [0.0, 20.0, 300.0][draw.below(3) as usize];
@@ -62,7 +67,7 @@
         0 => fleet.elect(),
         1 => fleet.kill(front),
         2 | 3 => start_all_dead(fleet),
-        4 => fleet.fronts[front].stopped_until = fleet.now + draw.waits(900.0),
+        4 => fleet.fronts[front].suspended_until = fleet.now + draw.waits(900.0),
         5 => fleet.fronts[front].cut_off_until = fleet.now + draw.waits(1500.0),
         6 if round.is_multiple_of(3) => {
             fleet.kill(front);
@@ -98,7 +103,7 @@
         if usable > u128::from(FULL_SHARE.parts()) {
             let fraction = usable as f64 / FULL_SHARE.parts() as f64;
             return Err(format!(
-                "{fraction:.3} of budget {budget} may be used at {}",
+                "shares of budget {budget} sum to {fraction:.3} of the budget at {} ms",
                 fleet.now
             ));
         }
@@ -109,11 +114,13 @@
 fn check_admissions(fleet: &Fleet) -> Result<(), String> {
     let over = excess(&fleet.admitted[0], RATE_PER_SECOND, BURST);
     if over > 0.0 {
-        return Err(format!("{over:.1} admitted beyond the rate and its burst"));
+        return Err(format!(
+            "{over:.1} admissions in excess of the rate and its burst"
+        ));
     }
     if fleet.most_in_use[1] > MAX_IN_USE {
         return Err(format!(
-            "{} in use at once of {MAX_IN_USE}",
+            "{} units in use at once, {MAX_IN_USE} allowed",
             fleet.most_in_use[1]
         ));
     }
@@ -132,12 +139,13 @@
     let count = seeds.end - seeds.start;
     let mut admitted = 0;
     for seed in seeds {
-        admitted += play(seed, InjectedBug::None).unwrap_or_else(|violation| panic!("{violation}"));
+        admitted +=
+            run_seed(seed, InjectedBug::None).unwrap_or_else(|violation| panic!("{violation}"));
     }
-    println!("{count} seeds, {admitted} admitted");
+    println!("{count} seeds, {admitted} admissions");
     assert!(
         admitted as u64 > 200 * count,
-        "{admitted}: nothing was tried"
+        "only {admitted} admissions, too few to test the budgets"
     );
 }
 
@@ -150,8 +158,10 @@
         InjectedBug::UsedAfterExpiry,
         InjectedBug::DeadMemberUsageForgotten,
     ] {
-        let found: Vec<u64> = (1..25).filter(|seed| play(*seed, bug).is_err()).collect();
-        println!("{bug:?}: found by {} of 24 seeds", found.len());
-        assert!(!found.is_empty(), "{bug:?} was found by no seed");
+        let found: Vec<u64> = (1..25)
+            .filter(|seed| run_seed(*seed, bug).is_err())
+            .collect();
+        println!("{bug:?}: detected by {} of 24 seeds", found.len());
+        assert!(!found.is_empty(), "{bug:?} was not detected by any seed");
     }
 }
--- a/crates/budgets/tests/fleet.rs
+++ b/crates/budgets/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Shares in a fleet on a set clock: who gets how much and how soon, compared with a static division.
-//! The promises are those of `docs/budgets.md`.
+//! Tests of the allocation in a simulated fleet: how large a share each member obtains, how
+//! soon it does so, and that faults neither exceed a budget nor leave it unused. Prefixes
+//! of test names such as `a1` are the numbers of the guarantees in `docs/budgets.md`.
 
 mod common;
 
@@ -15,7 +16,7 @@
     Fleet::new(members as u64, members, specs, LEASE_MS, InjectedBug::None)
 }
 
-/// Every front end is asked for so many requests per second.
+/// Sets the demand of every front end to `demand` requests per second.
 fn set_demand_of_all(fleet: &mut Fleet, demand: f64) {
     for front in &mut fleet.fronts {
         front.demand = vec![demand];
@@ -34,11 +35,13 @@
             fleet.run(3000.0);
             let before = fleet.count(0);
             fleet.run(5000.0);
-            // A clock within the drift that runs slow counts less time than there is.
+            // A bucket is refilled by the local clock, so a slow clock refills it at less than the nominal rate.
             let used = (fleet.count(0) - before) as f64
                 / (300.0 * 5.0)
                 / fleet.fronts[moved_to].clock.rate;
-            println!("{members} members, move {round}: {used:.3} of the budget used 3 s after it");
+            println!(
+                "{members} members, move {round}: fraction {used:.3} of the budget used from 3 s after the move"
+            );
             assert!(used >= 0.94, "{members}: {used}");
         }
         assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
@@ -50,7 +53,8 @@
     let mut spec = rate("a", 120.0, 120);
     spec.weights.insert("m002".to_owned(), 2.0);
     let mut fleet = fleet(4, vec![spec]);
-    // One wants little; a flood buys no more than its fair part; one weighs double.
+    // m000 demands less than its fair share, m001 far more, m002
+    // has weight 2, and m003 demands more than its fair share.
     for (m, demand) in [(0, 10.0), (1, 5000.0), (2, 300.0), (3, 60.0)] {
         fleet.fronts[m].demand = vec![demand];
     }
@@ -60,7 +64,7 @@
     let rate_of =
         |m: usize| (fleet.counts[0][&m] - before.get(&m).copied().unwrap_or(0)) as f64 / 10.0;
     let rates: Vec<f64> = (0..4).map(rate_of).collect();
-    // 10, and the remainder divided 1 : 2 : 1.
+    // m000 gets its demand of 10 per second; the remaining 110 are divided 1 : 2 : 1 by weight.
     for (m, fair) in [(0, 10.0), (1, 27.0), (2, 54.0), (3, 27.0)] {
         let part = rates[m] / fair;
         assert!((0.88..=1.08).contains(&part), "m{m}: {rates:?}");
@@ -83,7 +87,7 @@
     let got = (fleet.counts[0][&8] - before) as f64 / 2.0;
     assert!(
         got >= 0.8 * 300.0 / 9.0,
-        "{got} a second of {}",
+        "{got} admissions per second; the fair share is {}",
         300.0 / 9.0
     );
 }
@@ -107,7 +111,7 @@
         let got = (fleet.counts[0][&m] - before[&m]) as f64 / 1.5;
         assert!(
             (6.0..=9.5).contains(&got),
-            "m{m} has {got} a second of the 9 of its floor"
+            "m{m} admits {got} per second under a floor of 9 per second"
         );
     }
     fleet.run(4000.0);
@@ -115,7 +119,7 @@
     fleet.run(1000.0);
     assert!(
         (5..9).all(|m| fleet.counts[0][&m] == before[&m]),
-        "it admits after its lease has expired"
+        "a member without a connection to the leader admits requests after its admission lease has expired"
     );
     assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
 }
@@ -140,7 +144,7 @@
     );
     assert!(
         after.len() as f64 > 0.9 * 30.0 * 10.0,
-        "{} in 10 s",
+        "{} admissions in 10 s",
         after.len()
     );
 }
@@ -152,10 +156,10 @@
         .collect();
     let mut fleet = fleet(5, specs);
     fleet.run(5000.0);
-    let asked = fleet.polls;
+    let polls_before = fleet.polls;
     fleet.run(60_000.0);
-    let per_member = (fleet.polls - asked) as f64 / 5.0 / 60.0;
-    assert!(per_member < 1.4, "{per_member} polls a second and member");
+    let per_member = (fleet.polls - polls_before) as f64 / 5.0 / 60.0;
+    assert!(per_member < 1.4, "{per_member} polls per second and member");
     let local = fleet.local_time(0);
     let request = fleet.fronts[0].member.poll_request(local, 1 << 40, |_| 0);
     assert!(
@@ -192,17 +196,21 @@
         fleet.run(9000.0);
         assert!(
             fleet.most_in_use[0] <= 30,
-            "{} out at once",
+            "{} units in use at once, 30 allowed",
             fleet.most_in_use[0]
         );
     }
     let in_use = fleet.in_use[0].len() as u64;
-    assert!(in_use >= 27, "{in_use} of 30 are used in the end");
+    assert!(
+        in_use >= 27,
+        "only {in_use} of 30 units are in use at the end"
+    );
 }
 
 #[test]
 fn a3_a_unit_that_is_freed_when_all_are_in_use_can_be_used_by_another_member() {
-    // One unit for each of five, all out; the fifth comes back as another life.
+    // Each of five members has its one unit in use. The fifth member restarts
+    // as a new incarnation and can get a unit only when one is released.
     let mut fleet = fleet(5, vec![concurrency("a", 5, 3000.0)]);
     fleet.max_duration_ms = 2000.0;
     set_demand_of_all(&mut fleet, 400.0);
@@ -213,7 +221,7 @@
     fleet.run(12_000.0);
     assert!(
         fleet.counts[0].get(&4).copied().unwrap_or(0) > before,
-        "it never had one of the five"
+        "the restarted member never obtained a unit"
     );
     assert_eq!(fleet.most_in_use[0], 5);
 }
@@ -231,7 +239,7 @@
     let used = (fleet.count(0) - before) as f64 / 600.0;
     assert!(
         used >= 0.93,
-        "{used} of the budget was used round the change"
+        "only fraction {used} of the budget was used after the change of leaders"
     );
     assert!(excess(&fleet.admitted[0], 300.0, 300) <= 0.0);
 }
@@ -247,7 +255,7 @@
         ..spec("warming", Resource::WarmingEngines, amount)
     };
     let mut fleet = fleet(4, vec![warming]);
-    let all = |fleet: &Fleet| -> f64 {
+    let sum_of_parts = |fleet: &Fleet| -> f64 {
         let alive = (0..fleet.fronts.len()).filter(|m| fleet.fronts[*m].alive);
         alive
             .map(|m| {
@@ -259,20 +267,22 @@
             .sum()
     };
     fleet.run(3000.0);
-    assert!((0.99..=1.0001).contains(&all(&fleet)), "{}", all(&fleet));
+    let sum = sum_of_parts(&fleet);
+    assert!((0.99..=1.0001).contains(&sum), "{sum}");
     fleet.kill(3);
     fleet.run(6000.0);
+    let sum = sum_of_parts(&fleet);
     assert!(
-        (0.99..=1.0001).contains(&all(&fleet)),
-        "the others bear the dead one's part: {}",
-        all(&fleet)
+        (0.99..=1.0001).contains(&sum),
+        "the remaining members must divide the whole load among them: {sum}"
     );
     fleet.start(3);
     for _ in 0..400 {
         fleet.run(STEP_MS);
-        assert!(all(&fleet) <= 1.0001, "{} at {}", all(&fleet), fleet.now);
+        let sum = sum_of_parts(&fleet);
+        assert!(sum <= 1.0001, "{sum} at {}", fleet.now);
     }
-    let places: Vec<u64> = (0..4)
+    let indexes: Vec<u64> = (0..4)
         .map(|m| {
             fleet.fronts[m]
                 .member
@@ -280,9 +290,10 @@
                 .index
         })
         .collect();
-    assert_eq!(places, [0, 1, 2, 3]);
-    assert!((0.99..=1.0001).contains(&all(&fleet)), "{}", all(&fleet));
-    // A member that is cut off bears nothing once its share has expired.
+    assert_eq!(indexes, [0, 1, 2, 3]);
+    let sum = sum_of_parts(&fleet);
+    assert!((0.99..=1.0001).contains(&sum), "{sum}");
+    // A member that can't reach the leader has no part of the load after its share has expired.
     fleet.fronts[0].cut_off_until = f64::INFINITY;
     fleet.run(4000.0);
     assert!(
@@ -294,7 +305,8 @@
     );
 }
 
-/// By hand: `cargo test --release -p beamgap-budgets --test fleet measured -- --ignored --nocapture`
+/// Prints how soon a share follows the demand in fleets of up to 300 members. Run with
+/// `cargo test --release -p beamgap-budgets --test fleet measured -- --ignored --nocapture`.
 #[test]
 #[ignore = "prints the figures of docs/measurements/shared-capacity.md"]
 fn measured_300_members() {
@@ -307,19 +319,19 @@
         let mut used = Vec::new();
         for round in 1..6 {
             set_demand_of_all(&mut fleet, 0.0);
-            let to = round % members;
-            fleet.fronts[to].demand = vec![1.5 * per_second];
-            let from = fleet.now;
-            while fleet.fronts[to]
+            let target = round % members;
+            fleet.fronts[target].demand = vec![1.5 * per_second];
+            let moved_at = fleet.now;
+            while fleet.fronts[target]
                 .member
-                .share(0, fleet.local_time(to))
+                .share(0, fleet.local_time(target))
                 .fraction()
                 < 0.95
-                && fleet.now - from < 20_000.0
+                && fleet.now - moved_at < 20_000.0
             {
                 fleet.run(STEP_MS);
             }
-            times.push(fleet.now - from);
+            times.push(fleet.now - moved_at);
             let before = fleet.count(0);
             fleet.run(4000.0);
             used.push((fleet.count(0) - before) as f64 / (per_second * 4.0));
@@ -329,7 +341,7 @@
         let static_share = 1.0 / members as f64;
         let polls = fleet.polls as f64 / fleet.now * 1000.0;
         println!(
-            "{members} members: 0.95 of the budget at the new place after {:.0} ms (p50), {:.0} (most); {:.3} of the budget used; static {static_share:.3}; {polls:.0} polls a second",
+            "{members} members: 0.95 of the budget moved to the new member after {:.0} ms (p50), {:.0} ms (max); fraction {:.3} of the budget used, {static_share:.3} with a static division; {polls:.0} polls per second",
             times[2], times[4], used[2]
         );
         assert!(excess(&fleet.admitted[0], per_second, burst) <= 0.0);
--- a/crates/budgets/tests/replay.rs
+++ b/crates/budgets/tests/replay.rs
@@ -1,8 +1,9 @@
-//! Every output of the budgets' state machines is equal to what was recorded of them.
+//! Compares every output of the leader and the members in seeded simulations
+//! with a recording, so that no change alters their behaviour unnoticed.
 //!
-//! The recording, `tests/replay/recording.txt`, has one section for each seeded world and one line for each step:
-//! a hash of all that the step gave. The first line that differs names the first step that behaves differently.
-//! To record anew, after a change of behaviour that is meant:
+//! The recording, `tests/replay/recording.txt`, has one section for each simulation and one line for each step with a
+//! hash of all outputs of the step. The first line that differs identifies the first step whose behaviour has changed.
+//! To write a new recording after an intended change of behaviour:
 //! `cargo test -p beamgap-budgets --test replay record -- --ignored`
 
 #[path = "replay/recorder.rs"]
@@ -19,13 +20,15 @@
 use beamgap_fakes::draw::Draw;
 use recorder::Recorder;
 use std::path::PathBuf;
-use world::{Counts, World};
+use world::{Counts, Simulation};
 
-/// Seeds and steps of the worlds without an injected bug.
+/// Seeds of the simulations without an injected bug.
 const SEEDS: std::ops::Range<u64> = 1..6;
+/// Number of steps in each simulation without an injected bug.
 const STEPS: usize = 1500;
-/// Steps of each world with one.
+/// Number of steps in each simulation with an injected bug.
 const STEPS_WITH_BUG: usize = 400;
+/// Injected bugs that are simulated, each with the title of its section in the recording.
 const BUGS: [(&str, InjectedBug); 5] = [
     ("no wait", InjectedBug::NewLeaderDoesNotWait),
     ("given twice", InjectedBug::ReassignedBeforeConfirmed),
@@ -43,14 +46,19 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/replay/recording.txt")
 }
 
-fn play(title: String, seed: u64, injected_bug: InjectedBug, steps: usize) -> (Section, Counts) {
-    let mut world = World::new(seed, injected_bug);
-    let lines = (0..steps).map(|_| world.step()).collect();
-    (Section { title, lines }, world.counts)
+fn run_simulation(
+    title: String,
+    seed: u64,
+    injected_bug: InjectedBug,
+    steps: usize,
+) -> (Section, Counts) {
+    let mut simulation = Simulation::new(seed, injected_bug);
+    let lines = (0..steps).map(|_| simulation.step()).collect();
+    (Section { title, lines }, simulation.counts)
 }
 
-/// What is allocated to members with drawn demands.
-fn play_allocations() -> Section {
+/// Records the allocations for members with random demands and weights.
+fn record_allocations() -> Section {
     let mut draw = Draw::new(77);
     let mut recorder = Recorder::default();
     let mut lines = Vec::new();
@@ -68,7 +76,7 @@
             recorder.number(Share::from_units(n, total).parts());
             recorder.number(Share::from_units(n, total).to_units(total / 3 + 1));
         }
-        lines.push(recorder.line());
+        lines.push(recorder.take_line());
     }
     Section {
         title: "allocations".to_owned(),
@@ -76,7 +84,7 @@
     }
 }
 
-/// Lines of a budget block; one is drawn of each list.
+/// Alternative lines of a `budget` block. One line is drawn from each list.
 const BLOCK_LINES: [&[&str]; 10] = [
     &[
         "limits = \"requests\"",
@@ -113,8 +121,8 @@
     text
 }
 
-/// What is read of drawn budget blocks, good and faulty ones.
-fn play_blocks() -> Section {
+/// Records the result of reading random `budget` blocks, valid and invalid ones.
+fn record_blocks() -> Section {
     let root = Block {
         blocks: vec![schema()],
         ..Block::default()
@@ -142,7 +150,7 @@
                 );
             }
         }
-        lines.push(recorder.line());
+        lines.push(recorder.take_line());
     }
     Section {
         title: "blocks".to_owned(),
@@ -150,11 +158,12 @@
     }
 }
 
-fn play_all() -> Vec<Section> {
-    let mut sections = vec![play_allocations(), play_blocks()];
+fn record_all() -> Vec<Section> {
+    let mut sections = vec![record_allocations(), record_blocks()];
     let mut total = Counts::default();
     for seed in SEEDS {
-        let (section, counts) = play(format!("seed {seed}"), seed, InjectedBug::None, STEPS);
+        let (section, counts) =
+            run_simulation(format!("seed {seed}"), seed, InjectedBug::None, STEPS);
         println!("{}: {counts:?}", section.title);
         sections.push(section);
         total.admitted += counts.admitted;
@@ -184,12 +193,12 @@
         "too few restarts: {total:?}"
     );
     for (title, injected_bug) in BUGS {
-        sections.push(play(title.to_owned(), 9, injected_bug, STEPS_WITH_BUG).0);
+        sections.push(run_simulation(title.to_owned(), 9, injected_bug, STEPS_WITH_BUG).0);
     }
     sections
 }
 
-fn text_of(sections: &[Section]) -> String {
+fn to_text(sections: &[Section]) -> String {
     let mut text = String::new();
     for section in sections {
         text.push_str(&format!("# {}\n", section.title));
@@ -203,9 +212,8 @@
 
 #[test]
 fn every_step_gives_what_was_recorded() {
-    let recording =
-        std::fs::read_to_string(recording_path()).expect("the recording is beside the test");
-    let replayed = text_of(&play_all());
+    let recording = std::fs::read_to_string(recording_path()).expect("the recording can be read");
+    let replayed = to_text(&record_all());
     let mut title = "";
     let mut step = 0;
     for (recorded, now) in recording.lines().zip(replayed.lines()) {
@@ -220,12 +228,12 @@
     assert_eq!(
         replayed.lines().count(),
         recording.lines().count(),
-        "the recording has another length"
+        "the recording and the replay have different numbers of lines"
     );
 }
 
 #[test]
 #[ignore = "writes the recording"]
 fn record() {
-    std::fs::write(recording_path(), text_of(&play_all())).expect("the recording can be written");
+    std::fs::write(recording_path(), to_text(&record_all())).expect("the recording can be written");
 }
--- a/crates/budgets/tests/replay/events.rs
+++ b/crates/budgets/tests/replay/events.rs
@@ -1,30 +1,30 @@
-//! Drawn events: demand that moves, faults, changes of leaders and of the budgets.
+//! Random events of the recorded simulations: changes of demand, faults, changes of leaders and changes of budgets.
 
-use super::{World, MAX_DRIFT, STREAMS};
+use super::{Simulation, MAX_DRIFT, STREAMS};
 use crate::specs::draw_specs;
 use beamgap_budgets::leader::BudgetLeader;
 use beamgap_budgets::BudgetTimings;
 use beamgap_fleet_types::MemberId;
 
-impl World {
-    /// One drawn event: demand that moves, a fault, a change of leaders or of the budgets.
-    pub(super) fn event(&mut self) {
+impl Simulation {
+    /// Draws one event and applies it to the simulation.
+    pub(super) fn apply_random_event(&mut self) {
         let m = self.draw.below(self.members.len() as u64) as usize;
         match self.draw.below(18) {
             0 => self.elect(),
-            1 => self.step_down_or_up(),
+            1 => self.interrupt_leadership(),
             2 => self.members[m].alive = false,
             3 | 4 => self.restart_all(),
-            5 => self.members[m].stopped_until = self.now + self.draw.waits(700.0),
-            6 => self.members[m].cut_until = self.now + self.draw.waits(1500.0),
-            7 | 8 => self.change(),
+            5 => self.members[m].suspended_until = self.now + self.draw.waits(700.0),
+            6 => self.members[m].cut_off_until = self.now + self.draw.waits(1500.0),
+            7 | 8 => self.change_budgets(),
             9 => self.drain(m),
             10 => {
-                self.times = BudgetTimings::for_lease(
+                self.timings = BudgetTimings::for_lease(
                     [1800.0, 2400.0][self.draw.below(2) as usize],
                     MAX_DRIFT,
                 );
-                self.leader.set_timings(self.times);
+                self.leader.set_timings(self.timings);
             }
             11 => {
                 let members = &self.members;
@@ -50,16 +50,17 @@
         self.counts.elections += 1;
         let rate = 1.0 + MAX_DRIFT * (2.0 * self.draw.unit() - 1.0) * 0.99;
         self.leader_clock = (rate, 1e6 * self.draw.unit());
-        self.leader = BudgetLeader::new(self.draw.bits(), self.times, self.injected_bug);
+        self.leader = BudgetLeader::new(self.draw.bits(), self.timings, self.injected_bug);
         self.leader.set_leadership(self.leader_now(), true);
     }
 
-    /// The same process loses the leadership and has it again later.
-    fn step_down_or_up(&mut self) {
-        let leads = self.draw.below(3) > 0;
+    /// Makes the leader's process lose the leadership. With probability 2/3 the process regains the leadership at once,
+    /// otherwise no process leads until the next restart of members or the next election.
+    fn interrupt_leadership(&mut self) {
+        let regains = self.draw.below(3) > 0;
         let now = self.leader_now();
         self.leader.set_leadership(now, false);
-        self.leader.set_leadership(now, leads);
+        self.leader.set_leadership(now, regains);
     }
 
     fn restart_all(&mut self) {
@@ -67,19 +68,19 @@
             if !self.members[m].alive || self.members[m].draining {
                 let (incarnation, clock) =
                     (self.members[m].id.incarnation + 1, self.members[m].clock);
-                self.members[m] = self.started(m, incarnation, clock);
+                self.members[m] = self.new_member(m, incarnation, clock);
                 self.counts.restarts += 1;
             }
         }
         self.leader.set_leadership(self.leader_now(), true);
     }
 
-    fn change(&mut self) {
+    fn change_budgets(&mut self) {
         self.counts.changes += 1;
         let specs = draw_specs(&mut self.draw);
         self.versions.push(specs);
         for m in 0..self.members.len() {
-            self.members[m].adopts_at = self.now + self.draw.waits(150.0);
+            self.members[m].activates_at = self.now + self.draw.waits(150.0);
         }
     }
 
--- a/crates/budgets/tests/replay/messages.rs
+++ b/crates/budgets/tests/replay/messages.rs
@@ -1,12 +1,12 @@
-//! Delivery of messages, which are late, lost and duplicated.
+//! Simulated network between the members and the leader, which delays, loses and duplicates messages.
 
-use super::{Message, World};
+use super::{Message, Simulation};
 use crate::recorder::TAG_RESPONSE;
 use beamgap_budgets::leader::AgreedState;
 use beamgap_budgets::message::{PollRequest, PollResponse};
 
-impl World {
-    /// Messages that have come by now are handled; those for a member that stands still wait.
+impl Simulation {
+    /// Delivers all messages whose delay is over. Responses to a suspended member are postponed until it resumes.
     pub(super) fn deliver(&mut self) {
         let now = self.now;
         let all = std::mem::take(&mut self.in_flight);
@@ -54,9 +54,9 @@
         if !member.alive || member.id.incarnation != incarnation {
             return;
         }
-        if member.stopped_until > self.now {
+        if member.suspended_until > self.now {
             self.in_flight.push((
-                member.stopped_until,
+                member.suspended_until,
                 Message::Response(m, incarnation, response),
             ));
             return;
@@ -66,7 +66,7 @@
             .is_some_and(|(sequence, _)| sequence == response.sequence)
         {
             member.outstanding = None;
-            member.next_poll = self.now + self.times.floor_ms / 6.0;
+            member.next_poll = self.now + self.timings.floor_ms / 6.0;
         }
         member.budgets.handle_response(local, response);
     }
--- a/crates/budgets/tests/replay/specs.rs
+++ b/crates/budgets/tests/replay/specs.rs
@@ -1,16 +1,17 @@
-//! Budgets drawn from a seed.
+//! Random budgets for the recorded simulations.
 
 use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
 use beamgap_fakes::draw::Draw;
 use std::collections::BTreeMap;
 
-/// Budgets of all kinds; some are missing, and their figures and forms differ from draw to draw.
+/// Draws the budgets of a policy version. A version has at most one budget of each
+/// of six names; some are left out, and amounts, floors, weights and accounts vary.
 pub fn draw_specs(draw: &mut Draw) -> Vec<BudgetSpec> {
     let rate = Amount::Rate {
         per_second: [200.0, 40.0][draw.below(2) as usize],
         burst: [60, 20][draw.below(2) as usize],
     };
-    let few = Amount::Rate {
+    let low_rate = Amount::Rate {
         per_second: 30.0,
         burst: 12,
     };
@@ -18,22 +19,22 @@
         max: [24, 9][draw.below(2) as usize],
         max_duration_ms: [700.0, 1400.0][draw.below(2) as usize],
     };
-    let links = Amount::Concurrency {
+    let connections = Amount::Concurrency {
         max: 30,
         max_duration_ms: 300.0,
     };
-    let cold = Amount::Concurrency {
+    let warming = Amount::Concurrency {
         max: 1_000_000,
         max_duration_ms: 0.0,
     };
     let account = ["a", "b"][draw.below(2) as usize];
     let mut all = vec![
-        spec("again", Resource::Retries, None, None, few),
+        spec("again", Resource::Retries, None, None, low_rate),
         spec("all", Resource::Requests, None, None, rate),
-        spec("cold", Resource::WarmingEngines, None, None, cold),
-        spec("links", Resource::Connections, None, None, links),
+        spec("cold", Resource::WarmingEngines, None, None, warming),
+        spec("links", Resource::Connections, None, None, connections),
         spec("open", Resource::OpenRequests, None, Some("x"), open),
-        spec("single", Resource::Requests, Some(account), None, few),
+        spec("single", Resource::Requests, Some(account), None, low_rate),
     ];
     for spec in &mut all {
         if spec.name == "all" && draw.below(2) == 0 {
@@ -51,14 +52,14 @@
 
 fn spec(
     name: &str,
-    of: Resource,
+    resource: Resource,
     account: Option<&str>,
     class: Option<&str>,
     amount: Amount,
 ) -> BudgetSpec {
     BudgetSpec {
         name: name.to_owned(),
-        resource: of,
+        resource,
         account: account.map(str::to_owned),
         class: class.map(str::to_owned),
         amount,
--- a/crates/budgets/tests/replay/world.rs
+++ b/crates/budgets/tests/replay/world.rs
@@ -1,12 +1,15 @@
-//! A seeded world of one leader and several members on a set clock, whose outputs are recorded step by step.
+//! A seeded simulation of one leader and several members, which records their outputs step by step.
 //!
-//! It calls the public interface only, and records everything that a call gives back.
+//! The simulation calls only the public interface of the crate and records every result. Members' clocks and the
+//! leader's clock drift from the true time that the simulation keeps.
 
 mod events;
 mod messages;
 
-use super::recorder::{Recorder, TAG_ADMITTED, TAG_AMONG, TAG_EARLY_POLL, TAG_NO_EARLY_POLL};
-use super::recorder::{TAG_REJECTED, TAG_REPORT, TAG_REQUEST, TAG_SHARE};
+use super::recorder::{
+    Recorder, TAG_ADMITTED, TAG_EARLY_POLL, TAG_NO_EARLY_POLL, TAG_WARMING_SPLIT,
+};
+use super::recorder::{TAG_REJECTED, TAG_REQUEST, TAG_SHARE, TAG_STATUS};
 use super::specs::draw_specs;
 use beamgap_budgets::leader::{AgreedState, BudgetLeader};
 use beamgap_budgets::member::BudgetMember;
@@ -17,18 +20,18 @@
 use beamgap_fleet_types::MemberId;
 use std::collections::BTreeMap;
 
-/// Length of a step in milliseconds.
+/// Length of a simulation step, in milliseconds of true time.
 const STEP_MS: f64 = 10.0;
-/// Bound on how far clocks run apart.
+/// Bound on clock drift: the rate of each clock differs from 1 by less than this fraction.
 const MAX_DRIFT: f64 = 0.05;
-/// After so many milliseconds without a response, a member asks again.
+/// Time in milliseconds after which a member stops waiting for the response to a poll.
 const POLL_TIMEOUT_MS: f64 = 400.0;
-/// Steps between two drawn events.
-const EVENT_EVERY: u64 = 25;
-/// What requests come in: class and account.
+/// Number of steps between two random events.
+const STEPS_PER_EVENT: u64 = 25;
+/// Class and account of each stream of requests that arrives at a member.
 const STREAMS: [(&str, Option<&str>); 3] = [("x", Some("a")), ("y", Some("b")), ("x", None)];
 
-/// How often each kind of thing has happened, so that a recording of nothing is noticed.
+/// Numbers of events in a simulation. A test checks them, because a recording without events would test nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub admitted: u64,
@@ -51,15 +54,15 @@
     alive: bool,
     draining: bool,
     version: u64,
-    adopts_at: f64,
-    stopped_until: f64,
-    cut_until: f64,
+    activates_at: f64,
+    suspended_until: f64,
+    cut_off_until: f64,
     demand: [f64; STREAMS.len()],
-    owed: [f64; STREAMS.len()],
+    waiting: [f64; STREAMS.len()],
     sequence: u64,
     next_poll: f64,
     outstanding: Option<(u64, f64)>,
-    /// Units of limits in use: until when, and of which budget.
+    /// Units of concurrency limits in use: the true time until which each is in use, and the name of the budget.
     in_use: Vec<(f64, String)>,
     connections: u64,
 }
@@ -69,12 +72,12 @@
     Response(usize, u64, PollResponse),
 }
 
-pub struct World {
+pub struct Simulation {
     now: f64,
     draw: Draw,
     injected_bug: InjectedBug,
-    times: BudgetTimings,
-    /// The budgets of each version; the first is version 1.
+    timings: BudgetTimings,
+    /// The budgets of each policy version, beginning with version 1.
     versions: Vec<Vec<BudgetSpec>>,
     agreed_members: BTreeMap<MemberId, u64>,
     leader: BudgetLeader,
@@ -88,18 +91,18 @@
     pub counts: Counts,
 }
 
-impl World {
-    pub fn new(seed: u64, injected_bug: InjectedBug) -> World {
+impl Simulation {
+    pub fn new(seed: u64, injected_bug: InjectedBug) -> Simulation {
         let mut draw = Draw::new(seed);
-        let times = BudgetTimings::for_lease(1800.0, MAX_DRIFT);
+        let timings = BudgetTimings::for_lease(1800.0, MAX_DRIFT);
         let first = draw_specs(&mut draw);
         let loss = [0.0, 0.05, 0.25][draw.below(3) as usize];
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0.0,
-            leader: BudgetLeader::new(seed << 8, times, injected_bug),
+            leader: BudgetLeader::new(seed << 8, timings, injected_bug),
             draw,
             injected_bug,
-            times,
+            timings,
             versions: vec![first],
             agreed_members: BTreeMap::new(),
             leader_clock: (1.0 + MAX_DRIFT * 0.9, 500.0),
@@ -111,24 +114,26 @@
             recorder: Recorder::default(),
             counts: Counts::default(),
         };
-        world.leader.set_leadership(world.leader_now(), true);
-        for m in 0..3 + world.draw.below(4) as usize {
+        simulation
+            .leader
+            .set_leadership(simulation.leader_now(), true);
+        for m in 0..3 + simulation.draw.below(4) as usize {
             let clock = (
-                1.0 + MAX_DRIFT * (2.0 * world.draw.unit() - 1.0) * 0.99,
-                1e6 * world.draw.unit(),
+                1.0 + MAX_DRIFT * (2.0 * simulation.draw.unit() - 1.0) * 0.99,
+                1e6 * simulation.draw.unit(),
             );
-            let member = world.started(m, 1, clock);
-            world.members.push(member);
+            let member = simulation.new_member(m, 1, clock);
+            simulation.members.push(member);
         }
-        world
+        simulation
     }
 
-    /// One step; gives its line of the recording.
+    /// Simulates one step and returns its line of the recording.
     pub fn step(&mut self) -> String {
         self.now += STEP_MS;
         self.steps += 1;
-        if self.steps.is_multiple_of(EVENT_EVERY) {
-            self.event();
+        if self.steps.is_multiple_of(STEPS_PER_EVENT) {
+            self.apply_random_event();
         }
         self.deliver();
         let leader_now = self.leader_now();
@@ -139,21 +144,21 @@
         };
         self.leader.tick(leader_now, &agreed);
         for m in 0..self.members.len() {
-            if self.members[m].alive && self.members[m].stopped_until <= self.now {
-                self.adopt(m);
-                self.requests(m);
+            if self.members[m].alive && self.members[m].suspended_until <= self.now {
+                self.activate_newest(m);
+                self.receive_requests(m);
                 self.record_shares(m);
                 self.poll(m);
             }
         }
         if self.steps.is_multiple_of(10) {
-            self.recorder.tag(TAG_REPORT);
+            self.recorder.tag(TAG_STATUS);
             self.recorder.encoded(&self.leader.status());
         }
-        self.recorder.line()
+        self.recorder.take_line()
     }
 
-    fn started(&mut self, m: usize, incarnation: u64, clock: (f64, f64)) -> Member {
+    fn new_member(&mut self, m: usize, incarnation: u64, clock: (f64, f64)) -> Member {
         let id: MemberId = MemberId::new(format!("m{m}"), incarnation);
         let zone = if m.is_multiple_of(2) { "east" } else { "west" };
         let mut budgets = BudgetMember::new(id.clone(), zone, self.injected_bug);
@@ -168,11 +173,11 @@
             alive: true,
             draining: false,
             version,
-            adopts_at: 0.0,
-            stopped_until: 0.0,
-            cut_until: 0.0,
+            activates_at: 0.0,
+            suspended_until: 0.0,
+            cut_off_until: 0.0,
             demand: [20.0; STREAMS.len()],
-            owed: [0.0; STREAMS.len()],
+            waiting: [0.0; STREAMS.len()],
             sequence: 0,
             next_poll: self.now + m as f64 * 10.0,
             outstanding: None,
@@ -189,12 +194,12 @@
         self.now * self.members[m].clock.0 + self.members[m].clock.1
     }
 
-    /// A member takes on the newest version some time after it came into force.
-    fn adopt(&mut self, m: usize) {
+    /// Activates the newest policy version on a member, some time after the version has come into force.
+    fn activate_newest(&mut self, m: usize) {
         let newest = self.versions.len() as u64;
         let local = self.local_time(m);
         let member = &mut self.members[m];
-        if member.version < newest && self.now >= member.adopts_at {
+        if member.version < newest && self.now >= member.activates_at {
             member.version = newest;
             member
                 .budgets
@@ -202,15 +207,15 @@
         }
     }
 
-    fn requests(&mut self, m: usize) {
+    fn receive_requests(&mut self, m: usize) {
         let now = self.now;
         self.members[m].in_use.retain(|(until, _)| *until > now);
         for (stream, (class, account)) in STREAMS.into_iter().enumerate() {
             let member = &mut self.members[m];
-            member.owed[stream] =
-                (member.owed[stream] + member.demand[stream] * STEP_MS / 1000.0).min(40.0);
-            while self.members[m].owed[stream] >= 1.0 {
-                self.members[m].owed[stream] -= 1.0;
+            member.waiting[stream] =
+                (member.waiting[stream] + member.demand[stream] * STEP_MS / 1000.0).min(40.0);
+            while self.members[m].waiting[stream] >= 1.0 {
+                self.members[m].waiting[stream] -= 1.0;
                 self.admit(m, class, account);
             }
         }
@@ -224,11 +229,11 @@
 
     fn admit(&mut self, m: usize, class: &str, account: Option<&str>) {
         let budgets = &self.members[m].budgets;
-        let mut which = budgets.applicable(Resource::Requests, class, account);
+        let mut numbers = budgets.applicable(Resource::Requests, class, account);
         let limits = budgets.applicable(Resource::OpenRequests, class, account);
         let retries = budgets.applicable(Resource::Retries, class, account);
-        which.extend(&limits);
-        if !self.try_acquire(m, &which) {
+        numbers.extend(&limits);
+        if !self.try_acquire(m, &numbers) {
             return;
         }
         for i in limits {
@@ -236,7 +241,7 @@
                 .budgets
                 .specs()
                 .nth(i)
-                .expect("it is one of them")
+                .expect("the member has a budget of this number")
                 .name
                 .clone();
             let until = self.now + 600.0 * (0.2 + 0.8 * self.draw.unit());
@@ -247,12 +252,12 @@
         }
     }
 
-    fn try_acquire(&mut self, m: usize, which: &[usize]) -> bool {
+    fn try_acquire(&mut self, m: usize, numbers: &[usize]) -> bool {
         let local = self.local_time(m);
-        let used = self.used(m);
+        let in_use = self.units_in_use(m);
         match self.members[m]
             .budgets
-            .try_acquire(local, which, |i| used[i])
+            .try_acquire(local, numbers, |i| in_use[i])
         {
             Ok(()) => {
                 self.counts.admitted += 1;
@@ -268,10 +273,10 @@
         }
     }
 
-    /// Units in use of each of a member's budgets.
-    fn used(&self, m: usize) -> Vec<u64> {
+    /// The number of units that a member has in use, for each of its budgets.
+    fn units_in_use(&self, m: usize) -> Vec<u64> {
         let member = &self.members[m];
-        let of = |spec: &BudgetSpec| match spec.resource {
+        let units = |spec: &BudgetSpec| match spec.resource {
             Resource::Connections => member.connections,
             _ => member
                 .in_use
@@ -279,7 +284,7 @@
                 .filter(|(_, name)| *name == spec.name)
                 .count() as u64,
         };
-        member.budgets.specs().map(of).collect()
+        member.budgets.specs().map(units).collect()
     }
 
     fn record_shares(&mut self, m: usize) {
@@ -292,7 +297,7 @@
             recorder.number(budgets.unit_limit(i, local));
             if spec.resource == Resource::WarmingEngines {
                 let split = budgets.warming_split(i, local);
-                recorder.tag(TAG_AMONG);
+                recorder.tag(TAG_WARMING_SPLIT);
                 recorder.float(split.members);
                 recorder.number(split.index);
             }
@@ -301,11 +306,11 @@
 
     fn poll(&mut self, m: usize) {
         let local = self.local_time(m);
-        let used = self.used(m);
+        let in_use = self.units_in_use(m);
         let member = &mut self.members[m];
         if member
             .outstanding
-            .is_some_and(|(_, asked)| self.now - asked > POLL_TIMEOUT_MS)
+            .is_some_and(|(_, sent_at)| self.now - sent_at > POLL_TIMEOUT_MS)
         {
             member.outstanding = None;
             member.next_poll = self.now + 50.0;
@@ -325,12 +330,12 @@
         member.outstanding = Some((member.sequence, self.now));
         let request = member
             .budgets
-            .poll_request(local, member.sequence, |i| used[i]);
-        let is_cut = member.cut_until > self.now;
+            .poll_request(local, member.sequence, |i| in_use[i]);
+        let is_cut_off = member.cut_off_until > self.now;
         self.counts.full_statements += u64::from(request.full_statement.is_some());
         self.recorder.tag(TAG_REQUEST);
         self.recorder.encoded(&request);
-        if !is_cut {
+        if !is_cut_off {
             if self.draw.unit() < 0.03 {
                 self.send(Message::Request(m, request.clone()));
             }
--- a/crates/budgets/tests/spec.rs
+++ b/crates/budgets/tests/spec.rs
@@ -1,4 +1,5 @@
-//! Budgets as operators write them: what is read, and which problem is reported of each mistake.
+//! Tests of reading budgets from a policy document: the values
+//! of valid blocks, and the problem reported for each mistake.
 
 use beamgap_budgets::reader::{read, schema};
 use beamgap_budgets::spec::{Amount, BudgetSpec, Resource};
