--- a/crates/decisions/src/decide/retries.rs
+++ b/crates/decisions/src/decide/retries.rs
@@ -295,7 +295,7 @@
             .zones
             .zone_mut(&self.engines[engine].entry.zone)
             .engine_lost(engine);
-        self.record_bad_observation(engine, EjectionReason::SilentWithWork, actions);
+        self.record_bad_observation(engine, EjectionReason::NoProgress, actions);
     }
 
     /// Sends the request of a slow or lost attempt to another engine. The new attempt runs beside
--- a/crates/decisions/src/log_event.rs
+++ b/crates/decisions/src/log_event.rs
@@ -13,7 +13,7 @@
     /// Connections to the engine break before their requests are answered.
     ConnectionsBreak,
     /// The engine sends neither answers nor progress reports while attempts are in flight on it.
-    SilentWithWork,
+    NoProgress,
 }
 
 impl fmt::Display for EjectionReason {
@@ -22,7 +22,7 @@
             EjectionReason::AnswersWithErrors => "answers with errors",
             EjectionReason::ConnectionsFail => "connections fail",
             EjectionReason::ConnectionsBreak => "connections break",
-            EjectionReason::SilentWithWork => "silent with work out",
+            EjectionReason::NoProgress => "silent with work out",
         })
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -88,7 +88,7 @@
     b.arrive(request("b", 0, 5, 4000));
     let later = b.pass(1500);
     assert!(sent(&later).len() >= 2, "{later:?}");
-    let silent = EjectionReason::SilentWithWork;
+    let silent = EjectionReason::NoProgress;
     let is_ejection =
         |a: &Action| matches!(a, Action::Log(LogEvent::EngineEjected { reason, .. }) if *reason == silent);
     assert!(later.iter().any(is_ejection), "{later:?}");
