--- a/crates/decisions/src/decide/engine_list.rs
+++ b/crates/decisions/src/decide/engine_list.rs
@@ -3,7 +3,7 @@
 use super::load::{CONSERVATIVE_THREADS_PER_CORE, INITIAL_THREADS_PER_CORE};
 use super::Gateway;
 use crate::state::clock::Backoff;
-use crate::{Action, EngineEntry, EngineId, ListKind, LoadReport, WhenShort};
+use crate::{Action, EngineEntry, EngineId, ListKind, LoadReport, WhenMemoryFull};
 
 impl Gateway {
     pub(super) fn update_engine_list(
@@ -45,7 +45,7 @@
     /// Initial limit on threads per core. It is lower if engines overcommit their memory, because
     /// too many concurrent queries then slow all of them down.
     fn initial_threads_per_core(&self) -> f64 {
-        if self.settings.when_short == WhenShort::LetIn {
+        if self.settings.when_memory_full == WhenMemoryFull::Overcommits {
             CONSERVATIVE_THREADS_PER_CORE
         } else {
             INITIAL_THREADS_PER_CORE
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -80,7 +80,7 @@
 pub use log_event::{EjectionReason, LogEvent};
 pub use settings::{
     ClassSettings, Discovery, KindSettings, Machine, Repeat, RepeatGroup, Reports, RetryBudget,
-    Settings, SettingsError, SlowStart, SlowStartShare, TenantSettings, WhenShort,
+    Settings, SettingsError, SlowStart, SlowStartShare, TenantSettings, WhenMemoryFull,
 };
 pub use state::hash::mix;
 pub use state::key_queues::KeyQueues;
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -43,14 +43,14 @@
 
 /// What an engine does with a new query when all of its memory is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenShort {
+pub enum WhenMemoryFull {
     /// The query waits in the engine's memory queue.
-    Waits,
+    Queues,
     /// The query gets the memory that is left, and spills to disk.
-    GetsLess,
+    Spills,
     /// The engine admits the query and overcommits its memory; all of its queries slow down once
     /// the memory in use exceeds the physical memory.
-    LetIn,
+    Overcommits,
 }
 
 /// How the engine list reaches the gateway.
@@ -173,7 +173,7 @@
     /// Whether engines apply the priority in [`Action::SetTerms`](crate::Action::SetTerms).
     pub priorities: bool,
     /// What an engine does with a new query when all of its memory is granted.
-    pub when_short: WhenShort,
+    pub when_memory_full: WhenMemoryFull,
     /// Maximum fraction of an engine's memory that one query can be granted.
     pub largest_grant: f64,
     /// Interval at which engines report the progress of an attempt; `None` if they report no
@@ -209,7 +209,7 @@
             key_rest: Micros(0),
             grants: false,
             priorities: false,
-            when_short: WhenShort::Waits,
+            when_memory_full: WhenMemoryFull::Queues,
             largest_grant: 1.0,
             progress_interval: None,
             reports_cost: false,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     ClassSettings, Discovery, KindSettings, LoadReport, Micros, Repeat, RepeatGroup, Reports, RetryBudget,
-    Settings, SlowStart, TenantSettings, WhenShort,
+    Settings, SlowStart, TenantSettings, WhenMemoryFull,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -269,9 +269,13 @@
 fn read_engine_rules(pairs: &Pairs, settings: &mut Settings) -> Parsed<()> {
     settings.grants = pairs.flag("Domain.Grants")?.unwrap_or(false);
     settings.priorities = pairs.flag("Domain.Priorities")?.unwrap_or(false);
-    let when_short =
-        [("line_up", WhenShort::Waits), ("cut", WhenShort::GetsLess), ("overcommit", WhenShort::LetIn)];
-    settings.when_short = pairs.one_of("Domain.OutOfMemory", &when_short, WhenShort::Waits)?;
+    let when_memory_full = [
+        ("line_up", WhenMemoryFull::Queues),
+        ("cut", WhenMemoryFull::Spills),
+        ("overcommit", WhenMemoryFull::Overcommits),
+    ];
+    settings.when_memory_full =
+        pairs.one_of("Domain.OutOfMemory", &when_memory_full, WhenMemoryFull::Queues)?;
     settings.largest_grant = pairs.number("Domain.LargestShare")?.unwrap_or(1.0);
     settings.progress_interval = pairs.time("Domain.TellsEvery")?.filter(|every| every.0 > 0);
     settings.reports_cost = pairs.flag("Domain.TellsCost")?.unwrap_or(false);
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -147,12 +147,14 @@
 #[test]
 fn an_engine_that_lets_in_what_memory_does_not_hold_is_filled_to_a_thread_a_core_at_first() {
     // bratislava-main, overload: seven threads a core within four seconds, and none of them ever ended.
-    for (when_short, least, most) in [(WhenShort::LetIn, 6.0, 8.0), (WhenShort::Waits, 12.0, 15.0)] {
-        let mut b = Bench::new(Settings { when_short, grants: false, ..of(1) }, fleet(4));
+    for (when_memory_full, least, most) in
+        [(WhenMemoryFull::Overcommits, 6.0, 8.0), (WhenMemoryFull::Queues, 12.0, 15.0)]
+    {
+        let mut b = Bench::new(Settings { when_memory_full, grants: false, ..of(1) }, fleet(4));
         let all: usize =
             (0..40).map(|i| sent(&b.arrive(request(&format!("h{i}"), 1, i, 20_000))).len()).sum();
         let a_machine = all as f64 * 4.0 / 4.0;
-        assert!((least..=most).contains(&a_machine), "{when_short:?}: {a_machine} threads on 8 cores");
+        assert!((least..=most).contains(&a_machine), "{when_memory_full:?}: {a_machine} threads on 8 cores");
     }
 }
 
@@ -160,7 +162,8 @@
 fn light_work_passes_the_bound_only_where_priorities_speed_it_up() {
     // bratislava-main, overload: light queries went on to engines that could answer none in time.
     for (priorities, least, most) in [(true, 200, 200), (false, 20, 80)] {
-        let s = Settings { priorities, when_short: WhenShort::LetIn, hedging: false, ..of(1) };
+        let s =
+            Settings { priorities, when_memory_full: WhenMemoryFull::Overcommits, hedging: false, ..of(1) };
         let mut b = Bench::new(s, fleet(4));
         warm_up(&mut b, 20);
         b.arrive(request("h", 1, 9, 20_000));
@@ -285,7 +288,12 @@
 fn what_is_held_is_answered_before_a_stall_of_the_gateway_could_lose_it() {
     // i64d70b: gateways stood still for up to two seconds with requests held; 511 had no answer in their time.
     for left in [2400, 3000, 20_000] {
-        let mut s = Settings { when_short: WhenShort::LetIn, cancel: false, priorities: false, ..of(1) };
+        let mut s = Settings {
+            when_memory_full: WhenMemoryFull::Overcommits,
+            cancel: false,
+            priorities: false,
+            ..of(1)
+        };
         s.classes.iter_mut().for_each(|c| (c.late_weight, c.latency_objective) = (0.5, ms(2000)));
         let mut b = Bench::new(s, fleet(1));
         let mut open = BTreeSet::new();
