--- a/crates/decisions/src/decide/attempts.rs
+++ b/crates/decisions/src/decide/attempts.rs
@@ -113,7 +113,7 @@
                 .map_or(WINDOW, |rule| rule.warm_within);
             engine.warmup_work_sent(now, work_ms, span);
         }
-        if self.class(request).holds_tables {
+        if self.class(request).locks_tables {
             self.engines
                 .lock_group(index, request.request.table_group, request.deadline);
         }
@@ -149,7 +149,7 @@
         let is_outsized = request.work_ms > OUTSIZED_QUERY_FACTOR * class_work_ms
             && self.is_under_pressure(index, self.load(index));
         if self.can_be_in_time(request) && !is_outsized {
-            IN_TIME_PRIORITY + u8::from(self.class(request).holds_tables)
+            IN_TIME_PRIORITY + u8::from(self.class(request).locks_tables)
         } else {
             LOW_PRIORITY
         }
@@ -195,7 +195,7 @@
     /// Removes an ended attempt from its engine's load and releases its table lock.
     fn release_engine(&mut self, sequence: u64, index: usize, memory_mb: f64) {
         let request = &self.requests[sequence];
-        if self.class(request).holds_tables {
+        if self.class(request).locks_tables {
             self.engines
                 .unlock_group(index, request.request.table_group);
         }
@@ -235,7 +235,7 @@
                     self.record_memory_shortage(sequence, engine);
                 }
             }
-            Progress::WaitsForHolder => {
+            Progress::WaitsForTableLock => {
                 let group = self.requests[sequence].request.table_group;
                 let until = self.clock.now.plus(OBSERVED_LOCK_TTL);
                 self.engines.observe_group_lock(engine, group, until);
--- a/crates/decisions/src/decide/dispatch.rs
+++ b/crates/decisions/src/decide/dispatch.rs
@@ -61,7 +61,7 @@
         let group = request.request.table_group;
         let mut candidates = ranked;
         candidates.retain(|engine| self.is_usable(sequence, *engine));
-        if self.class(request).holds_tables {
+        if self.class(request).locks_tables {
             candidates
                 .retain(|engine| !self.engines.is_group_locked(*engine, group, self.clock.now));
         }
--- a/crates/decisions/src/decide/routing.rs
+++ b/crates/decisions/src/decide/routing.rs
@@ -139,7 +139,7 @@
         let group = request.request.table_group;
         let plan = self.placement.plans.get(request.request.class.0);
         let part = plan.and_then(|plan| plan.part(group, index));
-        let (avoided, unplanned, distance) = if class.holds_tables {
+        let (avoided, unplanned, distance) = if class.locks_tables {
             // A query that locks its table group is placed by the hash of the request, away from
             // engines that serve readers of the group.
             let distance =
@@ -152,7 +152,7 @@
                 rendezvous_distance(engine.hash, group) / self.placement_weight(class, engine);
             (false, true, distance)
         };
-        let is_blocked_by_locks = class.waits_for_holder || class.holds_tables;
+        let is_blocked_by_locks = class.waits_for_table_lock || class.locks_tables;
         let is_locked =
             is_blocked_by_locks && self.engines.is_group_locked(index, group, self.clock.now);
         RankedEngine {
@@ -181,7 +181,7 @@
     /// Whether a table group is placed on an engine for a class whose queries wait for table locks.
     fn group_is_read_on(&self, group: u64, engine: usize) -> bool {
         let plans = self.placement.plans.iter().zip(&self.settings.classes);
-        let mut readers = plans.filter(|(_, class)| class.waits_for_holder);
+        let mut readers = plans.filter(|(_, class)| class.waits_for_table_lock);
         readers.any(|(plan, _)| plan.part(group, engine).is_some())
     }
 
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -148,7 +148,7 @@
     /// The query is queued for memory on the engine.
     WaitsForMemory,
     /// The query waits for another query that has its tables locked.
-    WaitsForHolder,
+    WaitsForTableLock,
 }
 
 /// The end of an attempt, with what was measured about the attempt.
--- a/crates/decisions/src/settings/class.rs
+++ b/crates/decisions/src/settings/class.rs
@@ -75,10 +75,10 @@
     /// Number of threads that one query runs on.
     pub threads: f64,
     /// Whether a query locks its table group on the engine while it runs.
-    pub holds_tables: bool,
+    pub locks_tables: bool,
     /// Whether a query waits on an engine while another query there holds a lock on its table
     /// group.
-    pub waits_for_holder: bool,
+    pub waits_for_table_lock: bool,
 }
 
 impl ClassSettings {
@@ -97,8 +97,8 @@
             kinds: None,
             zones: None,
             threads: 1.0,
-            holds_tables: false,
-            waits_for_holder: false,
+            locks_tables: false,
+            waits_for_table_lock: false,
         }
     }
 }
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -53,7 +53,7 @@
         self.stalled |= !matches!(progress, Progress::ShareDone(_));
         self.waits = matches!(
             progress,
-            Progress::WaitsForMemory | Progress::WaitsForHolder
+            Progress::WaitsForMemory | Progress::WaitsForTableLock
         );
     }
 
--- a/src/bin/beamgap-simulator-host/message.rs
+++ b/src/bin/beamgap-simulator-host/message.rs
@@ -244,7 +244,7 @@
         1 => Ok(Progress::ShareDone(value)),
         2 => Ok(Progress::Spilling(value)),
         3 if value < WAITS_FOR_HOLDER_FROM => Ok(Progress::WaitsForMemory),
-        3 => Ok(Progress::WaitsForHolder),
+        3 => Ok(Progress::WaitsForTableLock),
         other => unexpected(&other.to_string(), EXPECTED_TOPIC),
     }
 }
--- a/src/node/backend/line_protocol/wire.rs
+++ b/src/node/backend/line_protocol/wire.rs
@@ -73,7 +73,7 @@
             "so_far" => Some(Progress::ShareDone(value)),
             "lacking" => Some(Progress::Spilling(value)),
             "waiting" if value < 1.5 => Some(Progress::WaitsForMemory),
-            "waiting" => Some(Progress::WaitsForHolder),
+            "waiting" => Some(Progress::WaitsForTableLock),
             _ => None,
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -160,14 +160,14 @@
 fn read_classes(pairs: &Pairs) -> Parsed<Vec<ClassSettings>> {
     let count = pairs.count("Classes")?;
     let threads = pairs.numbers("Domain.ThreadsByClass", count)?;
-    let holds_tables = pairs.flags("Domain.ClassLoad", count)?;
-    let waits_for_holder = pairs.flags("Domain.ClassWaits", count)?;
+    let locks_tables = pairs.flags("Domain.ClassLoad", count)?;
+    let waits_for_table_lock = pairs.flags("Domain.ClassWaits", count)?;
     let mut classes = Vec::new();
     for index in 0..count {
         let mut class = read_class(pairs, index)?;
         class.threads = threads.as_ref().map_or(1.0, |threads| threads[index]);
-        class.holds_tables = holds_tables.as_ref().is_some_and(|holds| holds[index]);
-        class.waits_for_holder = waits_for_holder.as_ref().is_some_and(|waits| waits[index]);
+        class.locks_tables = locks_tables.as_ref().is_some_and(|holds| holds[index]);
+        class.waits_for_table_lock = waits_for_table_lock.as_ref().is_some_and(|waits| waits[index]);
         classes.push(class);
     }
     Ok(classes)
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -316,7 +316,7 @@
     // Loads of two groups on five engines stood in line there until their clients had left: each line kept memory
     // and served the oldest first.
     let mut s = settings();
-    (s.classes[1].holds_tables, s.classes[1].repeat) = (true, Repeat::Unsafe);
+    (s.classes[1].locks_tables, s.classes[1].repeat) = (true, Repeat::Unsafe);
     let mut b = Bench::new(s, vec![member("a:1"), member("b:1")]);
     let first = sent(&b.arrive(request("l1", 1, 7, 20_000)))[0].clone();
     let second = sent(&b.arrive(request("l2", 1, 7, 20_000)))[0].clone();
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -85,7 +85,7 @@
 #[test]
 fn many_holders_and_readers_of_a_group_keep_apart() {
     let mut s = settings();
-    (s.classes[0].waits_for_holder, s.classes[1].holds_tables) = (true, true);
+    (s.classes[0].waits_for_table_lock, s.classes[1].locks_tables) = (true, true);
     let mut b = Bench::new(s, fleet(4));
     let holder = sent(&b.arrive(request("w", 1, 3, 20_000)));
     for i in 0..6 {
--- a/tests/renaming.rs
+++ b/tests/renaming.rs
@@ -45,7 +45,7 @@
         3 => Repeat::Keyed { group: RepeatGroup::Zone, window: ms(1500) },
         _ => Repeat::Safe,
     };
-    (class.holds_tables, class.in_order) = (place == 2, place == 2);
+    (class.locks_tables, class.in_order) = (place == 2, place == 2);
     class
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -80,7 +80,7 @@
 fn holders_of_one_group_are_spread_and_keep_off_its_readers() {
     // amman-main-later rough-2: all gateways sent the loads of a group to one engine; each stood behind the other.
     let mut s = of(80);
-    (s.classes[0].waits_for_holder, s.classes[1].holds_tables) = (true, true);
+    (s.classes[0].waits_for_table_lock, s.classes[1].locks_tables) = (true, true);
     let home = sent(&Bench::new(s.clone(), fleet(12)).arrive(request("r", 0, 3, 4000)))[0].clone();
     let mut used = BTreeSet::new();
     for i in 0..24 {
