--- a/crates/decisions/src/decide/ordering.rs
+++ b/crates/decisions/src/decide/ordering.rs
@@ -42,7 +42,7 @@
         if !outcome.may_still_run() {
             return;
         }
-        let until = self.clock.now.plus(self.settings.key_rest);
+        let until = self.clock.now.plus(self.settings.key_pause);
         let request = &self.requests[sequence];
         if let Some(key) = self.ordering_key(request) {
             self.keys.pause(key, until);
--- a/crates/decisions/src/settings/mod.rs
+++ b/crates/decisions/src/settings/mod.rs
@@ -167,7 +167,7 @@
     pub drain_grace: Micros,
     /// How long requests with the same ordering key are held back after an attempt that may still
     /// be running on its engine.
-    pub key_rest: Micros,
+    pub key_pause: Micros,
     /// Whether engines apply the memory grant in [`Action::SetTerms`](crate::Action::SetTerms).
     pub grants: bool,
     /// Whether engines apply the priority in [`Action::SetTerms`](crate::Action::SetTerms).
@@ -206,7 +206,7 @@
             retry_budget: None,
             slow_start: None,
             drain_grace: Micros(0),
-            key_rest: Micros(0),
+            key_pause: Micros(0),
             grants: false,
             priorities: false,
             when_memory_full: WhenMemoryFull::Queues,
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -44,7 +44,7 @@
 const DEFAULT_MAX_OPEN: f64 = 30_000.0;
 /// Added to the configured pause of an ordering key after an attempt that may still be running. The attempt may end at
 /// the engine slightly later than at the node, and the next request with the same key must not overtake it.
-const EXTRA_KEY_REST: Micros = Micros::from_millis(100);
+const EXTRA_KEY_PAUSE: Micros = Micros::from_millis(100);
 /// Default upper bound of the Retry-After that a rejection tells the client.
 const DEFAULT_MAX_RETRY_AFTER: Micros = Micros::from_millis(1000);
 
@@ -244,7 +244,7 @@
     };
     module.retry_after = Some(module.retry_after.unwrap_or(max_retry_after));
     if module.classes.iter().any(|class| class.in_order) {
-        module.key_rest = module.key_rest.plus(EXTRA_KEY_REST);
+        module.key_pause = module.key_pause.plus(EXTRA_KEY_PAUSE);
     }
     Ok(PlatformSettings { flat, module, notes })
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -150,7 +150,7 @@
     settings.retry_budget = read_retry_budget(&pairs)?;
     settings.slow_start = read_slow_start(&pairs)?;
     settings.drain_grace = pairs.time("Contract.DrainGrace")?.unwrap_or_default();
-    settings.key_rest = pairs.time("Contract.TurnGap")?.unwrap_or_default();
+    settings.key_pause = pairs.time("Contract.TurnGap")?.unwrap_or_default();
     read_engine_rules(&pairs, &mut settings)?;
     settings.check().or_else(|error| unexpected(&error.to_string(), "consistent settings"))?;
     let notes = notes::notes(given, &pairs.looked_up.borrow());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -43,7 +43,7 @@
     let mut s = common::settings();
     s.classes = classes;
     s.gateways = 2;
-    (s.hedging, s.max_attempts, s.key_rest, s.drain_grace) = (hedging, Some(4), ms(500), ms(300));
+    (s.hedging, s.max_attempts, s.key_pause, s.drain_grace) = (hedging, Some(4), ms(500), ms(300));
     s.retry_budget = Some(RetryBudget { free: 2.0, per_request: 0.1, span: ms(3000) }).filter(|_| budget);
     let (warm_within, fall_span) = (ms(8000), ms(1500));
     s.slow_start = Some(SlowStart { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span });
