--- a/crates/decisions/src/decide/status.rs
+++ b/crates/decisions/src/decide/status.rs
@@ -34,13 +34,13 @@
 
     /// Number of engines that the gateway tracks: those in the engine list, and removed ones to
     /// which a tracked request was sent.
-    pub fn engines_held(&self) -> usize {
+    pub fn tracked_engines(&self) -> usize {
         self.engines.len()
     }
 
     /// Number of requests that the gateway tracks: those without an answer and those with an
     /// attempt in flight.
-    pub fn requests_held(&self) -> usize {
+    pub fn tracked_requests(&self) -> usize {
         self.requests.len()
     }
 
--- a/src/fleet/admission.rs
+++ b/src/fleet/admission.rs
@@ -215,7 +215,7 @@
     ///
     /// Engines that the policy excludes are returned as draining. `replaces_all` means that `engines` is the complete
     /// list; otherwise it contains only the entries that have changed.
-    pub fn engines_listed(&mut self, replaces_all: bool, engines: Vec<EngineEntry>) -> Vec<EngineEntry> {
+    pub fn update_engine_list(&mut self, replaces_all: bool, engines: Vec<EngineEntry>) -> Vec<EngineEntry> {
         self.engines.update(replaces_all, &engines);
         engines.into_iter().map(|engine| engines::apply_policy(&self.policy, engine)).collect()
     }
@@ -232,7 +232,7 @@
 
     /// Returns how a budget divides the load on engines that are warming up: among how many front ends, and the index
     /// of this front end, from 0. The result is `None` if no budget divides that load.
-    pub fn warm_up_share(&self) -> Option<(f64, u64)> {
+    pub fn warming_split(&self) -> Option<(f64, u64)> {
         self.budgets.borrow().warming_split(self.now())
     }
 }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -195,7 +195,7 @@
             }
             let entries: Vec<_> = listings.into_iter().map(|listing| listing.member).collect();
             let entries = match &mut self.admission {
-                Some(admission) => admission.engines_listed(kind != crate::ListKind::Changes, entries),
+                Some(admission) => admission.update_engine_list(kind != crate::ListKind::Changes, entries),
                 None => entries,
             };
             events.push(DispatcherEvent::EngineList(kind, number, entries));
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -198,7 +198,7 @@
         let now = self.clock.now();
         let (used, more_wanted) = self.line_protocol.links_used();
         let max_connections = admission.max_connections_per_engine(used, more_wanted);
-        self.dispatcher.set_warm_up_share(admission.warm_up_share());
+        self.dispatcher.set_warm_up_share(admission.warming_split());
         let next_poll_at = now + admission.next_poll_in();
         if let Some(previous) = self.admission_due.take() {
             self.timers.clear(previous);
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -303,7 +303,7 @@
                 open.insert(id);
             }
         }
-        let held = b.gateway.requests_held();
+        let held = b.gateway.tracked_requests();
         assert!(held > 5, "{left}: {held}");
         let last = (left as f64 * 0.75).min(2000.0) as u64;
         let refused_by_then = refused(&b.pass(left - last + 30));
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -282,7 +282,7 @@
         b.now = b.now.plus(ms(5));
     }
     b.pass(100);
-    assert_eq!(b.gateway.requests_held(), 0);
+    assert_eq!(b.gateway.tracked_requests(), 0);
 }
 
 #[test]
@@ -349,9 +349,9 @@
     }
     b.tell(list(ListKind::Changes, vec![EngineEntry { state: EngineState::Removed, ..member(&at.0) }]));
     b.tell(list(ListKind::Changes, vec![member("next")]));
-    assert_eq!(b.gateway.engines_held(), 3, "one place is free, one is remembered");
+    assert_eq!(b.gateway.tracked_engines(), 3, "one place is free, one is remembered");
     b.close("q", 0, &at, Outcome::Served, 20);
-    assert!(b.gateway.engines_held() == 3 && b.gateway.requests_held() == 0);
+    assert!(b.gateway.tracked_engines() == 3 && b.gateway.tracked_requests() == 0);
 }
 
 #[test]
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -208,7 +208,7 @@
         assert_eq!(common::cancelled(&gone), at.len());
         at.iter().for_each(|e| drop(b.close(&id, 0, e, Outcome::Cancelled, 10)));
     }
-    assert_eq!(b.gateway.requests_held(), 0);
+    assert_eq!(b.gateway.tracked_requests(), 0);
 }
 
 #[test]
