--- a/src/settings.rs
+++ b/src/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     ClassSettings, Discovery, KindSettings, LoadReport, Micros, Repeat, RepeatGroup, Reports, RetryBudget,
-    Settings, SlowStart, TenantSettings, WhenShort,
+    Settings, SlowStart, TenantSettings, WhenMemoryFull,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -150,7 +150,7 @@
     settings.retry_budget = read_retry_budget(&pairs)?;
     settings.slow_start = read_slow_start(&pairs)?;
     settings.drain_grace = pairs.time("Contract.DrainGrace")?.unwrap_or_default();
-    settings.key_rest = pairs.time("Contract.TurnGap")?.unwrap_or_default();
+    settings.key_pause = pairs.time("Contract.TurnGap")?.unwrap_or_default();
     read_engine_rules(&pairs, &mut settings)?;
     settings.check().or_else(|error| unexpected(&error.to_string(), "consistent settings"))?;
     let notes = notes::notes(given, &pairs.looked_up.borrow());
@@ -160,14 +160,14 @@
 fn read_classes(pairs: &Pairs) -> Parsed<Vec<ClassSettings>> {
     let count = pairs.count("Classes")?;
     let threads = pairs.numbers("Domain.ThreadsByClass", count)?;
-    let holds_tables = pairs.flags("Domain.ClassLoad", count)?;
-    let waits_for_holder = pairs.flags("Domain.ClassWaits", count)?;
+    let locks_tables = pairs.flags("Domain.ClassLoad", count)?;
+    let waits_for_table_lock = pairs.flags("Domain.ClassWaits", count)?;
     let mut classes = Vec::new();
     for index in 0..count {
         let mut class = read_class(pairs, index)?;
         class.threads = threads.as_ref().map_or(1.0, |threads| threads[index]);
-        class.holds_tables = holds_tables.as_ref().is_some_and(|holds| holds[index]);
-        class.waits_for_holder = waits_for_holder.as_ref().is_some_and(|waits| waits[index]);
+        class.locks_tables = locks_tables.as_ref().is_some_and(|holds| holds[index]);
+        class.waits_for_table_lock = waits_for_table_lock.as_ref().is_some_and(|waits| waits[index]);
         classes.push(class);
     }
     Ok(classes)
@@ -269,9 +269,13 @@
 fn read_engine_rules(pairs: &Pairs, settings: &mut Settings) -> Parsed<()> {
     settings.grants = pairs.flag("Domain.Grants")?.unwrap_or(false);
     settings.priorities = pairs.flag("Domain.Priorities")?.unwrap_or(false);
-    let when_short =
-        [("line_up", WhenShort::Waits), ("cut", WhenShort::GetsLess), ("overcommit", WhenShort::LetIn)];
-    settings.when_short = pairs.one_of("Domain.OutOfMemory", &when_short, WhenShort::Waits)?;
+    let when_memory_full = [
+        ("line_up", WhenMemoryFull::Queues),
+        ("cut", WhenMemoryFull::Spills),
+        ("overcommit", WhenMemoryFull::Overcommits),
+    ];
+    settings.when_memory_full =
+        pairs.one_of("Domain.OutOfMemory", &when_memory_full, WhenMemoryFull::Queues)?;
     settings.largest_grant = pairs.number("Domain.LargestShare")?.unwrap_or(1.0);
     settings.progress_interval = pairs.time("Domain.TellsEvery")?.filter(|every| every.0 > 0);
     settings.reports_cost = pairs.flag("Domain.TellsCost")?.unwrap_or(false);
