--- a/src/commands/policy.rs
+++ b/src/commands/policy.rs
@@ -119,7 +119,7 @@
     let FollowArgs { id, by, wait, fleet_args } = follow;
     let id = id.unwrap_or_else(new_change_id);
     let mut follower = ChangeFollower::new(id.clone(), Duration::from_secs(wait), &fleet_args)?;
-    // The leader rejects the change if another version than `base_version` is active when the change is proposed.
+    // The leader rejects the change if a version other than `base_version` is active when the change is proposed.
     let base_version = Some(follower.active_version()?);
     follower.follow(&ChangeRequest { id, requested_by: by, policy_text, base_version })
 }
