--- a/src/cli.rs
+++ b/src/cli.rs
@@ -260,8 +260,8 @@
     /// Node name to send to the service. It must differ from the names of all proxies.
     #[arg(long, default_value_t = format!("beamgap-watch-{}", std::process::id()))]
     pub node: String,
-    /// Reject responses of this type (cds, eds, lds, rds, all) with a NACK, to test how the service handles a rejection.
-    /// May be given more than once.
+    /// Reject responses of this type (cds, eds, lds, rds, all) with a NACK, to test how the service handles a
+    /// rejection. May be given more than once.
     #[arg(long, value_name = "TYPE", value_parser = ["cds", "eds", "lds", "rds", "all"])]
     pub nack: Vec<String>,
     /// Error text in the NACKs.
--- a/src/settings/notes.rs
+++ b/src/settings/notes.rs
@@ -26,7 +26,7 @@
     ("Classes.*.OnTime", "the latency objective is the deadline"),
     ("Classes.*.Repeat", "requests are not idempotent and never run twice"),
     ("Classes.*.Value", "priority weight 1"),
-    ("Contract.DrainGrace", "draining engines get no new attempts"),
+    ("Contract.DrainGrace", "draining engines get no new attempts, effective at once"),
     ("Contract.ExtraRatio", "no retry budget proportional to the requests"),
     ("Contract.Fall", "engines need no slow start"),
     ("Domain.CoresByKind", "8 cores per engine"),
@@ -45,7 +45,7 @@
 
 /// Note for settings under which load reports arrive with probe results only.
 const REPORTS_ON_PROBE: &str =
-    "Report.How: load reports arrive with probe results only, so load is also estimated from own attempts, answers and progress reports";
+    "Report.How: load reports arrive with probe results only; own attempts, answers and progress reports fill the gaps";
 
 /// Maximum length of the list in a note, in characters. The list is truncated, because the number of settings in
 /// the configuration is not limited and a note is a single log line.
