--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! Short and long queries share the cores, disks and memory of the engines. The crate `beamgap-decisions`, which is
 //! re-exported here, decides how to route the queries: its [`Gateway`] receives [`Event`]s and returns [`Action`]s.
-//! This crate contains the program that runs the gateway: [`node`] implements sockets and timers, [`fleet`] implements the
-//! policy, the budgets and the tasks that front ends share, and [`settings`] reads settings by the platform's names.
+//! This crate contains the program that runs the gateway: [`node`] implements sockets and timers, [`fleet`] implements
+//! the policy, the budgets and the tasks that front ends share, and [`settings`] reads settings by the platform's
+//! names.
 //!
 //! ```
 //! use beamgap::*;
