--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform's front, good and bad, on real sockets.
+//! End-to-end tests of the JSON-RPC front over TCP, with well-behaved and misbehaving clients.
 
 #[path = "common/stage.rs"]
 mod stage;
@@ -60,13 +60,14 @@
 
 #[test]
 fn clients_that_never_end_a_message_are_let_go_before_memory_is_short() {
-    // Guards against many clients that each send most of a long message and then nothing: 48 MB for all of them.
+    // Memory exhaustion: 60 clients each send 1 MB of a longer message and then nothing more. The buffers of all
+    // clients may use 48 MB in total, so the front must close slow clients to be able to serve a new client.
     let mut stage = Stage::new(1, r#""listen":"127.0.0.1:0","#);
     let part = format!("raw Content-Length: 1048576\\r\\n\\r\\n{}", "x".repeat(1_000_000));
     for client in 0..60 {
         stage.go(&format!("c{client} send {part}"));
     }
-    stage.expect("a log line of the close", |stage| {
+    stage.expect("a log line about a closed slow client", |stage| {
         stage.turn();
         stage.node.take_log().iter().any(|line| line.starts_with("slow client"))
     });
@@ -74,8 +75,8 @@
         last expect {"jsonrpc":"2.0","id":1,"result":{"pass":true}}"#);
 }
 
-/// Cuts, doubles and changes bytes, the same way in every run.
-fn spoil(bytes: &[u8], seed: &mut u64) -> Vec<u8> {
+/// Truncates, duplicates, inserts or overwrites some bytes. The same seed gives the same corruption in every run.
+fn corrupt(bytes: &[u8], seed: &mut u64) -> Vec<u8> {
     let mut draw = |below: usize| {
         *seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (*seed >> 33) as usize % below.max(1)
@@ -95,18 +96,19 @@
 
 #[test]
 fn no_bytes_of_a_client_or_a_warehouse_bring_the_node_down() {
-    // Guards against input that panics: spoiled messages from clients, spoiled answers from warehouses.
+    // No input may make the node panic. Clients send corrupted messages, then engines send corrupted answers.
     let mut seed = 7;
     let mut stage = Stage::new(1, r#""listen":"127.0.0.1:0","#);
     let address = stage.node.address(beamgap::node::dispatcher::Front::JsonRpc).unwrap();
     let body = r#"{"jsonrpc":"2.0","id":3,"method":"lookup","params":{"rid":"00000000000000ab","budget":900,"acct":"leinster",
         "est":1e3,"memory":2,"doc":"c2VsZWN0IDEgZnJvbSBzXzEudA=="}}"#;
-    let good = format!("Content-Length: {}\r\n\r\n{body}", body.len());
+    let valid_request = format!("Content-Length: {}\r\n\r\n{body}", body.len());
     for _ in 0..600 {
-        let framed = spoil(good.as_bytes(), &mut seed);
-        let inner = spoil(body.as_bytes(), &mut seed);
-        let whole = [format!("Content-Length: {}\r\n\r\n", inner.len()).as_bytes(), &inner].concat();
-        for bytes in [framed, whole] {
+        let corrupt_frame = corrupt(valid_request.as_bytes(), &mut seed);
+        let corrupt_body = corrupt(body.as_bytes(), &mut seed);
+        let frame_of_corrupt_body =
+            [format!("Content-Length: {}\r\n\r\n", corrupt_body.len()).as_bytes(), &corrupt_body].concat();
+        for bytes in [corrupt_frame, frame_of_corrupt_body] {
             let mut peer = stage::Peer::new(std::net::TcpStream::connect(address).unwrap());
             peer.push(&bytes);
             stage.turn();
@@ -123,7 +125,7 @@
         for peer in &mut stage.houses[0].conns {
             let id = stage::rid(&format!("c{round}-1"));
             let line = format!("{id} {}{id} rows page=9 1\r\nx\r\n", answers[round as usize % 2]);
-            peer.push(&spoil(line.as_bytes(), &mut seed));
+            peer.push(&corrupt(line.as_bytes(), &mut seed));
         }
         stage.houses[0].conns.retain(|peer| !peer.closed);
         stage.turn();
@@ -135,12 +137,14 @@
 
 #[test]
 fn figures_and_names_that_cannot_be_are_turned_down_before_an_engine_sees_them() {
-    // Guards the engines' connections: what an engine can't read makes it close, whatever else is open there.
+    // The front must reject invalid parameters itself: an engine that can't parse a request closes the connection,
+    // and every other request in flight on that connection would be lost too.
     let mut stage = Stage::new(1, r#""listen":"127.0.0.1:0","#);
-    let good = r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"rid":"00000000000000ab","budget":900,
+    let valid_request =
+        r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"rid":"00000000000000ab","budget":900,
         "acct":"leinster","est":10.5,"memory":2,"doc":"eA=="}}"#
-        .replace('\n', "");
-    for (from, to) in [
+            .replace('\n', "");
+    for (valid, invalid) in [
         ("900", "1e18"),
         ("900", "-5"),
         ("900", "\"900\""),
@@ -153,14 +157,18 @@
         ("eA==", ""),
         ("eA==", "/w=="),
     ] {
-        stage.go(&format!("c1 send {}\nc1 expect 1 error -32602\nw wait silent", good.replace(from, to)));
+        stage.go(&format!(
+            "c1 send {}\nc1 expect 1 error -32602\nw wait silent",
+            valid_request.replace(valid, invalid)
+        ));
     }
-    stage.go(&format!("c1 send {good}\nw expect want *"));
+    stage.go(&format!("c1 send {valid_request}\nw expect want *"));
 }
 
 #[test]
 fn clients_that_say_nothing_or_half_a_thing_are_let_go_in_time() {
-    // Guards the descriptors: a client is owed a word or a close within 3 s, and one that has asked may stay.
+    // Descriptor exhaustion: a client that sends no complete message must get an error or a close within 3 s.
+    // A client that has sent a complete request may stay connected while it is idle.
     Stage::play(
         1,
         r#"c1 send raw Content-Le
@@ -184,7 +192,8 @@
 
 #[test]
 fn those_who_come_are_let_in_where_the_descriptors_are_all_held() {
-    // Guards against clients that ask once and keep their connection: 32 descriptors are 16 for clients.
+    // Descriptor exhaustion: 40 clients each send one request and stay connected, but only 16 of 32 descriptors are for
+    // clients. The front must close idle clients to accept new ones, but no client that has a request in flight.
     let mut stage = Stage::with_limits(1, r#"{"memory_mb":32,"sockets":32}"#);
     stage.go("busy send ask 1 lookup 2500 select 1 from s_1.t
         w expect want busy-1 *");
@@ -202,7 +211,8 @@
 
 #[test]
 fn a_client_that_floods_leaves_the_others_their_turn() {
-    // Guards against one connection that is worked off to its end while all others wait.
+    // Starvation: one client sends 400 requests at once.
+    // A request of another client must not wait until the front has answered all 400 requests.
     let mut stage = Stage::new(1, r#""listen":"127.0.0.1:0","#);
     let message = r#"{"jsonrpc":"2.0","id":1,"method":"no-such"}"#;
     let flood = format!("Content-Length: {}\\r\\n\\r\\n{message}", message.len()).repeat(400);
@@ -213,8 +223,8 @@
     while stage.answered("c1") {
         answers += 1;
     }
-    assert!(answers < 400, "the flood was worked off first");
-    stage.expect("the rest of the flood", |stage| {
+    assert!(answers < 400, "all requests of the flooding client were answered first");
+    stage.expect("the remaining answers to the flooding client", |stage| {
         answers += usize::from(stage.answered("c1"));
         answers == 400
     });
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One small test for each failure found, and some troubles in pairs.
+//! Regression tests of the dispatch decisions: one test for each failure found, and some for two failures at once.
 
 mod common;
 
@@ -6,27 +6,34 @@
 use common::{cancelled, engine, failed, list, member, ms, refused, request, sent, settings, Bench};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-fn fleet(n: usize) -> Vec<EngineEntry> {
+fn engines(n: usize) -> Vec<EngineEntry> {
     (0..n).map(|i| member(&format!("10.0.0.{i}:70"))).collect()
 }
 
-/// Sends light queries and lets each be served after `latency` ms on all engines but `bad`, which does `what`.
-fn play(b: &mut Bench, n: usize, latency: u64, bad: &EngineId, what: Option<Outcome>) -> usize {
-    let mut to_bad = 0;
+/// Sends `n` light queries. Engines serve each query after `latency` ms, but an attempt on the engine `bad` ends with
+/// `bad_outcome`, or stays in flight if that is `None`. Returns the number of attempts on `bad`.
+fn send_light_queries(
+    b: &mut Bench,
+    n: usize,
+    latency: u64,
+    bad: &EngineId,
+    bad_outcome: Option<Outcome>,
+) -> usize {
+    let mut attempts_on_bad = 0;
     for i in 0..n {
         let id = format!("p{}-{i}", b.now.0);
         let mut open: Vec<(u32, EngineId)> = Vec::new();
-        let mut next = 0;
+        let mut next_attempt = 0;
         let mut actions = b.arrive(request(&id, 0, i as u64 % 16, 4000));
         for _ in 0..4 {
             for e in sent(&actions) {
-                open.push((next, e));
-                next += 1;
+                open.push((next_attempt, e));
+                next_attempt += 1;
             }
             let Some((attempt, e)) = open.pop() else { break };
             if e == *bad {
-                to_bad += 1;
-                let Some(outcome) = what else { break };
+                attempts_on_bad += 1;
+                let Some(outcome) = bad_outcome else { break };
                 actions = b.close(&id, attempt, &e, outcome, latency);
             } else {
                 b.pass(latency);
@@ -35,30 +42,36 @@
         }
         b.pass(20);
     }
-    to_bad
+    attempts_on_bad
 }
 
-fn home_of(tables: u64) -> EngineId {
-    sent(&Bench::new(settings(), fleet(4)).arrive(request("probe", 0, tables, 4000)))[0].clone()
+fn first_engine_for(tables: u64) -> EngineId {
+    sent(&Bench::new(settings(), engines(4)).arrive(request("probe", 0, tables, 4000)))[0].clone()
 }
 
 #[test]
 fn an_engine_that_answers_with_errors_is_left_and_comes_back() {
-    let (mut b, bad) = (Bench::new(settings(), fleet(4)), home_of(0));
-    let first = play(&mut b, 60, 20, &bad, Some(Outcome::Error));
-    let then = play(&mut b, 60, 20, &bad, Some(Outcome::Error));
-    assert!(first >= 1 && first + then <= 8, "{first} then {then} of about 30");
+    let (mut b, bad) = (Bench::new(settings(), engines(4)), first_engine_for(0));
+    let first = send_light_queries(&mut b, 60, 20, &bad, Some(Outcome::Error));
+    let then = send_light_queries(&mut b, 60, 20, &bad, Some(Outcome::Error));
+    assert!(
+        first >= 1 && first + then <= 8,
+        "{first}, then {then} attempts on the failing engine; about 30 if it were not ejected"
+    );
     b.pass(9000);
-    assert!(play(&mut b, 200, 20, &bad, Some(Outcome::Served)) > 10, "half-open return");
+    assert!(
+        send_light_queries(&mut b, 200, 20, &bad, Some(Outcome::Served)) > 10,
+        "the engine must return to use through the half-open state"
+    );
 }
 
 #[test]
 fn resets_on_a_lossy_link_do_not_end_all_use_of_an_engine() {
-    // Incident i9c2c1a: two resets in a row counted as a lost engine and half of the fleet stood idle.
-    let (mut b, bad) = (Bench::new(settings(), fleet(4)), home_of(0));
+    // Incident i9c2c1a: two resets in a row counted as a lost engine, so half of the engines were ejected and idle.
+    let (mut b, bad) = (Bench::new(settings(), engines(4)), first_engine_for(0));
     let mut used = 0;
     for _ in 0..12 {
-        used += play(&mut b, 16, 10, &bad, Some(Outcome::Served));
+        used += send_light_queries(&mut b, 16, 10, &bad, Some(Outcome::Served));
         b.arrive(request(&format!("x{}", b.now.0), 0, 0, 4000));
         let id = format!("x{}", b.now.0);
         let again = b.close(&id, 0, &bad, Outcome::Reset, 5);
@@ -70,9 +83,9 @@
 
 #[test]
 fn a_heavy_query_alone_between_two_notes_is_no_silence() {
-    // Incidents i81d18c and ie839fe: engines with only heavy work out were ejected as silent.
-    let mut b = Bench::new(settings(), fleet(4));
-    play(&mut b, 40, 20, &engine("none"), None);
+    // Incidents i81d18c and ie839fe: engines with only heavy queries in flight were ejected as silent.
+    let mut b = Bench::new(settings(), engines(4));
+    send_light_queries(&mut b, 40, 20, &engine("none"), None);
     let at = sent(&b.arrive(request("h", 1, 5, 20_000)))[0].clone();
     let mut log = b.pass(950);
     b.note("h", 0, &at, Progress::ShareDone(0.5));
@@ -82,8 +95,8 @@
 
 #[test]
 fn what_hangs_on_a_silent_engine_is_tried_elsewhere() {
-    let mut b = Bench::new(settings(), fleet(4));
-    play(&mut b, 40, 20, &engine("none"), None);
+    let mut b = Bench::new(settings(), engines(4));
+    send_light_queries(&mut b, 40, 20, &engine("none"), None);
     b.arrive(request("a", 0, 5, 4000));
     b.arrive(request("b", 0, 5, 4000));
     let later = b.pass(1500);
@@ -94,33 +107,34 @@
     assert!(later.iter().any(is_ejection), "{later:?}");
 }
 
-/// Engines that all take `latency` ms for any light query, and end at once what is called off.
-struct SlowFleet {
+/// Simulates engines that all need `latency` ms for each light query, and that end a cancelled attempt at once.
+struct SlowEngines {
     bench: Bench,
     latency: u64,
-    /// Attempts that are out, with the time at which each is served.
-    out: Vec<(String, u32, EngineId, Micros)>,
+    /// Attempts in flight: request id, attempt number, engine, and the time at which the engine serves the attempt.
+    in_flight: Vec<(String, u32, EngineId, Micros)>,
     attempts: BTreeMap<String, u32>,
     ejected: BTreeSet<EngineId>,
 }
 
-impl SlowFleet {
-    fn take(&mut self, actions: Vec<Action>) {
+impl SlowEngines {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
                 Action::Forward { request, engine, .. } => {
                     let number = self.attempts.entry(request.0.to_string()).or_default();
                     let served_at = self.bench.now.plus(ms(self.latency));
-                    self.out.push((request.0.to_string(), *number, engine, served_at));
+                    self.in_flight.push((request.0.to_string(), *number, engine, served_at));
                     *number += 1;
                 }
                 Action::Cancel { request, attempt } => {
-                    let place = self
-                        .out
+                    let index = self
+                        .in_flight
                         .iter()
                         .position(|(id, number, ..)| **id == *request.0 && *number == attempt.0);
-                    let (id, number, engine, _) = self.out.remove(place.expect("what is called off is out"));
+                    let (id, number, engine, _) =
+                        self.in_flight.remove(index.expect("a cancelled attempt must be in flight"));
                     actions.extend(self.bench.close(&id, number, &engine, Outcome::Cancelled, 1));
                 }
                 _ => {}
@@ -133,34 +147,36 @@
     fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             let actions = self.bench.pass(10);
-            self.take(actions);
-            while let Some(place) = self.out.iter().position(|(.., served_at)| *served_at <= self.bench.now) {
-                let (id, number, engine, _) = self.out.remove(place);
+            self.apply_actions(actions);
+            while let Some(index) =
+                self.in_flight.iter().position(|(.., served_at)| *served_at <= self.bench.now)
+            {
+                let (id, number, engine, _) = self.in_flight.remove(index);
                 let actions = self.bench.close(&id, number, &engine, Outcome::Served, self.latency);
-                self.take(actions);
+                self.apply_actions(actions);
             }
         }
     }
 }
 
-/// The engines that were out of use at any time while all of them took `latency` ms for a while, with so many requests
-/// at a time.
-fn ejected_while_all_are_slow(latency: u64, at_once: u64) -> BTreeSet<EngineId> {
-    let mut bench = Bench::new(settings(), fleet(4));
-    play(&mut bench, 60, 20, &engine("none"), None);
-    let (out, attempts, ejected) = (Vec::new(), BTreeMap::new(), BTreeSet::new());
-    let mut fleet = SlowFleet { bench, latency, out, attempts, ejected };
+/// Sends `requests_per_round` light queries every 200 ms while all engines need `latency` ms for each query.
+/// Returns all engines that were ejected at any time during this run.
+fn ejected_while_all_are_slow(latency: u64, requests_per_round: u64) -> BTreeSet<EngineId> {
+    let mut bench = Bench::new(settings(), engines(4));
+    send_light_queries(&mut bench, 60, 20, &engine("none"), None);
+    let (in_flight, attempts, ejected) = (Vec::new(), BTreeMap::new(), BTreeSet::new());
+    let mut slow_engines = SlowEngines { bench, latency, in_flight, attempts, ejected };
     for round in 0..80 {
-        for i in round..round + at_once {
-            let actions = fleet.bench.arrive(request(&format!("s{round}-{i}"), 0, i % 16, 4000));
-            fleet.take(actions);
+        for i in round..round + requests_per_round {
+            let actions = slow_engines.bench.arrive(request(&format!("s{round}-{i}"), 0, i % 16, 4000));
+            slow_engines.apply_actions(actions);
         }
-        fleet.pass(200);
+        slow_engines.pass(200);
     }
-    fleet.ejected
+    slow_engines.ejected
 }
 
-/// Guards against a cause that all engines share being held against some of them.
+/// A slowdown that all engines share must not get any of them ejected as outliers.
 #[test]
 fn all_engines_slow_together_ejects_none() {
     for latency in [100, 200, 400] {
@@ -168,7 +184,8 @@
     }
 }
 
-/// Likewise where all have work, and take longer than any attempt is waited for before its silence counts.
+/// A slowdown that all engines share must not get any of them ejected as silent. Each engine has queries in flight, and
+/// needs longer for a query than the time without an answer after which a single silent engine is ejected.
 #[test]
 fn all_engines_silent_together_ejects_none() {
     for latency in [800, 1600] {
@@ -178,7 +195,7 @@
 
 #[test]
 fn every_engine_down_and_back() {
-    let mut b = Bench::new(settings(), fleet(2));
+    let mut b = Bench::new(settings(), engines(2));
     for i in 0..6 {
         let id = format!("d{i}");
         let mut actions = b.arrive(request(&id, 1, i, 20_000));
@@ -190,13 +207,13 @@
         b.pass(10);
     }
     let sends = sent(&b.pass(9000)).len();
-    assert!(sends >= 1, "held requests try the engines again after their rest");
-    assert!(sends < 40, "one at a time: {sends}");
+    assert!(sends >= 1, "waiting requests must be sent again once the ejections end");
+    assert!(sends < 40, "ejected engines must be tried with one request at a time: {sends} attempts");
     b.tell(list(ListKind::Changes, vec![EngineEntry { started: Some(b.now), ..member("10.0.0.0:70") }]));
     assert_eq!(
         sent(&b.arrive(request("z", 0, 1, 4000))).len(),
         1,
-        "a start that the list tells of ends the rest"
+        "an engine start in the engine list must end the ejection"
     );
 }
 
@@ -205,25 +222,25 @@
     let mut s = settings();
     let (warm_within, fall_span) = (ms(10_000), ms(1500));
     s.slow_start = Some(SlowStart { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span });
-    let (mut b, e) = (Bench::new(s, fleet(1)), engine("10.0.0.0:70"));
+    let (mut b, e) = (Bench::new(s, engines(1)), engine("10.0.0.0:70"));
     b.arrive(request("a", 0, 1, 4000));
     b.close("a", 0, &e, Outcome::ConnectFailed, 1);
     b.close("a", 1, &e, Outcome::ConnectFailed, 1);
-    assert!(sent(&b.arrive(request("b", 0, 1, 4000))).is_empty(), "the engine rests");
+    assert!(sent(&b.arrive(request("b", 0, 1, 4000))).is_empty(), "the engine must be ejected");
     b.pass(1500);
-    assert_eq!(sent(&b.arrive(request("c", 0, 1, 4000))).len(), 1, "half-open");
+    assert_eq!(sent(&b.arrive(request("c", 0, 1, 4000))).len(), 1, "a half-open engine must get one request");
     b.close("c", 0, &e, Outcome::Served, 50);
     b.pass(30);
     let many: usize = (0..200).map(|i| sent(&b.arrive(request(&format!("c{i}"), 0, 1, 4000))).len()).sum();
-    assert!((20..=60).contains(&many), "{many} sent at once to a cold engine");
+    assert!((20..=60).contains(&many), "{many} requests sent at once to a cold engine");
 }
 
 #[test]
 fn a_bad_plan_is_called_off_and_sent_again_only_after_its_outcome() {
     let mut s = settings();
     s.hedging = false;
-    let mut b = Bench::new(s, fleet(3));
-    play(&mut b, 30, 20, &engine("none"), None);
+    let mut b = Bench::new(s, engines(3));
+    send_light_queries(&mut b, 30, 20, &engine("none"), None);
     let at = sent(&b.arrive(request("h", 1, 5, 20_000)))[0].clone();
     b.pass(1000);
     let called = b.note("h", 0, &at, Progress::ShareDone(0.02));
@@ -233,7 +250,7 @@
 
 #[test]
 fn the_deadlines_own_timeout_is_answered_at_once() {
-    let mut b = Bench::new(settings(), fleet(1));
+    let mut b = Bench::new(settings(), engines(1));
     b.arrive(request("r", 0, 1, 500));
     b.now = b.now.plus(ms(500));
     let end = b.close("r", 0, &engine("10.0.0.0:70"), Outcome::TimedOut, 500);
@@ -254,18 +271,18 @@
 fn a_failed_list_call_is_asked_again_with_growing_pauses() {
     let mut s = settings();
     s.discovery = Discovery::Subscribed { ask_within: ms(10_000) };
-    let mut b = Bench::new(s, fleet(1));
-    let mut asked = 0;
+    let mut b = Bench::new(s, engines(1));
+    let mut calls = 0;
     for _ in 0..8 {
         b.tell(Event::ListFailed);
-        asked += b.pass(13_000).iter().filter(|a| matches!(a, Action::Subscribe(true))).count();
+        calls += b.pass(13_000).iter().filter(|a| matches!(a, Action::Subscribe(true))).count();
     }
-    assert_eq!(asked, 8, "one call for each failure, none lost");
+    assert_eq!(calls, 8, "each failed call must be followed by exactly one new call");
 }
 
 #[test]
 fn late_and_unknown_ids_are_passed_over() {
-    let mut b = Bench::new(settings(), fleet(1));
+    let mut b = Bench::new(settings(), engines(1));
     assert!(b.tell(Event::ClientGone(request("ghost", 0, 1, 1).id)).is_empty());
     assert!(b.close("ghost", 3, &engine("nowhere"), Outcome::Served, 1).is_empty());
     assert!(b.note("ghost", 0, &engine("nowhere"), Progress::ShareDone(0.5)).is_empty());
@@ -273,7 +290,7 @@
 
 #[test]
 fn a_long_run_leaves_nothing_behind() {
-    let mut b = Bench::new(settings(), fleet(3));
+    let mut b = Bench::new(settings(), engines(3));
     for i in 0..3000 {
         let id = format!("m{i}");
         for e in sent(&b.arrive(request(&id, 0, i, 4000))) {
@@ -287,11 +304,12 @@
 
 #[test]
 fn one_lost_answer_is_noticed_while_its_engine_works() {
-    // Incident i0fb726: some answers vanished on every engine; without copies the query waited for its client's end.
+    // Incident i0fb726: some answers were lost on every engine. Without hedged requests, a query whose answer was lost
+    // waited until its client's deadline. The front end must notice the loss while the engine answers other queries.
     let mut s = settings();
     s.hedging = false;
-    let mut b = Bench::new(s, fleet(1));
-    play(&mut b, 40, 20, &engine("none"), None);
+    let mut b = Bench::new(s, engines(1));
+    send_light_queries(&mut b, 40, 20, &engine("none"), None);
     let at = sent(&b.arrive(request("gone", 0, 5, 4000)))[0].clone();
     let mut seen = Vec::new();
     for i in 0..20 {
@@ -299,31 +317,36 @@
         seen.extend(b.pass(50));
         seen.extend(b.close(&format!("o{i}"), 0, &at, Outcome::Served, 50));
     }
-    assert_eq!(cancelled(&seen), 1, "only the lost one is called off");
+    assert_eq!(cancelled(&seen), 1, "only the attempt whose answer was lost must be cancelled");
     assert_eq!(sent(&b.close("gone", 0, &at, Outcome::Cancelled, 900)).len(), 1);
 }
 
 #[test]
 fn a_request_that_no_engine_can_run_puts_no_engine_aside() {
-    // Clients that ask for what cannot be run had engines ejected in turn, and each such request tried six times.
-    let mut b = Bench::new(settings(), fleet(4));
+    // A request that no engine can run was tried six times, and its errors got one engine after another ejected.
+    let mut b = Bench::new(settings(), engines(4));
     for n in 0..20 {
         let id = format!("bad{n}");
         let mut actions = b.arrive(request(&id, 0, n, 4000));
         for attempt in 0..2 {
-            let at = sent(&actions).first().cloned().expect("an engine is tried");
+            let at = sent(&actions).first().cloned().expect("the request must be sent to an engine");
             actions = b.close(&id, attempt, &at, Outcome::Error, 5);
             assert!(!actions.iter().any(|a| matches!(a, Action::Log(_))), "{actions:?}");
         }
-        assert_eq!((sent(&actions).len(), refused(&actions)), (0, 1), "two engines are enough");
+        assert_eq!(
+            (sent(&actions).len(), refused(&actions)),
+            (0, 1),
+            "the request must be rejected after errors on two engines"
+        );
         b.pass(50);
     }
 }
 
 #[test]
 fn connections_that_break_put_no_engine_aside() {
-    // On a day of resets from all engines alike half of the fleet rested in turn, and work piled up on the other.
-    let mut b = Bench::new(settings(), fleet(2));
+    // On a day when all engines reset connections alike, half of the engines were ejected in turn.
+    // Queries then piled up on the engines that were not ejected.
+    let mut b = Bench::new(settings(), engines(2));
     for n in 0..6 {
         let id = format!("r{n}");
         let at = sent(&b.arrive(request(&id, 0, 1, 4000)))[0].clone();
@@ -339,8 +362,9 @@
 
 #[test]
 fn a_long_day_of_replacements_does_not_make_the_table_grow() {
-    // New machines have new ids: the place of one that is gone is free once no request remembers it.
-    let mut b = Bench::new(settings(), fleet(2));
+    // Each new machine has a new engine id, so a table of all engines ever seen would grow with each replaced machine.
+    // The engine table must reuse the entry of a removed engine once no request refers to that engine.
+    let mut b = Bench::new(settings(), engines(2));
     let at = sent(&b.arrive(request("q", 0, 1, 60_000)))[0].clone();
     for n in 0..50 {
         let name = format!("new{n}");
@@ -349,16 +373,20 @@
     }
     b.tell(list(ListKind::Changes, vec![EngineEntry { state: EngineState::Removed, ..member(&at.0) }]));
     b.tell(list(ListKind::Changes, vec![member("next")]));
-    assert_eq!(b.gateway.engines_held(), 3, "one place is free, one is remembered");
+    assert_eq!(b.gateway.engines_held(), 3, "one entry is reused, a request still refers to another");
     b.close("q", 0, &at, Outcome::Served, 20);
     assert!(b.gateway.engines_held() == 3 && b.gateway.requests_held() == 0);
 }
 
 #[test]
 fn an_engine_that_breaks_every_connection_is_left() {
-    // Guards against a process that dies of each request and stands again: it takes connections and serves nobody.
-    let (mut b, bad) = (Bench::new(settings(), fleet(4)), home_of(0));
-    let first = play(&mut b, 60, 20, &bad, Some(Outcome::Reset));
-    let then = play(&mut b, 60, 20, &bad, Some(Outcome::Reset));
-    assert!(first >= 1 && first + then <= 12, "{first} then {then} of about 30");
+    // An engine that crashes on each request and restarts accepts connections but serves no request.
+    // The front end must eject such an engine.
+    let (mut b, bad) = (Bench::new(settings(), engines(4)), first_engine_for(0));
+    let first = send_light_queries(&mut b, 60, 20, &bad, Some(Outcome::Reset));
+    let then = send_light_queries(&mut b, 60, 20, &bad, Some(Outcome::Reset));
+    assert!(
+        first >= 1 && first + then <= 12,
+        "{first}, then {then} attempts on the failing engine; about 30 if it were not ejected"
+    );
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node on real sockets, against parties that the scenarios speak for.
+//! End-to-end tests of the node over TCP. A script plays its clients, its engines and its service discovery.
 
 #[path = "common/stage.rs"]
 mod stage;
@@ -27,7 +27,8 @@
 
 #[test]
 fn what_never_ran_goes_on_and_what_may_have_run_is_failed_once() {
-    // Guards the rule that a load is never run twice: `overload` proves that it did not run, `crashed` does not.
+    // A non-idempotent request must not run twice. The answer `overload` proves that the engine hasn't run the request,
+    // so the request is retried. After the answer `crashed` the engine may have run the request, so the request fails.
     Stage::play(
         2,
         "c1 send ask 1 delivery-load 25000 insert into s_1.t values (1)
@@ -104,7 +105,10 @@
         c1 wait silent",
     );
     assert_eq!(stage.node.open_requests(), 0);
-    assert!(stage.clock.now() < START + 650.0, "within the grace after the deadline");
+    assert!(
+        stage.clock.now() < START + 650.0,
+        "the client must get its error within 50 ms after the deadline"
+    );
 }
 
 #[test]
@@ -126,7 +130,8 @@
 
 #[test]
 fn a_refusal_says_when_to_come_back() {
-    // No warehouse is left: a request that nobody can serve in its time is refused, with advice.
+    // Discovery has removed the only engine. A request that no engine can serve before its deadline is rejected, and
+    // the rejection contains a retry delay for the client.
     Stage::play(
         1,
         "c1 send ask 1 lookup 2500 select 1 from s_1.t
@@ -154,7 +159,7 @@
         w send c2-1 served pages=1 y\\t\\t\\n
         c2 expect 1 served y\\t\\t\\n
         clock wait 600");
-    assert!(!stage.node.is_shut_down(), "one request is still open");
+    assert!(!stage.node.is_shut_down(), "one request is still in flight");
     stage.push(0, "c1-1", b"served pages=1 4\r\nx\t\t\n\r\n");
     stage.go("c1 expect 1 served x\\t\\t\\n
         clock wait 60
@@ -168,7 +173,8 @@
 
 #[test]
 fn a_reload_takes_new_events_once_and_leaves_open_requests_alone() {
-    // Guards a bulletin that moves: its events go on by number, and those of the file that are known are old.
+    // A reload can move the node to another discovery server, whose list revisions continue those of the old server.
+    // The engine list in the reloaded configuration is applied only if its revision is higher than the last applied.
     let mut stage = Stage::play(
         1,
         "c1 send ask 1 lookup 2500 select 1 from s_1.t
@@ -180,7 +186,7 @@
         let text = text.replace(r#""no":1"#, &format!(r#""no":{no}"#));
         stage.node.reload(beamgap::node::config::Config::read(text.into_bytes(), &|_| None));
         let told = stage.node.take_log().iter().any(|line| line.starts_with("list: "));
-        assert_eq!(told, listed, "number {no}");
+        assert_eq!(told, listed, "revision {no}");
     }
     assert_eq!(stage.node.open_requests(), 1);
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: replies, malformed lines, the end of input.
+//! Tests of the simulator adapter as a child process: its replies, malformed input lines and the end of its input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,23 +6,24 @@
 const START: &str = "start 3 513 Balancers=2 Classes.count=1 Classes.0.Name=lookup Classes.0.HardLimit=3000.0 \
     Classes.0.OnTime=600.0 Classes.0.Repeat=pure Unknown.Key=7 MachineTypes=std-8,std-16 Domain.CoresByKind=8,16 \
     Domain.RamOfKindMb=16384.0,32768.0 Limits.Cancel=true Limits.RetryAfter=true Limits.MaxRetryAfter=1000.0";
-const LIST: &str = "directory 0 1\nengine hall-a 10.18.74.7:7003 std-8 1 0 - SERVING\nregistry 3 cached 41 0";
-const ORDER: &str = "order 3 5d3a91c4-9a26-468c-a1e0-bdd93e783a4d 12.0 1 11 - 240.0 lookup - 384";
+const ENGINE_LIST: &str =
+    "directory 0 1\nengine hall-a 10.18.74.7:7003 std-8 1 0 - SERVING\nregistry 3 cached 41 0";
+const REQUEST: &str = "order 3 5d3a91c4-9a26-468c-a1e0-bdd93e783a4d 12.0 1 11 - 240.0 lookup - 384";
 
-fn run(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_beamgap-simulator-host"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // It may end before it has read all, where a line is malformed.
-    let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+        .expect("the adapter must start");
+    // Ignores write errors: the adapter exits at a malformed line, before it has read all of its input.
+    let _ = child.stdin.take().expect("stdin is a pipe").write_all(input.as_bytes());
+    child.wait_with_output().expect("the adapter must exit")
 }
 
 fn replies(input: &str) -> String {
-    let out = run(input);
+    let out = run_adapter(input);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     String::from_utf8(out.stdout).expect("UTF-8")
 }
@@ -37,50 +38,53 @@
 fn a_request_is_sent_answered_and_the_ids_come_back_unchanged() {
     let closed = "closed_attempt 3 5d3a91c4-9a26-468c-a1e0-bdd93e783a4d 200 0 18.5 10.18.74.7:7003 1 69728 \
         outstanding:7,backlog:3,x0:0.4,x1:1.25,odd:1";
-    let text =
-        format!("clock 8412.25\n{START}\n{LIST}\n{ORDER}\neof_batch\nclock 8440\n{closed}\neof_batch\n");
-    let got = replies(&text);
-    assert!(got.contains("assign 3 5d3a91c4-9a26-468c-a1e0-bdd93e783a4d 10.18.74.7:7003 0\n"), "{got}");
-    assert!(got.contains("defer 3 25.000 1\n"), "{got}");
-    assert_eq!(got.lines().filter(|l| *l == "ok").count(), 2);
+    let text = format!(
+        "clock 8412.25\n{START}\n{ENGINE_LIST}\n{REQUEST}\neof_batch\nclock 8440\n{closed}\neof_batch\n"
+    );
+    let output = replies(&text);
+    assert!(output.contains("assign 3 5d3a91c4-9a26-468c-a1e0-bdd93e783a4d 10.18.74.7:7003 0\n"), "{output}");
+    assert!(output.contains("defer 3 25.000 1\n"), "{output}");
+    assert_eq!(output.lines().filter(|l| *l == "ok").count(), 2);
 }
 
 #[test]
 fn every_event_is_taken_and_late_ids_are_passed_over() {
-    let ghost = "0e6f2b19-b0d7-48d4-a6b5-0581994b8913";
+    let unknown_id = "0e6f2b19-b0d7-48d4-a6b5-0581994b8913";
     let events = format!(
-        "streaming 3 {ghost} 0 10.18.74.7:7003 9.25\nnotice 3 {ghost} 0.5 1 0 10.18.74.7:7003\n\
-         notice 3 {ghost} 2 3 0 10.18.74.7:7003\nclosed_attempt 3 {ghost} 408 0 18.5 10.18.74.7:7003 0 - -\n\
-         abandoned 3 {ghost}\ntimeout_fired 3 77\nsampled 3 10.18.74.7:7003 200 1.4 utilization:0.5\n\
+        "streaming 3 {unknown_id} 0 10.18.74.7:7003 9.25\nnotice 3 {unknown_id} 0.5 1 0 10.18.74.7:7003\n\
+         notice 3 {unknown_id} 2 3 0 10.18.74.7:7003\nclosed_attempt 3 {unknown_id} 408 0 18.5 10.18.74.7:7003 0 - -\n\
+         abandoned 3 {unknown_id}\ntimeout_fired 3 77\nsampled 3 10.18.74.7:7003 200 1.4 utilization:0.5\n\
          sampled 3 10.18.74.7:7003 521 250 -\npeer_data 3 2 aGkgNw==\npeer_data 3 2 -\nregistry 3 failed - -\n\
          shutdown 3"
     );
-    replies(&format!("clock 1\n{START}\n{LIST}\n{events}\neof_batch\n"));
+    replies(&format!("clock 1\n{START}\n{ENGINE_LIST}\n{events}\neof_batch\n"));
 }
 
 #[test]
 fn instances_share_nothing_and_one_may_start_again_in_a_batch() {
-    let two = START.replace("start 3 513", "start 4 514");
-    let text = format!("clock 1\n{START}\n{two}\n{LIST}\n{ORDER}\nshutdown 3\n{START}\neof_batch\n");
-    let got = replies(&text);
-    assert_eq!(got.lines().filter(|l| l.starts_with("assign")).count(), 1);
-    assert!(!got.contains(" 4 5d3a"), "{got}");
+    let second_instance = START.replace("start 3 513", "start 4 514");
+    let text = format!(
+        "clock 1\n{START}\n{second_instance}\n{ENGINE_LIST}\n{REQUEST}\nshutdown 3\n{START}\neof_batch\n"
+    );
+    let output = replies(&text);
+    assert_eq!(output.lines().filter(|l| l.starts_with("assign")).count(), 1);
+    assert!(!output.contains(" 4 5d3a"), "{output}");
 }
 
 #[test]
 fn a_very_long_batch_is_taken() {
-    // Light work goes past every bound where priorities speed it up.
-    let mut text = format!("clock 1\n{START} Domain.Priorities=true\n{LIST}\n");
+    // Where engines apply priorities, no load limit applies to light queries: all 5000 requests are sent at once.
+    let mut text = format!("clock 1\n{START} Domain.Priorities=true\n{ENGINE_LIST}\n");
     for i in 0..5000 {
         text.push_str(&format!("order 3 r{i} 12.0 1 {} - 3000.0 lookup - 38\n", i % 7));
     }
-    let got = replies(&format!("{text}eof_batch\n"));
-    assert_eq!(got.lines().filter(|l| l.starts_with("assign")).count(), 5000);
+    let output = replies(&format!("{text}eof_batch\n"));
+    assert_eq!(output.lines().filter(|l| l.starts_with("assign")).count(), 5000);
 }
 
 #[test]
 fn malformed_lines_end_it_with_the_line_the_found_and_the_expected() {
-    let bad = [
+    let malformed = [
         ("nonsense 1", 2),
         ("start 3 x", 2),
         ("start 3 513 Classes.count=1", 2),
@@ -98,15 +102,18 @@
         ("clock 2", 2),
         ("", 2),
     ];
-    for (lines, at) in bad {
-        let out = run(&format!("clock 1\n{lines}\neof_batch\n"));
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    for (lines, line_number) in malformed {
+        let out = run_adapter(&format!("clock 1\n{lines}\neof_batch\n"));
+        let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
         assert!(!out.status.success(), "{lines}");
-        assert!(said.contains(&format!("line {at}: found")) && said.contains("expected"), "{lines}: {said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        assert!(
+            stderr.contains(&format!("line {line_number}: found")) && stderr.contains("expected"),
+            "{lines}: {stderr}"
+        );
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
         assert!(out.stdout.is_empty());
     }
-    assert!(!run("clock 1\n").status.success(), "input ends inside a batch");
-    assert!(!run("clock 1\neof_ba").status.success(), "input ends inside a line");
-    assert!(!run("eof_batch\n").status.success(), "no batch is open");
+    assert!(!run_adapter("clock 1\n").status.success(), "input ends inside a batch");
+    assert!(!run_adapter("clock 1\neof_ba").status.success(), "input ends inside a line");
+    assert!(!run_adapter("eof_batch\n").status.success(), "no batch is open");
 }
