--- a/tests/races/main.rs
+++ b/tests/races/main.rs
@@ -1,4 +1,5 @@
-//! Events that may come in either order, each made to come in the bad one. `docs/races.md` is the table of them.
+//! Race tests: two events can happen in either order, and each test forces the order that is harder to handle.
+//! `docs/races.md` lists the races.
 
 #[path = "../common/stage.rs"]
 mod stage;
--- a/tests/races/start.rs
+++ b/tests/races/start.rs
@@ -1,4 +1,4 @@
-//! Signals that come before the program is ready for them, and what it needs to be ready.
+//! Races of the start: signals that arrive before the program serves requests, and a start without any engine.
 
 use crate::stage::{config, Stage};
 use std::fs::File;
@@ -7,22 +7,22 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// The program, held at the reading of its configuration: a pipe that nobody has written to.
-struct HeldProgram {
+/// The program, blocked while it reads its configuration from a named pipe to which the test has not written yet.
+struct BlockedProgram {
     child: Child,
     pipe: PathBuf,
     writer: File,
 }
 
-impl HeldProgram {
-    fn start(folder: &tempfile::TempDir) -> HeldProgram {
+impl BlockedProgram {
+    fn start(folder: &tempfile::TempDir) -> BlockedProgram {
         let pipe = folder.path().join("config.json");
         assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
         let mut command = Command::new(env!("CARGO_BIN_EXE_beamgap"));
         let child = command.env("NODE_CONFIG", &pipe).stderr(Stdio::piped()).spawn().unwrap();
-        // This returns once the program has opened the other end.
+        // Opening the named pipe for writing blocks until the program has opened the pipe for reading.
         let writer = File::options().write(true).open(&pipe).unwrap();
-        HeldProgram { child, pipe, writer }
+        BlockedProgram { child, pipe, writer }
     }
 
     fn signal(&self, name: &str) {
@@ -31,23 +31,23 @@
     }
 }
 
-fn text(bulletin: &TcpListener) -> String {
-    config(&[], bulletin.local_addr().unwrap(), r#""listen":"127.0.0.1:0","#)
+fn config_text(discovery: &TcpListener) -> String {
+    config(&[], discovery.local_addr().unwrap(), r#""listen":"127.0.0.1:0","#)
 }
 
 #[test]
 fn a_reload_signal_before_the_program_serves_is_a_reload_and_no_end() {
     let folder = tempfile::tempdir().unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut program = HeldProgram::start(&folder);
+    let mut program = BlockedProgram::start(&folder);
     program.signal("-HUP");
-    program.writer.write_all(text(&discovery).as_bytes()).unwrap();
+    program.writer.write_all(config_text(&discovery).as_bytes()).unwrap();
     drop(program.writer);
     let mut log = BufReader::new(program.child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    assert!(log.any(|line| line.contains("listen: ")), "the program is gone");
-    // It reads the file anew as soon as it serves.
-    std::fs::write(&program.pipe, text(&discovery)).unwrap();
-    assert!(log.any(|line| line.ends_with("reload: done")), "the program is gone");
+    assert!(log.any(|line| line.contains("listen: ")), "the program has exited");
+    // The program handles the pending reload signal once it serves requests, and reads its configuration again.
+    std::fs::write(&program.pipe, config_text(&discovery)).unwrap();
+    assert!(log.any(|line| line.ends_with("reload: done")), "the program has exited");
     program.child.kill().unwrap();
     program.child.wait().unwrap();
 }
@@ -56,9 +56,9 @@
 fn a_signal_to_end_before_the_program_serves_ends_it_well() {
     let folder = tempfile::tempdir().unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut program = HeldProgram::start(&folder);
+    let mut program = BlockedProgram::start(&folder);
     program.signal("-TERM");
-    program.writer.write_all(text(&discovery).as_bytes()).unwrap();
+    program.writer.write_all(config_text(&discovery).as_bytes()).unwrap();
     drop(program.writer);
     let mut log = String::new();
     program.child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
