--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,4 +1,5 @@
-//! The mechanism, step by step, seen from outside.
+//! Decisions of one gateway, checked through its events and actions: placement of table groups, memory admission,
+//! rejection, load reports, table locks, a missing list of engines, and errors in settings.
 
 mod common;
 
@@ -22,23 +23,27 @@
         assert_eq!(a, b, "table group {tables}");
         homes.extend(a);
     }
-    assert!(homes.len() >= 4, "the groups spread over the fleet");
+    assert!(homes.len() >= 4, "the groups are spread over the fleet");
 }
 
 #[test]
 fn without_trouble_everything_passes_and_after_it_a_heavy_query_waits_for_memory() {
     let mut b = Bench::new(settings(), fleet(1));
     let home = engine("10.0.0.0:70");
-    // No trouble yet: heavy queries pass unflagged, up to the own-threads bound.
+    // Before any engine reports pressure, heavy queries are sent at once, up to the gateway's own bound on threads.
     assert_eq!(sent(&b.arrive(request("h0", 1, 1, 20_000))).len(), 1);
     assert_eq!(sent(&b.arrive(request("h1", 1, 1, 20_000))).len(), 1);
-    // Both wait for memory: trouble, a miss each, and their like is on the miss list.
+    // Both queries report that they wait for memory. Neither was flagged as likely to run short of memory, so the
+    // gateway now flags similar queries.
     b.note("h0", 0, &home, Progress::WaitsForMemory);
     b.note("h1", 0, &home, Progress::WaitsForMemory);
-    assert!(sent(&b.arrive(request("h2", 1, 1, 20_000))).is_empty(), "flagged, and no memory is free");
-    // A light query passes all the same.
+    assert!(
+        sent(&b.arrive(request("h2", 1, 1, 20_000))).is_empty(),
+        "the query is flagged as likely to run short of memory, and no memory is free"
+    );
+    // A light query is not flagged, so the gateway sends it at once.
     assert_eq!(sent(&b.arrive(request("l", 0, 1, 4000))).len(), 1);
-    // Memory comes free: the held one goes.
+    // When the first two queries end, memory is free and the gateway sends the flagged query that it queued.
     let mut later = b.close("h0", 0, &home, Outcome::Served, 900);
     b.now = b.now.plus(ms(10));
     later.extend(b.close("h1", 0, &home, Outcome::Served, 900));
@@ -60,9 +65,9 @@
     (none.time_left, none.work_hint) = (ms(500), Some(ms(9000)));
     let actions = b.arrive(none);
     assert_eq!(refused(&actions), 1);
-    let told =
+    let has_retry_after =
         actions.iter().any(|a| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t <= ms(1000)));
-    assert!(told, "the client is told when to come back");
+    assert!(has_retry_after, "the rejection carries a retry_after of at most 1000 ms");
 }
 
 #[test]
@@ -78,8 +83,12 @@
         latency: ms(1),
         report: Some(report),
     });
-    assert!(sent(&b.arrive(request("h1", 1, 1, 20_000))).is_empty(), "held: 4 GB are not free");
-    assert_eq!(sent(&b.pass(3100)).len(), 1, "the report is old: capacity less own grants counts");
+    assert!(sent(&b.arrive(request("h1", 1, 1, 20_000))).is_empty(), "queued, because 4 GB are not free");
+    assert_eq!(
+        sent(&b.pass(3100)).len(),
+        1,
+        "an expired report is ignored: free memory is capacity minus own grants"
+    );
 }
 
 #[test]
