--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,5 +1,6 @@
-//! Twenty to thirty front ends before engines that have just started, on a set clock: what they send such an engine
-//! together, counted at the engine, stays within what the rule puts down to chance.
+//! Simulation of slow start: 24 to 30 front ends send requests to engines that have just started. A warming-up engine
+//! fails if the work sent to it within 1500 ms exceeds a multiple of its current capacity. The work that all front ends
+//! together send to one engine must stay within that limit plus a tolerance for random variation.
 
 mod common;
 
@@ -16,32 +17,35 @@
 const WARM_MS: f64 = 15_000.0;
 const FALL_MULTIPLE: f64 = 3.0;
 const FALL_MS: u64 = 1500;
-/// Mean work of a light request and of a heavy one, in milliseconds on one core, and the share of light ones.
+/// Mean work of a light request and of a heavy request, in milliseconds on one core.
 const WORK_MS: [f64; 2] = [100.0, 2500.0];
+/// Share of light requests among all requests.
 const LIGHT_SHARE: f64 = 0.85;
 
-/// How a fleet differs from what its members are told.
+/// The number of front ends, configured and actual, and the load on the engines.
 #[derive(Clone, Copy)]
 struct Fleet {
-    told: u32,
-    there: usize,
-    /// Front ends that start anew in the moment in which the engines do.
+    /// Number of front ends in the settings of each front end.
+    configured: u32,
+    /// Number of front ends that run.
+    running: usize,
+    /// Number of front ends that restart at the moment when the new engines start.
     restarted: usize,
-    /// Work that clients ask for, as a share of all the engines' cores.
+    /// Work that clients request, as a share of the capacity of all engines' cores.
     load: f64,
 }
 
-/// The end to come of an attempt that is out.
+/// The scheduled end of an attempt in flight.
 struct ScheduledEnd {
     front: usize,
     request: String,
     attempt: u32,
     engine: EngineId,
-    /// None if its connection breaks.
+    /// Work of the request in milliseconds; `None` if the connection breaks before the request is served.
     work_ms: Option<f64>,
 }
 
-struct World {
+struct Simulation {
     fronts: Vec<Bench>,
     fleet: Fleet,
     random: ChaCha8Rng,
@@ -49,8 +53,8 @@
     ends: BTreeMap<(u64, u64), ScheduledEnd>,
     works: BTreeMap<String, (usize, f64)>,
     attempts: BTreeMap<String, u32>,
-    /// What came to engines: when, where, and its work.
-    came: Vec<(u64, EngineId, f64)>,
+    /// Every attempt that the engines received: time in milliseconds, engine, and work in milliseconds.
+    received: Vec<(u64, EngineId, f64)>,
     count: u64,
 }
 
@@ -61,35 +65,41 @@
         fall_multiple: FALL_MULTIPLE,
         fall_span: ms(FALL_MS),
     };
-    let me = me as u32 % fleet.told;
-    Settings { own_number: me, slow_start: Some(cold), gateways: fleet.told, hedging: false, ..settings() }
+    let me = me as u32 % fleet.configured;
+    Settings {
+        own_number: me,
+        slow_start: Some(cold),
+        gateways: fleet.configured,
+        hedging: false,
+        ..settings()
+    }
 }
 
-impl World {
-    fn new(fleet: Fleet, seed: u64, members: &[EngineEntry]) -> World {
+impl Simulation {
+    fn new(fleet: Fleet, seed: u64, members: &[EngineEntry]) -> Simulation {
         let born = |me| Bench::born(settings_of(fleet, me), seed ^ me as u64, ms(1000), members.to_vec());
-        World {
-            fronts: (0..fleet.there).map(born).collect(),
+        Simulation {
+            fronts: (0..fleet.running).map(born).collect(),
             fleet,
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 1000,
             ends: BTreeMap::new(),
             works: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            came: Vec::new(),
+            received: Vec::new(),
             count: 0,
         }
     }
 
-    fn take(&mut self, front: usize, actions: Vec<Action>) {
+    fn record_sends(&mut self, front: usize, actions: Vec<Action>) {
         for action in actions {
             let Action::Forward { request, engine, .. } = action else { continue };
             let id = request.0.to_string();
             let attempt = *self.attempts.entry(id.clone()).and_modify(|n| *n += 1).or_insert(0);
             let (_, work) = self.works[&id];
-            self.came.push((self.now, engine.clone(), work));
+            self.received.push((self.now, engine.clone(), work));
             self.count += 1;
-            // One attempt in twenty breaks off and is tried again.
+            // One attempt in twenty ends with a connection reset after 20 ms, and the front end may retry it.
             let breaks = self.random.random_bool(0.05);
             let lasts = if breaks { 20 } else { work as u64 + 5 };
             let end =
@@ -98,7 +108,7 @@
         }
     }
 
-    fn run(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let mean = LIGHT_SHARE * WORK_MS[0] + (1.0 - LIGHT_SHARE) * WORK_MS[1];
         let each_step =
             self.fleet.load * ENGINES as f64 * CORES * STEP_MS as f64 / mean / self.fronts.len() as f64;
@@ -106,9 +116,9 @@
             self.now += STEP_MS;
             for front in 0..self.fronts.len() {
                 let done = self.fronts[front].pass(STEP_MS);
-                self.take(front, done);
+                self.record_sends(front, done);
                 if self.random.random_bool(each_step) {
-                    self.ask(front);
+                    self.send_request(front);
                 }
             }
             while let Some(end) = self.ends.first_entry().filter(|end| end.key().0 <= self.now) {
@@ -126,29 +136,30 @@
                     cost: end.work_ms.map(cost),
                     report: None,
                 }));
-                self.take(end.front, done);
+                self.record_sends(end.front, done);
             }
         }
     }
 
-    fn ask(&mut self, front: usize) {
+    fn send_request(&mut self, front: usize) {
         let class = usize::from(!self.random.random_bool(LIGHT_SHARE));
         let work = WORK_MS[class] * self.random.random_range(0.3..1.7);
         let id = format!("{front}-{}-{}", self.now, self.works.len());
         self.works.insert(id.clone(), (class, work));
-        let ask = Request {
+        let arriving = Request {
             work_hint: Some(Micros((work * 1000.0) as u64)),
             memory_hint_mb: Some(40.0),
             ..request(&id, class, self.random.random_range(0..24), [4000, 20_000][class])
         };
-        let done = self.fronts[front].arrive(ask);
-        self.take(front, done);
+        let done = self.fronts[front].arrive(arriving);
+        self.record_sends(front, done);
     }
 
-    /// The most that one engine, started at that time, was sent within the rule's span, against what fells it.
-    fn worst(&self, engine: &EngineId, started: u64) -> f64 {
-        let sent: Vec<_> = self.came.iter().filter(|(_, to, _)| to == engine).collect();
-        let mean = self.came.iter().map(|(.., work)| work).sum::<f64>() / self.came.len() as f64;
+    /// Load ratio of an engine that started at `started`: the work sent to the engine within `FALL_MS`, divided by the work
+    /// that makes it fail plus a tolerance for random variation. Returns the highest ratio over all windows.
+    fn worst_load_ratio(&self, engine: &EngineId, started: u64) -> f64 {
+        let sent: Vec<_> = self.received.iter().filter(|(_, to, _)| to == engine).collect();
+        let mean = self.received.iter().map(|(.., work)| work).sum::<f64>() / self.received.len() as f64;
         let within = |from: u64| sent.iter().filter(move |(at, ..)| (from..from + FALL_MS).contains(at));
         let share = |at: u64| START_SHARE + (1.0 - START_SHARE) * ((at - started) as f64 / WARM_MS).min(1.0);
         let excess = sent.iter().map(|(at, ..)| {
@@ -160,17 +171,18 @@
     }
 }
 
-/// Half of the engines are replaced at once while some front ends start anew; the worst of the new ones.
-fn replace(fleet: Fleet, seed: u64) -> (f64, usize) {
+/// Replaces half of the engines at once while some front ends restart. Returns the highest load ratio of a new engine
+/// (see `worst_load_ratio`), and the number of attempts that the new engines received.
+fn replace_engines(fleet: Fleet, seed: u64) -> (f64, usize) {
     let name = |i: usize| format!("10.0.0.{i}:70");
     let mut members: Vec<EngineEntry> = (0..ENGINES).map(|i| member(&name(i))).collect();
-    let mut world = World::new(fleet, seed, &members);
-    world.run(3000);
-    let started = world.now;
+    let mut simulation = Simulation::new(fleet, seed, &members);
+    simulation.advance(3000);
+    let started = simulation.now;
     members.iter_mut().take(ENGINES / 2).for_each(|old| old.state = EngineState::Removed);
     let new = (0..ENGINES / 2).map(|i| EngineEntry { started: Some(ms(started)), ..member(&name(100 + i)) });
     members.extend(new);
-    for front in 0..world.fronts.len() {
+    for front in 0..simulation.fronts.len() {
         if front < fleet.restarted {
             let born = Bench::born(
                 settings_of(fleet, front),
@@ -178,38 +190,45 @@
                 ms(started),
                 members.clone(),
             );
-            world.fronts[front] = born;
-            world.ends.retain(|_, end| end.front != front);
+            simulation.fronts[front] = born;
+            simulation.ends.retain(|_, end| end.front != front);
         } else {
-            let done = world.fronts[front].tell(list(ListKind::Full, members.clone()));
-            world.take(front, done);
+            let done = simulation.fronts[front].tell(list(ListKind::Full, members.clone()));
+            simulation.record_sends(front, done);
         }
     }
-    world.run(16_000);
-    let worst = (0..ENGINES / 2).map(|i| world.worst(&common::engine(&name(100 + i)), started));
-    let used = world.came.iter().filter(|(_, to, _)| to.0.starts_with("10.0.0.10")).count();
+    simulation.advance(16_000);
+    let worst =
+        (0..ENGINES / 2).map(|i| simulation.worst_load_ratio(&common::engine(&name(100 + i)), started));
+    let used = simulation.received.iter().filter(|(_, to, _)| to.0.starts_with("10.0.0.10")).count();
     (worst.fold(0.0, f64::max), used)
 }
 
-fn hold(fleet: Fleet) {
+fn check_slow_start(fleet: Fleet) {
     for seed in 1..=8 {
-        let (worst, used) = replace(fleet, seed);
-        assert!(worst <= 1.0, "seed {seed}: a cold engine was sent {worst:.2} times what fells it");
-        assert!(used > 100, "seed {seed}: cold engines were hardly used: {used} attempts");
+        let (worst, used) = replace_engines(fleet, seed);
+        assert!(
+            worst <= 1.0,
+            "seed {seed}: a warming-up engine was sent {worst:.2} times the work that makes it fail"
+        );
+        assert!(used > 100, "seed {seed}: warming-up engines received only {used} attempts");
     }
 }
 
+/// All front ends know their correct number, and the load is 90% of the capacity of all engines.
 #[test]
 fn twenty_four_front_ends_keep_within_the_rule_under_a_burst() {
-    hold(Fleet { told: 24, there: 24, restarted: 0, load: 0.9 });
+    check_slow_start(Fleet { configured: 24, running: 24, restarted: 0, load: 0.9 });
 }
 
+/// Restarted front ends do not know what they sent before, and half of the engines are warming up.
 #[test]
 fn thirty_front_ends_of_which_eight_start_with_the_engines_keep_within_the_rule() {
-    hold(Fleet { told: 30, there: 30, restarted: 8, load: 0.9 });
+    check_slow_start(Fleet { configured: 30, running: 30, restarted: 8, load: 0.9 });
 }
 
+/// 28 front ends run while the settings of each say 24, so each assumes too large a share of an engine for itself.
 #[test]
 fn four_more_front_ends_than_they_were_told_keep_within_the_rule() {
-    hold(Fleet { told: 24, there: 28, restarted: 4, load: 0.9 });
+    check_slow_start(Fleet { configured: 24, running: 28, restarted: 4, load: 0.9 });
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,7 +1,8 @@
-//! Any deployment by its settings alone: whole settings drawn at random within what the known sites span and beyond, the
-//! node's own parts on sockets over stand-in engines on a set clock, and the platform's rules judged from outside.
+//! Randomized test of a whole node: each seed draws the settings of a deployment, from a range wider than that of the
+//! known deployments. The node serves clients over real sockets, with simulated engines and a simulated clock. Then a
+//! checker that sees only the traffic of clients and engines verifies the platform's rules.
 //!
-//! One seed again: `DEPLOYMENT_SEED=17 cargo test --test deployments`; more of them: `DEPLOYMENT_SEEDS=500`.
+//! To repeat one seed: `DEPLOYMENT_SEED=17 cargo test --test deployments`. To run more seeds: `DEPLOYMENT_SEEDS=500`.
 
 #[path = "common/stage.rs"]
 mod stage;
@@ -19,10 +20,11 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const STEP: f64 = 5.0;
+/// Step of the simulated clock, in milliseconds.
+const STEP_MS: f64 = 5.0;
 const CLIENTS: usize = 4;
 
-/// A deployment as its settings say, and the rules that follow from them.
+/// A randomly drawn deployment: its settings, the rules that follow from the settings, and how its engines behave.
 struct Deployment {
     settings: String,
     rules: Rules,
@@ -138,20 +140,20 @@
     Deployment { settings: format!("{{{s}}}"), rules, dialect, engines, names, deadlines, tenants }
 }
 
-struct World {
+struct Simulation {
     node: Node,
     clock: Clock,
     houses: Vec<House>,
     engines: Vec<Engine>,
     conns: BTreeMap<(usize, SocketAddr), u64>,
     clients: Vec<Peer>,
-    asked: Vec<Asked>,
-    said: Vec<(f64, String, Said)>,
+    requests: Vec<Asked>,
+    answers: Vec<(f64, String, Said)>,
     ids: BTreeMap<(usize, u64), String>,
 }
 
-impl World {
-    fn new(d: &Deployment, seed: u64) -> World {
+impl Simulation {
+    fn new(d: &Deployment, seed: u64) -> Simulation {
         let houses: Vec<House> = (0..d.engines).map(|_| House::new()).collect();
         let addresses: Vec<SocketAddr> = houses.iter().map(House::address).collect();
         let text = stage::config(&addresses, addresses[0], r#""listen":"127.0.0.1:0","#);
@@ -159,19 +161,19 @@
             text.replace(SETTINGS, &d.settings).replace(&format!(r#""bulletin":"{}","#, addresses[0]), "");
         let config = Config::read(text.into_bytes(), &|_| None);
         let config = config.unwrap_or_else(|e| panic!("seed {seed}: {e}: {}", d.settings));
-        assert!(config.fit.iter().any(|line| line.contains("Unheard")), "what is unknown is told");
+        assert!(config.fit.iter().any(|line| line.contains("Unheard")), "an unknown setting is reported");
         let clock = Clock::fixed(START);
         let node = Node::new(config, clock.clone()).expect("the node starts");
         let engine = |i: usize| Engine::new(d.dialect.clone(), seed ^ (i as u64) << 40, START);
-        let address = node.address(Front::JsonRpc).expect("it listens");
+        let address = node.address(Front::JsonRpc).expect("the JSON-RPC front end listens");
         let clients =
             (0..CLIENTS).map(|_| Peer::new(TcpStream::connect(address).expect("a client connects")));
-        World {
+        Simulation {
             engines: (0..d.engines).map(engine).collect(),
             clients: clients.collect(),
             conns: BTreeMap::new(),
-            asked: Vec::new(),
-            said: Vec::new(),
+            requests: Vec::new(),
+            answers: Vec::new(),
             ids: BTreeMap::new(),
             node,
             clock,
@@ -179,13 +181,14 @@
         }
     }
 
-    fn ask(&mut self, d: &Deployment, draw: &mut Draw) {
-        let (n, now) = (self.asked.len() as u64 + 1, self.clock.now());
+    fn send_request(&mut self, d: &Deployment, draw: &mut Draw) {
+        let (n, now) = (self.requests.len() as u64 + 1, self.clock.now());
         let (client, class) =
             (draw.below(CLIENTS as u64) as usize, draw.below(d.names.len() as u64) as usize);
         let key = d.rules.ordered[class].then(|| format!("k{}", draw.below(3)));
-        // Clients keep requests of one key apart, as the platform promises.
-        if key.is_some() && self.asked.iter().any(|a| a.key == key && now - a.at < 60.0) {
+        // The platform guarantees that requests of one ordering key are at least 60 ms apart, so the client does not send
+        // a request that follows another one of its key sooner.
+        if key.is_some() && self.requests.iter().any(|a| a.key == key && now - a.at < 60.0) {
             return;
         }
         let budget = d.deadlines[class] * (0.3 + 0.7 * draw.unit());
@@ -208,42 +211,45 @@
         );
         self.clients[client].push(format!("Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
         self.ids.insert((client, n), id.clone());
-        self.asked.push(Asked { at: now, id, class, key, until: now + budget, gone: None });
+        self.requests.push(Asked { at: now, id, class, key, until: now + budget, gone: None });
     }
 
-    /// A client gives one of its requests up.
-    fn leave(&mut self, draw: &mut Draw) {
+    /// Lets a client cancel one of its last four requests, if that request has no answer yet.
+    fn cancel_request(&mut self, draw: &mut Draw) {
         let now = self.clock.now();
-        let Some(n) = self.asked.len().checked_sub(1 + draw.below(4) as usize) else { return };
-        let open =
-            self.asked[n].gone.is_none() && !self.said.iter().any(|(_, id, _)| *id == self.asked[n].id);
-        let Some(((client, id), _)) = self.ids.iter().find(|(_, id)| **id == self.asked[n].id) else {
+        let Some(n) = self.requests.len().checked_sub(1 + draw.below(4) as usize) else { return };
+        let open = self.requests[n].gone.is_none()
+            && !self.answers.iter().any(|(_, id, _)| *id == self.requests[n].id);
+        let Some(((client, id), _)) = self.ids.iter().find(|(_, id)| **id == self.requests[n].id) else {
             return;
         };
         if open {
             let body = format!(r#"{{"jsonrpc":"2.0","method":"cancelRequest","params":{{"id":{id}}}}}"#);
             self.clients[*client].push(format!("Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
-            self.asked[n].gone = Some(now);
+            self.requests[n].gone = Some(now);
         }
     }
 
     fn step(&mut self, draw: &mut Draw, resets: f64) {
         let now = self.clock.now();
-        // What happens within a step has an order too: the judge sorts by time.
+        // Events within one step of the clock get increasing times, because the checker of the rules sorts the events by
+        // time.
         let mut tick = 0.0;
         let mut at = || {
             tick += 0.001;
             now + tick
         };
         for _ in 0..3 {
-            self.node.poll_once(Duration::ZERO).expect("the loop goes on");
+            self.node.poll_once(Duration::ZERO).expect("the event loop runs without an error");
             for (h, house) in self.houses.iter_mut().enumerate() {
                 house.pull();
                 let engine = &mut self.engines[h];
                 house.conns.retain_mut(|peer| {
                     let next = self.conns.len() as u64;
                     let conn = *self.conns.entry((h, peer.address())).or_insert(next);
-                    let out = engine.take(at(), conn, &mut peer.input).expect("it speaks the wire");
+                    let out = engine
+                        .take(at(), conn, &mut peer.input)
+                        .expect("the node follows the engine protocol");
                     peer.push(&out);
                     let ends = peer.closed || draw.unit() < resets;
                     if ends {
@@ -261,48 +267,53 @@
                 client.pull();
                 while let Some(message) = client.message() {
                     let mut words = message.split(' ');
-                    let number =
-                        words.next().and_then(|n| n.parse().ok()).expect("the answer has its number");
+                    let number = words
+                        .next()
+                        .and_then(|n| n.parse().ok())
+                        .expect("the answer contains the request id");
                     let said = match (words.next(), words.next()) {
                         (Some("served"), _) => Said::Served,
                         (Some("error"), Some("-32011")) => Said::Refused,
                         _ => Said::Failed,
                     };
-                    self.said.push((now, self.ids[&(c, number)].clone(), said));
+                    self.answers.push((now, self.ids[&(c, number)].clone(), said));
                 }
-                assert!(!client.closed, "a good client is not let go");
+                assert!(
+                    !client.closed,
+                    "the node closed the connection of a client that follows the protocol"
+                );
             }
         }
-        self.clock.set(now + STEP);
+        self.clock.set(now + STEP_MS);
     }
 }
 
-/// Plays one deployment; the breaks of its rules, and how many requests were served.
-fn play(seed: u64) -> (Vec<String>, usize, String) {
+/// Runs the deployment of one seed. Returns the rule violations, the number of served requests, and the settings.
+fn run_deployment(seed: u64) -> (Vec<String>, usize, String) {
     let mut draw = Draw::new(seed);
     let d = deployment(&mut draw);
-    let mut world = World::new(&d, seed);
+    let mut simulation = Simulation::new(&d, seed);
     let resets = [0.0, 0.0, 0.0005][draw.below(3) as usize];
-    let (leaves, pause) = ([0.0, 0.05][draw.below(2) as usize], [10.0, 40.0][draw.below(2) as usize]);
+    let (cancel_share, pause) = ([0.0, 0.05][draw.below(2) as usize], [10.0, 40.0][draw.below(2) as usize]);
     let mut next = START;
-    while world.clock.now() < START + 3000.0 {
-        if world.clock.now() >= next {
-            next = world.clock.now() + draw.waits(pause);
-            world.ask(&d, &mut draw);
-            if chance(&mut draw, leaves) {
-                world.leave(&mut draw);
+    while simulation.clock.now() < START + 3000.0 {
+        if simulation.clock.now() >= next {
+            next = simulation.clock.now() + draw.waits(pause);
+            simulation.send_request(&d, &mut draw);
+            if chance(&mut draw, cancel_share) {
+                simulation.cancel_request(&mut draw);
             }
         }
-        world.step(&mut draw, resets);
+        simulation.step(&mut draw, resets);
     }
-    let last = world.asked.iter().map(|a| a.until).fold(START, f64::max) + 200.0;
-    while world.clock.now() < last {
-        world.step(&mut draw, resets);
+    let last = simulation.requests.iter().map(|a| a.until).fold(START, f64::max) + 200.0;
+    while simulation.clock.now() < last {
+        simulation.step(&mut draw, resets);
     }
     let acts: Vec<Act> =
-        world.engines.iter_mut().flat_map(|engine| std::mem::take(&mut engine.acts)).collect();
-    let served = world.said.iter().filter(|(.., said)| *said == Said::Served).count();
-    (judge(&world.asked, &world.said, &acts, &d.rules), served, d.settings)
+        simulation.engines.iter_mut().flat_map(|engine| std::mem::take(&mut engine.acts)).collect();
+    let served = simulation.answers.iter().filter(|(.., said)| *said == Said::Served).count();
+    (judge(&simulation.requests, &simulation.answers, &acts, &d.rules), served, d.settings)
 }
 
 #[test]
@@ -314,14 +325,14 @@
     };
     let (mut served, mut broken) = (0, Vec::new());
     for seed in seeds {
-        let (breaks, more, settings) = play(seed);
+        let (violations, more, settings) = run_deployment(seed);
         served += more;
-        if !breaks.is_empty() {
-            let first: Vec<&String> = breaks.iter().take(3).collect();
+        if !violations.is_empty() {
+            let first: Vec<&String> = violations.iter().take(3).collect();
             broken
                 .push(format!("DEPLOYMENT_SEED={seed} cargo test --test deployments: {first:?}\n{settings}"));
         }
     }
-    assert!(broken.is_empty(), "{} of them: {}", broken.len(), broken.join("\n"));
-    assert!(served > 0, "something is served");
+    assert!(broken.is_empty(), "{} deployments violate a rule: {}", broken.len(), broken.join("\n"));
+    assert!(served > 0, "at least one request is served");
 }
--- a/tests/scale_cold.rs
+++ b/tests/scale_cold.rs
@@ -1,4 +1,5 @@
-//! Decisions from 1 gateway to 300 about engines that have just started, and about zones that are lost.
+//! Decisions of up to 300 gateways about slow start, the warming up of engines that have just started, and about the
+//! failure of a whole zone.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use common::{engine, member, ms, request, sent, settings, Bench};
 use std::collections::BTreeSet;
 
-const COUNTS: [u32; 3] = [1, 80, 300];
+const GATEWAY_COUNTS: [u32; 3] = [1, 80, 300];
 
 fn fleet(n: usize) -> Vec<EngineEntry> {
     (0..n).map(|i| member(&format!("10.0.0.{i}:70"))).collect()
@@ -20,13 +21,14 @@
 fn a_cold_engine_is_used_and_not_pushed_over_by_all_gateways_together() {
     let (warm_within, fall_span) = (ms(12_000), ms(1500));
     let cold = SlowStart { start_share: 0.3, warm_within, fall_multiple: 2.0, fall_span };
-    for gateways in COUNTS {
+    for gateways in GATEWAY_COUNTS {
         let mut sends: Vec<u64> = Vec::new();
         for me in 0..gateways {
             let s = Settings { own_number: me, slow_start: Some(cold), ..of(gateways) };
             let start = ms(1000);
             let mut b = Bench::new(s, vec![EngineEntry { started: Some(start), ..member("10.0.0.1:70") }]);
-            // Each holds more than its part; the whole fleet asks for twenty times what the engine can do.
+            // Every gateway has more requests than its share of the engine; the requests of all gateways together are
+            // twenty times what the engine can run.
             for i in 0..(6000 / u64::from(gateways)).max(4) {
                 b.arrive(request(&format!("c{i}"), 0, i, 4000)).iter().for_each(|a| {
                     sends.extend(matches!(a, Action::Forward { .. }).then_some(b.now.0));
@@ -38,14 +40,14 @@
             }
         }
         sends.sort_unstable();
-        assert!(sends.len() >= 10, "{gateways} gateways: {} sent in 3 s", sends.len());
+        assert!(sends.len() >= 10, "{gateways} gateways: {} requests sent in 3 s", sends.len());
         for from in &sends {
             let within = sends.iter().filter(|t| **t >= *from && **t < from + 1_500_000).count() as f64;
             let age = (from.saturating_sub(1_000_000)) as f64 / 12_000_000.0;
-            let bears = 2.0 * (0.3 + 0.7 * age) * 8.0 * 1500.0;
+            let survivable = 2.0 * (0.3 + 0.7 * age) * 8.0 * 1500.0;
             assert!(
-                within * 100.0 <= bears,
-                "{gateways} gateways sent {within} of 100 ms, {bears} ms bearable"
+                within * 100.0 <= survivable,
+                "{gateways} gateways sent {within} requests of 100 ms, {survivable} ms survivable"
             );
         }
     }
@@ -53,8 +55,9 @@
 
 #[test]
 fn heavy_work_uses_a_cold_engine_in_turns_of_a_hundred_gateways_and_never_fells_it() {
-    // Six engines in ten replaced: a gateway's part of a cold one was one heavy query in three minutes, and the light
-    // work sent there used it up, so that the cold did next to nothing while what was left of the warm was overrun.
+    // When six of ten engines were replaced at once, each of the many gateways could send a warming-up engine only one
+    // heavy query every three minutes, and its light queries used up that allowance. The warming-up engines were almost idle
+    // while the remaining warm engines were overloaded.
     let (warm_within, fall_span) = (ms(15_000), ms(1500));
     let cold = SlowStart { start_share: 0.3, warm_within, fall_multiple: 3.0, fall_span };
     for (gateways, least) in [(2, 0.2), (100, 0.2), (200, 0.2)] {
@@ -87,21 +90,23 @@
         let share = |at: u64| 0.3 + 0.7 * ((at - 1_000_000) as f64 / 15e6);
         for from in &sends {
             let within = sends.iter().filter(|t| **t >= *from && **t < from + 1_500_000).count() as f64;
-            let bears = 3.0 * share(*from) * 8.0 * 0.85 * 1500.0;
+            let survivable = 3.0 * share(*from) * 8.0 * 0.85 * 1500.0;
             assert!(
-                within * 3000.0 <= bears,
-                "{gateways}: {within} heavy in 1.5 s at {from}, {bears} ms bearable"
+                within * 3000.0 <= survivable,
+                "{gateways} gateways: {within} heavy queries in 1.5 s at {from} us, {survivable} ms survivable"
             );
         }
-        let able: f64 = (0..10).map(|s| share(1_500_000 + s * 1_000_000) * 8.0 * 0.85 * 1000.0).sum();
-        let used = sends.len() as f64 * 3000.0 / able;
-        assert!(used >= least, "{gateways} gateways used {used:.2} of what a cold engine could do");
+        let capacity_ms: f64 = (0..10).map(|s| share(1_500_000 + s * 1_000_000) * 8.0 * 0.85 * 1000.0).sum();
+        let used = sends.len() as f64 * 3000.0 / capacity_ms;
+        assert!(used >= least, "{gateways} gateways used {used:.2} of the capacity of a warming-up engine");
     }
 }
 
 #[test]
 fn two_engines_lost_with_no_word_from_their_zone_speak_for_all_of_it() {
-    // A zone of 15 engines went; each of 100 gateways learnt of each engine by failed dials, a quarter second each.
+    // When a zone of 15 engines failed, each of 100 gateways detected each failed engine separately, by connection
+    // attempts that took a quarter of a second to fail. After two failed engines and no answer from their zone, a gateway
+    // has to avoid the whole zone; after a single failed engine it must not.
     let zones = || {
         let zone = |i: usize, m: EngineEntry| EngineEntry {
             zone: if i.is_multiple_of(2) { "a" } else { "b" }.into(),
@@ -109,8 +114,9 @@
         };
         fleet(30).into_iter().enumerate().map(|(i, m)| zone(i, m)).collect::<Vec<_>>()
     };
-    let of_a: BTreeSet<EngineId> = zones().into_iter().filter(|m| m.zone == "a").map(|m| m.engine).collect();
-    let play = |lost: &BTreeSet<EngineId>| {
+    let zone_a: BTreeSet<EngineId> =
+        zones().into_iter().filter(|m| m.zone == "a").map(|m| m.engine).collect();
+    let run_with_failed = |lost: &BTreeSet<EngineId>| {
         let mut b = Bench::new(Settings { hedging: false, ..of(100) }, zones());
         let (mut failed, mut to_a) = (0, 0);
         for i in 0..200 {
@@ -118,7 +124,7 @@
             let mut to = sent(&b.arrive(request(&id, 0, i, 4000)));
             for attempt in 0.. {
                 let Some(at) = to.first().cloned() else { break };
-                to_a += usize::from(of_a.contains(&at));
+                to_a += usize::from(zone_a.contains(&at));
                 b.pass(20);
                 let fails = lost.contains(&at);
                 failed += usize::from(fails);
@@ -128,16 +134,20 @@
         }
         (failed, to_a)
     };
-    let (failed, _) = play(&of_a);
-    assert!((2..=8).contains(&failed), "{failed} dials that failed until the zone was left alone");
-    let one: BTreeSet<EngineId> = of_a.iter().take(1).cloned().collect();
-    let (_, to_a) = play(&one);
-    assert!(to_a >= 60, "{to_a} of 200 to a zone that lost one engine in fifteen");
+    let (failed, _) = run_with_failed(&zone_a);
+    assert!(
+        (2..=8).contains(&failed),
+        "{failed} failed connection attempts before the gateway avoided the zone"
+    );
+    let one: BTreeSet<EngineId> = zone_a.iter().take(1).cloned().collect();
+    let (_, to_a) = run_with_failed(&one);
+    assert!(to_a >= 60, "{to_a} of 200 requests sent to a zone that lost one engine of 15");
 }
 
 #[test]
 fn a_time_out_from_a_lost_zone_is_no_word_from_it() {
-    // What ends by its own time says nothing of its engine; taken for life, it kept the zone's doubt from forming.
+    // A request that times out proves nothing about its engine. When timeouts counted as answers from the zone, the
+    // gateway never detected that the zone had failed.
     let zone = |i: usize, m: EngineEntry| EngineEntry { zone: if i < 6 { "a" } else { "b" }.into(), ..m };
     let members = fleet(12).into_iter().enumerate().map(|(i, m)| zone(i, m)).collect();
     let mut b = Bench::new(Settings { hedging: false, ..of(100) }, members);
@@ -152,7 +162,7 @@
             lost.insert(at.clone());
             b.close(&id, 0, &at, Outcome::ConnectFailed, 20);
             b.tell(Event::ClientGone(request(&id, 0, 0, 0).id));
-            // Sent before its zone went, it ends now.
+            // Between the two failed connections, a request sent to the zone earlier times out.
             if lost.len() == 1 {
                 let late = (0..200).map(|n| format!("t{n}")).find(|id| {
                     let to = sent(&b.arrive(request(id, 0, 1000 + i, 4000)));
@@ -166,5 +176,5 @@
             b.close(&id, 0, &at, Outcome::TimedOut, 20);
         }
     }
-    assert!(lost.len() == 2 && silent <= 3, "{silent} more requests to a zone that is lost");
+    assert!(lost.len() == 2 && silent <= 3, "{silent} more requests sent to a failed zone");
 }
