--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -58,7 +58,7 @@
                     }
                     Step::More => {
                         context.log.push(format!("result: dropped, bytes={size}"));
-                        let text = "the result is larger than beamgap buffers; the statement has run";
+                        let text = "the result is larger than beamgap keeps; it has run";
                         let body = mysql_packets::error(1105, "HY000", text);
                         // The rest of the result would still arrive, so the connection is closed.
                         self.end_attempt(key, Outcome::NotSent, Some(FinalResponse::Error(body)), context);
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -245,7 +245,7 @@
         match (end, framing) {
             (Err(_), _) => return self.close(key, context),
             (_, Frame::Invalid) => {
-                return self.reject_client(key, PARSE, "Content-Length invalid or too large", context)
+                return self.reject_client(key, PARSE, "the length can't be read, or is too much", context)
             }
             _ if client.read_closed => self.flush_or_close(key, context),
             (_, Frame::Complete(..)) => self.unread.push(key),
@@ -290,7 +290,7 @@
         let Some(client) = self.clients.get_mut(key) else { return };
         client.timer = None;
         match client.partial_since {
-            Some(_) => self.reject_client(key, INVALID, "the message was not complete in time", context),
+            Some(_) => self.reject_client(key, INVALID, "the message did not come whole in time", context),
             None if !client.is_active => self.close_gracefully(key, context),
             None => {}
         }
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -70,13 +70,12 @@
 const WRONG_ARGUMENTS: (u16, &str, &str) = (1210, "HY000", "Incorrect arguments to EXECUTE");
 const TOO_MANY_STATEMENTS: (u16, &str, &str) =
     (1461, "42000", "Too many prepared statements in this session");
-const PACKET_TOO_LARGE: (u16, &str, &str) =
-    (1153, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
+const PACKET_TOO_LARGE: (u16, &str, &str) = (1153, "08S01", "Got a packet bigger than is taken");
 const ACCESS_DENIED: (u16, &str, &str) = (1045, "28000", "Access denied");
 const REFUSED: (u16, &str) = (1040, "08004");
 const UNSUPPORTED: (u16, &str) = (1235, "42000");
-const FAILED: (u16, &str, &str) = (1105, "HY000", "the statement failed; it may have run");
-const TIMED_OUT: (u16, &str, &str) = (3024, "HY000", "the statement timed out; it may have run");
+const FAILED: (u16, &str, &str) = (1105, "HY000", "failed; it may have run");
+const TIMED_OUT: (u16, &str, &str) = (3024, "HY000", "no answer in time; it may have run");
 
 #[derive(Debug)]
 struct Statement {
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -4,7 +4,7 @@
 
 impl Session {
     pub(super) fn send_unsupported(&mut self, sequence: u8, what: &str) {
-        let message = format!("beamgap does not support {what}: engines do not share session state");
+        let message = format!("beamgap does not support {what}: it would not move from box to box");
         self.send_error(sequence, (UNSUPPORTED.0, UNSUPPORTED.1, &message));
     }
 
--- a/src/node/front/mysql/statement.rs
+++ b/src/node/front/mysql/statement.rs
@@ -67,7 +67,7 @@
         }
         ("SET", _) => return Err(Unsupported("SET")),
         ("LOCK" | "UNLOCK", _) => return Err(Unsupported("table locks")),
-        ("PREPARE" | "EXECUTE" | "DEALLOCATE", _) => return Err(Unsupported("PREPARE as an SQL statement")),
+        ("PREPARE" | "EXECUTE" | "DEALLOCATE", _) => return Err(Unsupported("PREPARE as a statement")),
         ("HANDLER", _) => return Err(Unsupported("HANDLER")),
         ("LOAD", _) => return Err(Unsupported("LOAD")),
         ("CREATE" | "DROP", "TEMPORARY") => return Err(Unsupported("temporary tables")),
@@ -84,10 +84,10 @@
         return Err(Unsupported("named locks"));
     }
     if pair("LAST_INSERT_ID", "(") || pair("FOUND_ROWS", "(") || pair("ROW_COUNT", "(") {
-        return Err(Unsupported("functions that depend on the previous statement"));
+        return Err(Unsupported("what the statement before has left"));
     }
     if words.iter().rev().skip_while(|w| *w == ";").any(|w| w == ";") {
-        return Err(Unsupported("multiple statements in one query"));
+        return Err(Unsupported("several statements in one"));
     }
     Ok(())
 }
