--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -80,7 +80,7 @@
             // although replies to different commands may arrive in any order.
             if let Some(index) = conn.unconfirmed_cancels.iter().position(|(tag, ..)| tag == line.id) {
                 let read = conn.unconfirmed_cancels.drain(..=index).map(|(_, at, _)| at);
-                context.heard.extend(read.map(|at| DispatcherEvent::Ended(FinishedAttempt::confirmed(at))));
+                context.events.extend(read.map(|at| DispatcherEvent::Ended(FinishedAttempt::confirmed(at))));
             }
             return Ok(());
         }
@@ -91,7 +91,7 @@
             "update" => {
                 line.progress()
                     .into_iter()
-                    .for_each(|note| context.heard.push(DispatcherEvent::Noted(at, note)));
+                    .for_each(|note| context.events.push(DispatcherEvent::Noted(at, note)));
                 return Ok(());
             }
             "served" if attempt.pages.is_empty() => {
@@ -144,7 +144,7 @@
             }
             _ => (None, line.report()),
         };
-        context.heard.push(DispatcherEvent::Ended(FinishedAttempt {
+        context.events.push(DispatcherEvent::Ended(FinishedAttempt {
             answer,
             cost: attempt.cost,
             report,
--- a/src/node/backend/line_protocol/dial.rs
+++ b/src/node/backend/line_protocol/dial.rs
@@ -84,7 +84,7 @@
             self.connections.len()
         );
         let watched =
-            self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::Warehouse(key));
+            self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::LineProtocol(key));
         if watched.is_err() {
             self.close(key, Outcome::ConnectFailed, context);
             return None;
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -116,8 +116,8 @@
 
     /// Schedules the next check, replacing any that is scheduled.
     fn schedule_check(&mut self, at: f64, key: SlotKey, timers: &mut TimerQueue) {
-        self.check_timer.take().into_iter().for_each(|before| timers.clear(before));
-        self.check_timer = Some(timers.set(at, TimerEvent::Backend(key)));
+        self.check_timer.take().into_iter().for_each(|before| timers.cancel(before));
+        self.check_timer = Some(timers.set(at, TimerEvent::LineProtocol(key)));
     }
 }
 
@@ -204,7 +204,7 @@
         for queued in unsent.into_iter().flatten() {
             self.placements.remove(&queued.attempt);
             context
-                .heard
+                .events
                 .push(DispatcherEvent::Ended(FinishedAttempt::bare(queued.attempt, Outcome::Overloaded)));
         }
     }
@@ -223,7 +223,7 @@
             // The engine list changed after the engine was chosen.
             None => Outcome::Overloaded,
         };
-        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+        context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
     }
 
     fn enqueue(
@@ -266,7 +266,7 @@
             CancelResult::PartlySent(_) | CancelResult::Unknown => Outcome::Cancelled,
         };
         if report_end {
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
         }
     }
 
@@ -302,7 +302,7 @@
         let Some(index) = conn.unsent.iter().position(|queued| queued.attempt == at) else { return };
         conn.unsent.remove(index);
         self.placements.remove(&at);
-        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
+        context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
     }
 
     /// Sends the engine a new priority for an attempt that has no result yet.
@@ -331,7 +331,7 @@
         let (id, up, ms) = (&conn.engine.0, conn.connected, context.now - conn.dialed_at);
         trace!(target: ACCOUNT, "close: engine={id} up={up} ms={ms:.1} load={}", conn.load());
         self.engines.remove_connection(&conn.engine, key);
-        conn.check_timer.into_iter().for_each(|timer| context.timers.clear(timer));
+        conn.check_timer.into_iter().for_each(|timer| context.timers.cancel(timer));
         let cancelled = conn.unconfirmed_cancels.into_iter().map(|(_, at, _)| (at, Outcome::Cancelled));
         let mut ends: Vec<_> =
             conn.in_flight.into_values().map(|a| (a.attempt, outcome)).chain(cancelled).collect();
@@ -359,7 +359,7 @@
         }
         for (at, outcome) in ends {
             self.placements.remove(&at);
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
         }
     }
 
@@ -373,7 +373,7 @@
             .unconfirmed_cancels
             .pop_front_if(|(.., since)| context.now - *since >= CANCEL_CONFIRM_TIMEOUT_MS)
         {
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
+            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let idle = context.now - conn.silent_since;
         if !conn.socket.input.is_empty() && idle >= ANSWER_STALL_MS {
--- a/src/node/backend/mod.rs
+++ b/src/node/backend/mod.rs
@@ -20,7 +20,7 @@
     /// Client connections that are closed once their remaining output has been read.
     pub closing: &'a mut ClosingConnections,
     /// Events for the request dispatcher.
-    pub heard: &'a mut Vec<DispatcherEvent>,
+    pub events: &'a mut Vec<DispatcherEvent>,
     /// Log lines to write.
     pub log: &'a mut Vec<String>,
 }
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -151,7 +151,7 @@
                 if let Some(job) = conn.job.take() {
                     self.placements.remove(&job.attempt);
                     let ended = FinishedAttempt::bare(job.attempt, Outcome::Overloaded);
-                    context.heard.push(DispatcherEvent::Ended(ended));
+                    context.events.push(DispatcherEvent::Ended(ended));
                 }
                 self.close(key, Outcome::Reset, context);
             }
@@ -174,7 +174,7 @@
                 None => Outcome::ConnectFailed,
             }
         };
-        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+        context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
     }
 
     /// An idle connection, preferably one on which the statement is already prepared.
@@ -225,12 +225,13 @@
             answer: Vec::new(),
         });
         engine.connections.push(key);
-        if self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::MysqlBox(key)).is_err()
-        {
+        let watched =
+            self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::MysqlBackend(key));
+        if watched.is_err() {
             self.close(key, Outcome::ConnectFailed, context);
             return None;
         }
-        context.timers.set(context.now + self.dial_timeout_ms, TimerEvent::MysqlBox(key));
+        context.timers.set(context.now + self.dial_timeout_ms, TimerEvent::MysqlBackend(key));
         Some(key)
     }
 
@@ -243,7 +244,7 @@
     /// a late result cannot match another statement. With `report_end`, the end is reported at once.
     pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
         if report_end {
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
+            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let Some(key) = self.placements.remove(&at) else { return };
         let Some(conn) = self.connections.get_mut(key) else { return };
@@ -278,7 +279,7 @@
         let Some(key) = self.placements.get(&at) else { return };
         if self.connections.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
             self.give_up(at, false, context);
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
+            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
         }
     }
 
@@ -307,7 +308,7 @@
                 Some(Err(_)) => return self.close(key, Outcome::ConnectFailed, context),
                 Some(Ok(())) => {
                     conn.phase = Phase::Greeting;
-                    context.timers.set(conn.dialed_at + LOGIN_TIMEOUT_MS, TimerEvent::MysqlBox(key));
+                    context.timers.set(conn.dialed_at + LOGIN_TIMEOUT_MS, TimerEvent::MysqlBackend(key));
                 }
             }
         }
@@ -351,7 +352,7 @@
         if let Some(job) = conn.job.take() {
             self.placements.remove(&job.attempt);
             let ended = FinishedAttempt { answer, ..FinishedAttempt::bare(job.attempt, outcome) };
-            context.heard.push(DispatcherEvent::Ended(ended));
+            context.events.push(DispatcherEvent::Ended(ended));
         }
         conn.advance(context.now);
         let serving = self.engines.serving(&conn.engine).is_some();
@@ -372,7 +373,7 @@
         if let Some(job) = conn.job {
             self.placements.remove(&job.attempt);
             let outcome = if job.sent { outcome } else { Outcome::ConnectFailed };
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(job.attempt, outcome)));
+            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(job.attempt, outcome)));
         }
     }
 
@@ -392,7 +393,7 @@
                 self.close(key, Outcome::Reset, context)
             }
             _ => {
-                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBox(key));
+                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBackend(key));
             }
         }
     }
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -131,7 +131,7 @@
         let Some(conn) = self.connections.get_mut(key) else { return AfterPacket::Close };
         match body {
             [0, ..] => {
-                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBox(key));
+                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBackend(key));
                 conn.phase = Phase::Idle;
                 conn.advance(context.now);
                 AfterPacket::KeepOpen
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -25,7 +25,7 @@
         Clock(Source::System { start: unix.as_secs_f64() * 1000.0, since: Instant::now() })
     }
     /// A manual clock that shows `at` until [`Clock::set`] changes it.
-    pub fn fixed(at: f64) -> Clock {
+    pub fn manual(at: f64) -> Clock {
         Clock(Source::Manual(Rc::new(Cell::new(at))))
     }
     /// Current time in Unix milliseconds.
@@ -42,7 +42,7 @@
         }
     }
     /// Whether this is a manual clock, whose time changes only by [`Clock::set`].
-    pub fn is_set(&self) -> bool {
+    pub fn is_manual(&self) -> bool {
         matches!(self.0, Source::Manual(_))
     }
 }
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -179,7 +179,7 @@
             (self.subscribed, self.last_frame_at) = (false, now);
             self.socket = BufferedSocket::dial(self.address)
                 .and_then(|mut socket| {
-                    socket.watch(registry, SocketOwner::Bulletin(self.generation)).map(|()| socket)
+                    socket.watch(registry, SocketOwner::Discovery(self.generation)).map(|()| socket)
                 })
                 .ok();
             self.connect_attempts = (self.connect_attempts + 1).min(16);
@@ -200,8 +200,8 @@
     /// Replaces the scheduled check. At most one check may be scheduled: with two, the later check would close the
     /// connection that the earlier check has just opened.
     fn schedule_check(&mut self, now: f64, ms: f64, timers: &mut TimerQueue) {
-        self.next_check.take().into_iter().for_each(|previous| timers.clear(previous));
-        self.next_check = Some(timers.set(now + ms, TimerEvent::Bulletin));
+        self.next_check.take().into_iter().for_each(|previous| timers.cancel(previous));
+        self.next_check = Some(timers.set(now + ms, TimerEvent::Discovery));
     }
 
     /// Applies a reloaded configuration: if the server's address has changed, closes the old connection and schedules
--- a/src/node/dispatcher/decisions.rs
+++ b/src/node/dispatcher/decisions.rs
@@ -177,7 +177,7 @@
         let (id, engine_name, number) = (&request.0, &engine.0, attempt.0);
         trace!(target: ACCOUNT, "send: id={id} class={class} engine={engine_name} attempt={number} work={work:.0}");
         open.attempts_sent += 1;
-        let timeout = timers.set(now + max_ms, TimerEvent::AttemptOver(key, attempt));
+        let timeout = timers.set(now + max_ms, TimerEvent::AttemptTimeout(key, attempt));
         open.outstanding =
             Some(OutstandingAttempt { attempt, engine: engine.clone(), sent_at: now, timeout });
         self.commands.push(DispatcherCommand::Start(AttemptStart {
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -289,7 +289,7 @@
         });
         if let Some(open) = self.open.get_mut(key) {
             let deadline_at = (deadline + RESPONSE_GRACE_MS).min(self.response_deadline.max(now));
-            open.deadline_timer = Some(timers.set(deadline_at, TimerEvent::RequestOver(key)));
+            open.deadline_timer = Some(timers.set(deadline_at, TimerEvent::RequestDeadline(key)));
         }
         if let Some(open) = self.open.get(key) {
             let (class, budget) = (open.request.class.0, open.request.budget);
@@ -341,7 +341,7 @@
     ) -> Option<AttemptEnd> {
         let open = self.open.get_mut(finished.attempt.request)?;
         let outstanding = open.outstanding.take_if(|out| out.attempt == finished.attempt.attempt)?;
-        timers.clear(outstanding.timeout);
+        timers.cancel(outstanding.timeout);
         open.may_have_run |= !finished.outcome.never_ran();
         open.may_still_run |= finished.outcome.may_still_run() && !finished.confirmed;
         Some(AttemptEnd {
@@ -371,7 +371,7 @@
         let is_done =
             self.open.get(key).is_some_and(|open| open.client.is_none() && open.outstanding.is_none());
         if let Some(open) = is_done.then(|| self.open.remove(key)).flatten() {
-            open.deadline_timer.into_iter().for_each(|timer| timers.clear(timer));
+            open.deadline_timer.into_iter().for_each(|timer| timers.cancel(timer));
             self.by_name.remove(&RequestId(open.request.name.clone()));
             self.payload_bytes -= open.request.payload.size();
             self.retain_units(open);
--- a/src/node/dispatcher/shutdown.rs
+++ b/src/node/dispatcher/shutdown.rs
@@ -29,8 +29,8 @@
             let Some(open) = self.open.get_mut(key).filter(|open| open.deadline > response_deadline) else {
                 continue;
             };
-            open.deadline_timer.take().into_iter().for_each(|timer| timers.clear(timer));
-            open.deadline_timer = Some(timers.set(response_deadline, TimerEvent::RequestOver(key)));
+            open.deadline_timer.take().into_iter().for_each(|timer| timers.cancel(timer));
+            open.deadline_timer = Some(timers.set(response_deadline, TimerEvent::RequestDeadline(key)));
         }
         self.reject_unfinishable(now, timers);
     }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -21,10 +21,11 @@
         let poll_started = self.clock.now();
         let unread_clients = self.jsonrpc.take_unread();
         let unread_closing = self.closing.take_unread();
-        let time_to_timer = self.timers.first().map_or(f64::INFINITY, |at| (at - poll_started).max(0.0));
+        let time_to_timer =
+            self.timers.next_deadline().map_or(f64::INFINITY, |at| (at - poll_started).max(0.0));
         let has_unread = !unread_clients.is_empty() || !unread_closing.is_empty();
         let max_wait = if has_unread { Duration::ZERO } else { max_wait };
-        let ignores_timers = self.clock.is_set() && time_to_timer > 0.0;
+        let ignores_timers = self.clock.is_manual() && time_to_timer > 0.0;
         let wait = if ignores_timers { max_wait } else { max_wait.min(millis(time_to_timer)) };
         match self.poll.poll(&mut self.events, Some(wait)) {
             Err(e) if e.kind() == ErrorKind::Interrupted => return Ok(()),
@@ -34,7 +35,8 @@
         // Messages that a poll finds without a wait may have arrived during the previous iteration, and at the start
         // of the poll at the latest. Messages that end a wait have just arrived.
         let sent_at = if now - poll_started < 0.2 { poll_started } else { now } - TRANSIT_MS;
-        let to_ready_socket = |event: &Event| Some((SocketOwner::of(event.token())?, event.is_read_closed()));
+        let to_ready_socket =
+            |event: &Event| Some((SocketOwner::from_token(event.token())?, event.is_read_closed()));
         let ready: Vec<(SocketOwner, bool)> = self.events.iter().filter_map(to_ready_socket).collect();
         // Sockets with input left from the previous iteration come after sockets with new events, so that a client
         // that floods its connection does not delay the others.
@@ -45,7 +47,7 @@
             self.handle_socket(owner, read_closed, now, sent_at);
         }
         let now = self.clock.now();
-        while let Some(timer_event) = self.timers.pop(now) {
+        while let Some(timer_event) = self.timers.pop_expired(now) {
             self.handle_timer(timer_event, self.clock.now());
         }
         self.update_admission();
@@ -62,7 +64,7 @@
         }
         let Node { poll, timers, log, jsonrpc, mysql, line_protocol, discovery, closing, .. } = self;
         let mut context =
-            BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut events, log };
+            BackendContext { now, registry: poll.registry(), timers, closing, events: &mut events, log };
         match owner {
             SocketOwner::Fixed(SIGNAL) => self.begin_shutdown(),
             // The waker only interrupts the poll: reloads and responses of the fleet's leader are applied after it.
@@ -71,8 +73,8 @@
             SocketOwner::Fixed(_) => self.accept(Front::Mysql, now, sent_at, &mut events),
             SocketOwner::JsonRpc(key) => jsonrpc.ready(key, read_closed, sent_at, &mut context),
             SocketOwner::Closing(key) => closing.ready(key, timers),
-            SocketOwner::Warehouse(key) => line_protocol.ready(key, &mut context),
-            SocketOwner::Bulletin(generation) => {
+            SocketOwner::LineProtocol(key) => line_protocol.ready(key, &mut context),
+            SocketOwner::Discovery(generation) => {
                 let list_events =
                     discovery.as_mut().map(|client| client.ready(now, generation)).unwrap_or_default();
                 self.apply_list_events(list_events, &mut events);
@@ -80,7 +82,7 @@
             SocketOwner::Mysql(key) => {
                 mysql.iter_mut().for_each(|(front, _)| front.ready(key, read_closed, &mut context));
             }
-            SocketOwner::MysqlBox(key) => {
+            SocketOwner::MysqlBackend(key) => {
                 mysql.iter_mut().for_each(|(_, mysql_backend)| mysql_backend.ready(key, &mut context))
             }
             // Handled by `control_ready` above.
@@ -95,26 +97,26 @@
         let Node { poll, timers, log, jsonrpc, mysql, line_protocol, discovery, dispatcher, control, .. } =
             self;
         let (registry, closing) = (poll.registry(), &mut self.closing);
-        let mut context = BackendContext { now, registry, timers, closing, heard: &mut events, log };
+        let mut context = BackendContext { now, registry, timers, closing, events: &mut events, log };
         match timer_event {
             TimerEvent::Module(timer) => dispatcher.module_timer_fired(now, timer, timers),
-            TimerEvent::RequestOver(key) => dispatcher.request_timed_out(now, key, timers),
-            TimerEvent::AttemptOver(request, attempt) => {
+            TimerEvent::RequestDeadline(key) => dispatcher.request_timed_out(now, key, timers),
+            TimerEvent::AttemptTimeout(request, attempt) => {
                 dispatcher.attempt_timed_out(now, AttemptRef { request, attempt }, timers);
             }
-            TimerEvent::Backend(key) => line_protocol.look(key, &mut context),
-            TimerEvent::Bulletin => {
+            TimerEvent::LineProtocol(key) => line_protocol.look(key, &mut context),
+            TimerEvent::Discovery => {
                 discovery.iter_mut().for_each(|client| client.look(now, registry, timers))
             }
-            TimerEvent::AcceptAgain => {
+            TimerEvent::ResumeAccept => {
                 self.accept_paused = false;
                 self.accept(Front::JsonRpc, now, now - ACCEPT_PAUSE_MS, &mut events);
                 self.accept(Front::Mysql, now, now, &mut events);
             }
-            TimerEvent::Client(key) => jsonrpc.timed_out(key, &mut context),
+            TimerEvent::JsonRpcClient(key) => jsonrpc.timed_out(key, &mut context),
             TimerEvent::ClosingConnection(key) => closing.expired(key),
             TimerEvent::Shutdown => self.advance_shutdown(now, &mut events),
-            TimerEvent::MysqlBox(key) => {
+            TimerEvent::MysqlBackend(key) => {
                 mysql.iter_mut().for_each(|(_, mysql_backend)| mysql_backend.look(key, &mut context))
             }
             TimerEvent::MysqlLogin(key) => {
@@ -142,8 +144,7 @@
                 return;
             };
             let clients = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
-            let mut context =
-                BackendContext { now, registry: poll.registry(), timers, closing, heard: events, log };
+            let mut context = BackendContext { now, registry: poll.registry(), timers, closing, events, log };
             // At the limit on client connections, an idle client or one that never sent a request is disconnected to
             // make room for the new one.
             let is_full = clients >= self.client_sockets
@@ -164,7 +165,7 @@
                     // File descriptors or the limit on client connections are exhausted: new connections wait in the
                     // listen backlog until the pause is over.
                     self.accept_paused = true;
-                    self.timers.set(now + ACCEPT_PAUSE_MS, TimerEvent::AcceptAgain);
+                    self.timers.set(now + ACCEPT_PAUSE_MS, TimerEvent::ResumeAccept);
                 }
             }
         }
@@ -182,8 +183,7 @@
         }
         for ListEvent { number, kind, listings } in list_events {
             let Node { poll, timers, log, mysql, line_protocol, closing, .. } = self;
-            let mut context =
-                BackendContext { now, registry: poll.registry(), timers, closing, heard: events, log };
+            let mut context = BackendContext { now, registry: poll.registry(), timers, closing, events, log };
             line_protocol.members(kind, &listings, &mut context);
             mysql
                 .iter_mut()
@@ -219,7 +219,7 @@
             }
             let Node { poll, timers, log, jsonrpc, mysql, line_protocol, closing, .. } = self;
             let mut context =
-                BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut events, log };
+                BackendContext { now, registry: poll.registry(), timers, closing, events: &mut events, log };
             for command in commands {
                 match (command, mysql.as_mut()) {
                     (DispatcherCommand::Respond(client, response), Some((mysql_front, _)))
--- a/src/node/front/closing.rs
+++ b/src/node/front/closing.rs
@@ -107,7 +107,7 @@
 
     fn remove(&mut self, key: SlotKey, timers: &mut TimerQueue) {
         if let Some(connection) = self.connections.remove(key) {
-            timers.clear(connection.deadline);
+            timers.cancel(connection.deadline);
         }
     }
 }
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -72,7 +72,7 @@
             }
             Ok(Message::Cancel(id)) => {
                 if client.open_ids.remove(&id) {
-                    withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.heard);
+                    withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.events);
                 }
             }
             // The client has closed its write side, which withdraws its requests.
@@ -84,7 +84,7 @@
                     request.waited_at_client =
                         pacing.longest_wait(sent_at, ordering_key, request.budget, on_new_connection);
                 }
-                context.heard.push(DispatcherEvent::Asked(*request));
+                context.events.push(DispatcherEvent::Asked(*request));
             }
             Ok(Message::DuplicateId(id)) => {
                 // The client could take any further response with this id for that of the open request.
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -167,8 +167,11 @@
         let Some(client) = self.clients.get_mut(key) else { return };
         match client.link.watch(context.registry, SocketOwner::JsonRpc(key)) {
             Ok(()) => {
-                client.timer =
-                    Some(context.timers.set(context.now + FIRST_MESSAGE_TIMEOUT_MS, TimerEvent::Client(key)));
+                client.timer = Some(
+                    context
+                        .timers
+                        .set(context.now + FIRST_MESSAGE_TIMEOUT_MS, TimerEvent::JsonRpcClient(key)),
+                );
                 self.ready(key, false, sent_at, context);
             }
             Err(e) => {
@@ -259,9 +262,9 @@
                     } else {
                         client.idle_since + FIRST_MESSAGE_TIMEOUT_MS
                     };
-                    client.timer.take().into_iter().for_each(|timer| context.timers.clear(timer));
+                    client.timer.take().into_iter().for_each(|timer| context.timers.cancel(timer));
                     let due = first_due.min(partial_since + MESSAGE_TIMEOUT_MS);
-                    client.timer = Some(context.timers.set(due, TimerEvent::Client(key)));
+                    client.timer = Some(context.timers.set(due, TimerEvent::JsonRpcClient(key)));
                 }
                 if end == ReadEnd::Open && client.link.has_more() {
                     self.unread.push(key);
@@ -323,7 +326,7 @@
     fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Client> {
         self.withdraw_requests(key, context);
         let mut client = self.clients.remove(key)?;
-        client.timer.take().into_iter().for_each(|timer| context.timers.clear(timer));
+        client.timer.take().into_iter().for_each(|timer| context.timers.cancel(timer));
         Some(client)
     }
 
@@ -333,7 +336,7 @@
         let mut ids: Vec<u64> = std::mem::take(&mut client.open_ids).into_iter().collect();
         ids.sort_unstable();
         for id in ids {
-            withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.heard);
+            withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.events);
         }
     }
 
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -265,7 +265,7 @@
     fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Session> {
         let session = self.sessions.remove(key)?;
         if matches!(session.phase, Phase::Busy(_)) {
-            withdraw(ClientHandle { front: Front::Mysql, conn: key, id: session.requests }, context.heard);
+            withdraw(ClientHandle { front: Front::Mysql, conn: key, id: session.requests }, context.events);
         }
         Some(session)
     }
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -106,7 +106,7 @@
         session.phase = Phase::Busy(sequence);
         let id = session.requests;
         let tables = table_group::table_group(&text).unwrap_or(0);
-        context.heard.push(DispatcherEvent::Asked(ClientRequest {
+        context.events.push(DispatcherEvent::Asked(ClientRequest {
             asker: ClientHandle { front: Front::Mysql, conn: key, id },
             name: Arc::from(format!("m{}-{}-{id}", key.slot, key.generation)),
             class,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -201,14 +201,14 @@
         self.dispatcher.set_warm_up_share(admission.warm_up_share());
         let next_poll_at = now + admission.next_poll_in();
         if let Some(previous) = self.admission_due.take() {
-            self.timers.clear(previous);
+            self.timers.cancel(previous);
         }
         self.admission_due = Some(self.timers.set(next_poll_at, TimerEvent::Fleet));
         let mut events = Vec::new();
         let Node { poll, timers, log, line_protocol, closing, .. } = self;
         line_protocol.keep_links(
             max_connections,
-            &mut BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut events, log },
+            &mut BackendContext { now, registry: poll.registry(), timers, closing, events: &mut events, log },
         );
         if !changed.is_empty() {
             self.xds.iter_mut().for_each(Feed::hurry);
@@ -277,7 +277,7 @@
         let view = self.view();
         let Node { poll, timers, log, control, control_listeners, closing, .. } = self;
         let mut context =
-            BackendContext { now, registry: poll.registry(), timers, closing, heard: &mut Vec::new(), log };
+            BackendContext { now, registry: poll.registry(), timers, closing, events: &mut Vec::new(), log };
         if let SocketOwner::Control(key) = owner {
             return control.ready(key, &view, &mut context);
         }
@@ -296,8 +296,7 @@
         dispatcher.reject_unfinishable(now, timers);
         let connections = jsonrpc.len() + mysql.as_ref().map_or(0, |(front, _)| front.len()) + closing.len();
         let step = shutdown.advance(now, dispatcher.open_requests(), connections);
-        let mut context =
-            BackendContext { now, registry: poll.registry(), timers, closing, heard: events, log };
+        let mut context = BackendContext { now, registry: poll.registry(), timers, closing, events, log };
         if step.close_idle_clients {
             dispatcher.reject_new();
             jsonrpc.close_idle(&mut context);
--- a/src/node/reactor.rs
+++ b/src/node/reactor.rs
@@ -16,11 +16,11 @@
     /// A client connection of the MySQL front.
     Mysql(SlotKey),
     /// A connection of the line protocol backend to an engine.
-    Warehouse(SlotKey),
+    LineProtocol(SlotKey),
     /// A connection of the MySQL backend to an engine.
-    MysqlBox(SlotKey),
+    MysqlBackend(SlotKey),
     /// The connection with this generation to the service discovery server.
-    Bulletin(u32),
+    Discovery(u32),
     /// A connection of a load balancer's health check or of a client that polls endpoints over HTTP.
     Control(SlotKey),
     /// A client connection that is being closed.
@@ -34,9 +34,9 @@
             SocketOwner::Fixed(n) => (0, 0, n),
             SocketOwner::JsonRpc(key) => (1, key.generation, key.slot),
             SocketOwner::Mysql(key) => (2, key.generation, key.slot),
-            SocketOwner::Warehouse(key) => (3, key.generation, key.slot),
-            SocketOwner::MysqlBox(key) => (4, key.generation, key.slot),
-            SocketOwner::Bulletin(n) => (5, 0, n),
+            SocketOwner::LineProtocol(key) => (3, key.generation, key.slot),
+            SocketOwner::MysqlBackend(key) => (4, key.generation, key.slot),
+            SocketOwner::Discovery(n) => (5, 0, n),
             SocketOwner::Control(key) => (6, key.generation, key.slot),
             SocketOwner::Closing(key) => (7, key.generation, key.slot),
         };
@@ -44,16 +44,16 @@
     }
 
     /// Decodes a token; returns `None` if its kind is unknown.
-    pub fn of(token: Token) -> Option<SocketOwner> {
+    pub fn from_token(token: Token) -> Option<SocketOwner> {
         let (slot, generation) = (token.0 as u32, (token.0 >> 32) as u32 & 0x00ff_ffff);
         let key = SlotKey { slot, generation };
         Some(match token.0 >> 56 {
             0 => SocketOwner::Fixed(slot),
             1 => SocketOwner::JsonRpc(key),
             2 => SocketOwner::Mysql(key),
-            3 => SocketOwner::Warehouse(key),
-            4 => SocketOwner::MysqlBox(key),
-            5 => SocketOwner::Bulletin(slot),
+            3 => SocketOwner::LineProtocol(key),
+            4 => SocketOwner::MysqlBackend(key),
+            5 => SocketOwner::Discovery(slot),
             6 => SocketOwner::Control(key),
             7 => SocketOwner::Closing(key),
             _ => return None,
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -119,7 +119,7 @@
         let mut events = Vec::new();
         node.apply_list_events(config.known, &mut events);
         if node.discovery.is_some() {
-            node.timers.set(node.clock.now(), TimerEvent::Bulletin);
+            node.timers.set(node.clock.now(), TimerEvent::Discovery);
         }
         node.run_dispatcher(events);
         node.update_admission();
--- a/src/node/timer_queue.rs
+++ b/src/node/timer_queue.rs
@@ -11,17 +11,17 @@
     /// A timer that the decision module has set.
     Module(TimerId),
     /// The deadline of a request has passed, after which its client no longer waits for a response.
-    RequestOver(SlotKey),
+    RequestDeadline(SlotKey),
     /// An attempt has reached its time limit.
-    AttemptOver(SlotKey, Attempt),
+    AttemptTimeout(SlotKey, Attempt),
     /// Checks a connection of the line protocol backend for a connect timeout, an unresponsive engine and idleness.
-    Backend(SlotKey),
+    LineProtocol(SlotKey),
     /// Checks a connection of the MySQL backend for connect and login timeouts, an unresponsive engine and idleness.
-    MysqlBox(SlotKey),
+    MysqlBackend(SlotKey),
     /// Connects the service discovery client or checks its watch for silence.
-    Bulletin,
+    Discovery,
     /// A client connection of the JSON-RPC front has sent no request or no complete message in time.
-    Client(SlotKey),
+    JsonRpcClient(SlotKey),
     /// The linger time of a client connection that is being closed has passed.
     ClosingConnection(SlotKey),
     /// A client connection of the MySQL front has not logged in in time.
@@ -34,7 +34,7 @@
     Fleet,
     /// Resumes accepting connections after a pause. Accepting is paused when file descriptors run out or the limit on
     /// client connections is reached.
-    AcceptAgain,
+    ResumeAccept,
     /// Advances a graceful shutdown to its next step.
     Shutdown,
 }
@@ -78,15 +78,15 @@
         TimerHandle(deadline)
     }
     /// Cancels a timer. Does nothing if the timer has already expired.
-    pub fn clear(&mut self, handle: TimerHandle) {
+    pub fn cancel(&mut self, handle: TimerHandle) {
         self.timers.remove(&handle.0);
     }
     /// Returns the earliest deadline, in Unix milliseconds.
-    pub fn first(&self) -> Option<f64> {
+    pub fn next_deadline(&self) -> Option<f64> {
         self.timers.first_key_value().map(|(deadline, _)| deadline.0)
     }
     /// Removes the timer with the earliest deadline and returns its event, if this deadline is not after `now`.
-    pub fn pop(&mut self, now: f64) -> Option<TimerEvent> {
+    pub fn pop_expired(&mut self, now: f64) -> Option<TimerEvent> {
         let first = self.timers.first_entry().filter(|first| first.key().0 <= now)?;
         Some(first.remove())
     }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -91,15 +91,15 @@
             registry: poll.registry(),
             timers: &mut timers,
             closing: &mut closing,
-            heard: &mut heard,
+            events: &mut heard,
             log: &mut log,
         };
         pool.members(listing(address, EngineState::Serving), &mut context);
         pool.start(start(1), &mut context);
-        assert_eq!(outcomes(context.heard), []);
+        assert_eq!(outcomes(context.events), []);
         pool.members(listing(address, EngineState::Draining), &mut context);
         pool.start(start(2), &mut context);
-        assert_eq!(outcomes(context.heard), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
+        assert_eq!(outcomes(context.events), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
         let mut got = Vec::new();
         listener.accept().unwrap().0.read_to_end(&mut got).unwrap();
         assert_eq!(got, b"", "not a byte of it was written");
@@ -120,7 +120,7 @@
         registry: &registry,
         timers: &mut timers,
         closing: &mut closing,
-        heard: &mut heard,
+        events: &mut heard,
         log: &mut log,
     };
     pool.members(listing(listener.local_addr().unwrap(), EngineState::Serving), &mut context);
@@ -133,12 +133,12 @@
     let mut got = [0; 5];
     while !next.iter_mut().any(|(stream, _): &mut (std::net::TcpStream, _)| stream.read(&mut got).is_ok()) {
         poll.poll(&mut events, Some(std::time::Duration::from_millis(5))).unwrap();
-        for owner in events.iter().filter_map(|event| SocketOwner::of(event.token())) {
-            let SocketOwner::Warehouse(key) = owner else { panic!("{owner:?}") };
+        for owner in events.iter().filter_map(|event| SocketOwner::from_token(event.token())) {
+            let SocketOwner::LineProtocol(key) = owner else { panic!("{owner:?}") };
             pool.ready(key, &mut context);
         }
         next = next.or_else(|| listener.accept().ok());
         next.iter().for_each(|(stream, _)| stream.set_nonblocking(true).unwrap());
     }
-    assert_eq!((&got, outcomes(context.heard)), (b"want ", vec![]));
+    assert_eq!((&got, outcomes(context.events)), (b"want ", vec![]));
 }
--- a/tests/common/stage.rs
+++ b/tests/common/stage.rs
@@ -92,7 +92,7 @@
         let text = configured(&houses, &list, more).replace(LIMITS, limits).replace(SETTINGS, settings);
         let secret = |name: &str| (name == "SECRET").then(|| "frost".to_owned());
         let config = Config::read(text.into_bytes(), &secret).expect("a good configuration");
-        let clock = Clock::fixed(START);
+        let clock = Clock::manual(START);
         let node = Node::new(config, clock.clone()).expect("the node starts");
         Stage { node, clock, houses, list, clients: BTreeMap::new(), current: (0, 0) }
     }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -160,7 +160,7 @@
         let config = Config::read(text.into_bytes(), &|_| None);
         let config = config.unwrap_or_else(|e| panic!("seed {seed}: {e}: {}", d.settings));
         assert!(config.fit.iter().any(|line| line.contains("Unheard")), "what is unknown is told");
-        let clock = Clock::fixed(START);
+        let clock = Clock::manual(START);
         let node = Node::new(config, clock.clone()).expect("the node starts");
         let engine = |i: usize| Engine::new(d.dialect.clone(), seed ^ (i as u64) << 40, START);
         let address = node.address(Front::JsonRpc).expect("it listens");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -325,7 +325,7 @@
     for step in 0..150u32 {
         let now = f64::from(step) * 20.0;
         for (bulletin, timers, begun) in &mut all {
-            if !*begun || timers.pop(now).is_some() {
+            if !*begun || timers.pop_expired(now).is_some() {
                 *begun = true;
                 bulletin.look(now, poll.registry(), timers);
             }
@@ -339,8 +339,8 @@
         dials.push(accepted);
         poll.poll(&mut events, Some(std::time::Duration::ZERO)).unwrap();
         for event in &events {
-            if let Some(beamgap::node::reactor::SocketOwner::Bulletin(generation)) =
-                beamgap::node::reactor::SocketOwner::of(event.token())
+            if let Some(beamgap::node::reactor::SocketOwner::Discovery(generation)) =
+                beamgap::node::reactor::SocketOwner::from_token(event.token())
             {
                 all.iter_mut().for_each(|(bulletin, ..)| drop(bulletin.ready(now, generation)));
             }
