--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -80,7 +80,9 @@
             // although replies to different commands may arrive in any order.
             if let Some(index) = conn.unconfirmed_cancels.iter().position(|(tag, ..)| tag == line.id) {
                 let read = conn.unconfirmed_cancels.drain(..=index).map(|(_, at, _)| at);
-                context.events.extend(read.map(|at| DispatcherEvent::Ended(FinishedAttempt::confirmed(at))));
+                context
+                    .events
+                    .extend(read.map(|at| DispatcherEvent::AttemptEnded(FinishedAttempt::confirmed(at))));
             }
             return Ok(());
         }
@@ -91,7 +93,7 @@
             "update" => {
                 line.progress()
                     .into_iter()
-                    .for_each(|note| context.events.push(DispatcherEvent::Noted(at, note)));
+                    .for_each(|note| context.events.push(DispatcherEvent::AttemptProgress(at, note)));
                 return Ok(());
             }
             "served" if attempt.pages.is_empty() => {
@@ -132,7 +134,7 @@
         }
         let Some(attempt) = conn.in_flight.remove(line.id) else { return Ok(()) };
         self.placements.remove(&at);
-        let (answer, report) = match outcome {
+        let (response, report) = match outcome {
             Outcome::Served => {
                 if attempt.pages.len() > 1 {
                     conn.socket.put(format!("shut {}\r\n", line.id).as_bytes());
@@ -144,8 +146,8 @@
             }
             _ => (None, line.report()),
         };
-        context.events.push(DispatcherEvent::Ended(FinishedAttempt {
-            answer,
+        context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt {
+            response,
             cost: attempt.cost,
             report,
             ..FinishedAttempt::bare(at, outcome)
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -203,9 +203,8 @@
         let unsent = self.connections.get_mut(key).map(|conn| std::mem::take(&mut conn.unsent));
         for queued in unsent.into_iter().flatten() {
             self.placements.remove(&queued.attempt);
-            context
-                .events
-                .push(DispatcherEvent::Ended(FinishedAttempt::bare(queued.attempt, Outcome::Overloaded)));
+            let ended = FinishedAttempt::bare(queued.attempt, Outcome::Overloaded);
+            context.events.push(DispatcherEvent::AttemptEnded(ended));
         }
     }
 
@@ -223,7 +222,7 @@
             // The engine list changed after the engine was chosen.
             None => Outcome::Overloaded,
         };
-        context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+        context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
     }
 
     fn enqueue(
@@ -266,7 +265,7 @@
             CancelResult::PartlySent(_) | CancelResult::Unknown => Outcome::Cancelled,
         };
         if report_end {
-            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
         }
     }
 
@@ -302,7 +301,7 @@
         let Some(index) = conn.unsent.iter().position(|queued| queued.attempt == at) else { return };
         conn.unsent.remove(index);
         self.placements.remove(&at);
-        context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
+        context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::NotSent)));
     }
 
     /// Sends the engine a new priority for an attempt that has no result yet.
@@ -359,7 +358,7 @@
         }
         for (at, outcome) in ends {
             self.placements.remove(&at);
-            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
         }
     }
 
@@ -373,7 +372,7 @@
             .unconfirmed_cancels
             .pop_front_if(|(.., since)| context.now - *since >= CANCEL_CONFIRM_TIMEOUT_MS)
         {
-            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let idle = context.now - conn.silent_since;
         if !conn.socket.input.is_empty() && idle >= ANSWER_STALL_MS {
--- a/src/node/backend/mysql/connection.rs
+++ b/src/node/backend/mysql/connection.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn execute(&mut self, id: u32, bound: &Bound) {
+    pub(super) fn execute(&mut self, id: u32, bound: &BoundParameters) {
         if let Some(job) = &mut self.job {
             job.sent = true;
         }
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -9,7 +9,7 @@
 use crate::node::config::MysqlSettings;
 use crate::node::discovery::ListedEngine;
 use crate::node::dispatcher::{
-    AttemptRef, AttemptStart, Bound, DispatcherEvent, FinalResponse, FinishedAttempt, Payload,
+    AttemptRef, AttemptStart, BoundParameters, DispatcherEvent, FinalResponse, FinishedAttempt, Payload,
 };
 use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
 use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
@@ -151,7 +151,7 @@
                 if let Some(job) = conn.job.take() {
                     self.placements.remove(&job.attempt);
                     let ended = FinishedAttempt::bare(job.attempt, Outcome::Overloaded);
-                    context.events.push(DispatcherEvent::Ended(ended));
+                    context.events.push(DispatcherEvent::AttemptEnded(ended));
                 }
                 self.close(key, Outcome::Reset, context);
             }
@@ -174,7 +174,7 @@
                 None => Outcome::ConnectFailed,
             }
         };
-        context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+        context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
     }
 
     /// An idle connection, preferably one on which the statement is already prepared.
@@ -244,7 +244,7 @@
     /// a late result cannot match another statement. With `report_end`, the end is reported at once.
     pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
         if report_end {
-            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let Some(key) = self.placements.remove(&at) else { return };
         let Some(conn) = self.connections.get_mut(key) else { return };
@@ -279,7 +279,7 @@
         let Some(key) = self.placements.get(&at) else { return };
         if self.connections.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
             self.give_up(at, false, context);
-            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::NotSent)));
         }
     }
 
@@ -344,15 +344,15 @@
         &mut self,
         key: SlotKey,
         outcome: Outcome,
-        answer: Option<FinalResponse>,
+        response: Option<FinalResponse>,
         context: &mut BackendContext,
     ) -> AfterPacket {
         let Some(conn) = self.connections.get_mut(key) else { return AfterPacket::Close };
         conn.answer = Vec::new();
         if let Some(job) = conn.job.take() {
             self.placements.remove(&job.attempt);
-            let ended = FinishedAttempt { answer, ..FinishedAttempt::bare(job.attempt, outcome) };
-            context.events.push(DispatcherEvent::Ended(ended));
+            let ended = FinishedAttempt { response, ..FinishedAttempt::bare(job.attempt, outcome) };
+            context.events.push(DispatcherEvent::AttemptEnded(ended));
         }
         conn.advance(context.now);
         let serving = self.engines.serving(&conn.engine).is_some();
@@ -373,7 +373,7 @@
         if let Some(job) = conn.job {
             self.placements.remove(&job.attempt);
             let outcome = if job.sent { outcome } else { Outcome::ConnectFailed };
-            context.events.push(DispatcherEvent::Ended(FinishedAttempt::bare(job.attempt, outcome)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(job.attempt, outcome)));
         }
     }
 
--- a/src/node/dispatcher/decisions.rs
+++ b/src/node/dispatcher/decisions.rs
@@ -19,7 +19,7 @@
     }
 
     /// The final response to a request that gets no result. A request of a class that is unsafe to repeat gets
-    /// `Failed` if an attempt may have run: `Refused` would invite its client to send the same load again.
+    /// `Failed` if an attempt may have run: `Rejected` would invite its client to send the same load again.
     pub(super) fn unserved_response(&self, key: SlotKey, backoff_ms: f64) -> FinalResponse {
         let may_have_run = self.open.get(key).is_some_and(|open| {
             let is_unsafe_class = self.settings.classes[open.request.class.0].repeat == Repeat::Unsafe;
@@ -28,7 +28,7 @@
         if may_have_run {
             FinalResponse::Failed
         } else {
-            FinalResponse::Refused { backoff_ms }
+            FinalResponse::Rejected { backoff_ms }
         }
     }
 
@@ -69,7 +69,7 @@
                 let counts_in_fleet_budget =
                     open.request.admitted.as_ref().is_some_and(|a| a.held_units.max_duration_ms().is_some());
                 let may_retry = open.client.is_some();
-                let is_ordered = open.request.order.is_some();
+                let is_ordered = open.request.ordering_key.is_some();
                 let is_in_flight =
                     open.outstanding.as_ref().is_some_and(|out| out.attempt == attempt.attempt);
                 if is_in_flight && (may_retry || is_ordered || counts_in_fleet_budget) {
@@ -182,7 +182,7 @@
             Some(OutstandingAttempt { attempt, engine: engine.clone(), sent_at: now, timeout });
         self.commands.push(DispatcherCommand::Start(AttemptStart {
             attempt: AttemptRef { request: key, attempt },
-            front: open.request.asker.front,
+            front: open.request.client.front,
             name: open.request.name.clone(),
             class: open.request.class,
             engine,
--- a/src/node/dispatcher/message.rs
+++ b/src/node/dispatcher/message.rs
@@ -60,7 +60,7 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Response for the client, if the engine gave one: a result, or the engine's own error.
-    pub answer: Option<FinalResponse>,
+    pub response: Option<FinalResponse>,
     /// Work and memory that the attempt took, if the engine reported them.
     pub cost: Option<TrueCost>,
     /// Load report of the engine, if one came with the end.
@@ -77,7 +77,7 @@
 
     /// The end of an attempt of which nothing but the outcome is known.
     pub fn bare(attempt: AttemptRef, outcome: Outcome) -> FinishedAttempt {
-        FinishedAttempt { attempt, outcome, answer: None, cost: None, report: None, confirmed: false }
+        FinishedAttempt { attempt, outcome, response: None, cost: None, report: None, confirmed: false }
     }
 }
 
@@ -85,13 +85,13 @@
 #[derive(Clone, Debug)]
 pub enum DispatcherEvent {
     /// A front has read a complete request.
-    Asked(ClientRequest),
+    RequestReceived(ClientRequest),
     /// A client has cancelled its request or closed its connection.
     ClientGone(ClientHandle),
     /// An attempt has ended.
-    Ended(FinishedAttempt),
+    AttemptEnded(FinishedAttempt),
     /// An attempt in flight has reported progress.
-    Noted(AttemptRef, Progress),
+    AttemptProgress(AttemptRef, Progress),
     /// The engine list with its version, or changes to the list.
     EngineList(ListKind, u64, Vec<EngineEntry>),
 }
--- a/src/node/dispatcher/mod.rs
+++ b/src/node/dispatcher/mod.rs
@@ -146,7 +146,7 @@
 
     /// Rejects a request before it is accepted, so that nothing of it has run.
     pub fn reject(&mut self, client: ClientHandle, backoff_ms: f64) {
-        self.commands.push(DispatcherCommand::Respond(client, FinalResponse::Refused { backoff_ms }));
+        self.commands.push(DispatcherCommand::Respond(client, FinalResponse::Rejected { backoff_ms }));
     }
 
     /// Number of requests that are owed a response or have an attempt in flight.
@@ -172,7 +172,7 @@
     /// Handles an event from a front, a backend or service discovery.
     pub fn handle(&mut self, now: f64, event: DispatcherEvent, timers: &mut TimerQueue) {
         match event {
-            DispatcherEvent::Asked(request) => self.accept_request(now, request, timers),
+            DispatcherEvent::RequestReceived(request) => self.accept_request(now, request, timers),
             DispatcherEvent::ClientGone(client) => {
                 let Some(key) = self.by_client.remove(&client) else { return };
                 let Some(open) = self.open.get_mut(key) else { return };
@@ -183,8 +183,8 @@
                 self.withdraw_attempt(key);
                 self.remove_if_done(key, timers);
             }
-            DispatcherEvent::Ended(finished) => self.finish_attempt(now, finished, timers),
-            DispatcherEvent::Noted(AttemptRef { request: key, attempt }, progress) => {
+            DispatcherEvent::AttemptEnded(finished) => self.finish_attempt(now, finished, timers),
+            DispatcherEvent::AttemptProgress(AttemptRef { request: key, attempt }, progress) => {
                 let Some(open) = self.open.get(key) else { return };
                 let Some(out) = open.outstanding.as_ref().filter(|out| out.attempt == attempt) else {
                     return;
@@ -245,7 +245,7 @@
         let is_full = self.rejects_new
             || self.open.len() >= self.max_open
             || self.payload_bytes + size > self.max_payload_bytes;
-        let is_open = self.by_name.contains_key(&id) || self.by_client.contains_key(&client_request.asker);
+        let is_open = self.by_name.contains_key(&id) || self.by_client.contains_key(&client_request.client);
         let is_repeated = !self.recent_names.insert(now, &client_request.name) || is_open;
         if is_full || is_repeated {
             // Nothing runs for this request, but an earlier request with the same name may have run.
@@ -254,9 +254,9 @@
             let response = if is_unsafe_to_repeat && is_repeated {
                 FinalResponse::Failed
             } else {
-                FinalResponse::Refused { backoff_ms }
+                FinalResponse::Rejected { backoff_ms }
             };
-            self.commands.push(DispatcherCommand::Respond(client_request.asker, response));
+            self.commands.push(DispatcherCommand::Respond(client_request.client, response));
             return;
         }
         self.payload_bytes += size;
@@ -265,14 +265,14 @@
             id: id.clone(),
             class: client_request.class,
             time_left: to_micros(deadline.min(self.response_deadline) - now),
-            table_group: client_request.tables,
+            table_group: client_request.table_group,
             work_hint: client_request.work_ms.filter(|ms| *ms > 0.0).map(to_micros),
             memory_hint_mb: client_request.memory_mb.filter(|mb| *mb > 0.0),
-            key: client_request.order.clone(),
+            key: client_request.ordering_key.clone(),
             tenant: client_request.tenant.clone(),
             repeat: false,
         };
-        let client = client_request.asker;
+        let client = client_request.client;
         let key = self.open.insert(OpenRequest {
             client: Some(client),
             request: client_request,
@@ -292,8 +292,8 @@
             open.deadline_timer = Some(timers.set(deadline_at, TimerEvent::RequestDeadline(key)));
         }
         if let Some(open) = self.open.get(key) {
-            let (class, budget) = (open.request.class.0, open.request.budget);
-            let order = open.request.order.as_deref().unwrap_or("-");
+            let (class, budget) = (open.request.class.0, open.request.budget_ms);
+            let order = open.request.ordering_key.as_deref().unwrap_or("-");
             let waited = open.request.waited_at_client;
             trace!(
                 target: ACCOUNT,
@@ -314,7 +314,7 @@
         let ms = attempt_end.latency.as_millis();
         trace!(target: ACCOUNT, "end: id={id} engine={engine} outcome={outcome:?} ms={ms:.1}");
         let key = finished.attempt.request;
-        if let Some(response) = finished.answer {
+        if let Some(response) = finished.response {
             self.respond(key, response);
         } else if self
             .open
@@ -350,7 +350,7 @@
             engine: outstanding.engine,
             outcome: finished.outcome,
             latency: to_micros(now - outstanding.sent_at),
-            request_answered: open.client.is_none() || finished.answer.is_some(),
+            request_answered: open.client.is_none() || finished.response.is_some(),
             cost: finished.cost,
             report: finished.report.clone(),
         })
--- a/src/node/dispatcher/request.rs
+++ b/src/node/dispatcher/request.rs
@@ -24,7 +24,7 @@
 
 /// Parameters bound to a prepared statement. Only the MySQL front and the MySQL backend read them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Bound {
+pub struct BoundParameters {
     /// Number of parameters.
     pub count: usize,
     /// Types of the parameters, in the encoding of the client.
@@ -43,7 +43,7 @@
     /// Text of the statement.
     pub statement: Vec<u8>,
     /// Parameters bound to a prepared statement.
-    pub bound: Option<Bound>,
+    pub bound: Option<BoundParameters>,
     /// Default schema for unqualified names, if the client has selected one.
     pub schema: Option<String>,
 }
@@ -63,20 +63,20 @@
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Client and connection that the response goes to.
-    pub asker: ClientHandle,
+    pub client: ClientHandle,
     /// Unique name of the request.
     pub name: Arc<str>,
     /// Class of the request.
     pub class: ClassId,
     /// Estimated time at which the client sent the request, in milliseconds.
-    pub sent: f64,
-    /// How long the client waits for the response from `sent` on, in milliseconds.
-    pub budget: f64,
-    /// Longest part of `budget` that the request may have spent in a queue at the client before `sent`, in
+    pub sent_at: f64,
+    /// How long the client waits for the response from `sent_at` on, in milliseconds.
+    pub budget_ms: f64,
+    /// Longest part of `budget_ms` that the request may have spent in a queue at the client before `sent_at`, in
     /// milliseconds.
     pub waited_at_client: f64,
     /// Group of tables that the request reads or loads.
-    pub tables: u64,
+    pub table_group: u64,
     /// Estimated work in milliseconds.
     pub work_ms: Option<f64>,
     /// Estimated memory in megabytes.
@@ -84,7 +84,7 @@
     /// Tenant that the request belongs to, if the client names one.
     pub tenant: Option<Arc<str>>,
     /// Ordering key, in an ordered class: requests with the same key run one at a time in the order of arrival.
-    pub order: Option<Arc<str>>,
+    pub ordering_key: Option<Arc<str>>,
     /// Statement to run, with its parameters.
     pub payload: Rc<Payload>,
     /// Limits from the fleet's policy, and units of the fleet's budgets that the request holds; `None` without a
@@ -97,7 +97,7 @@
     /// may have passed before the request was sent. `late_response_grace` is the time after the end of the budget
     /// for which a response is still valid, in milliseconds.
     pub fn deadline(&self, late_response_grace: f64) -> f64 {
-        let by_budget = self.sent + self.budget;
+        let by_budget = self.sent_at + self.budget_ms;
         by_budget.min(by_budget - self.waited_at_client + late_response_grace)
     }
 }
@@ -108,7 +108,7 @@
     /// The complete, unmodified result, in an encoding that the backend and the front of the client protocol share.
     Served(Vec<u8>),
     /// The request was rejected and has not run, so that a retry is safe.
-    Refused {
+    Rejected {
         /// Delay after which the client may retry, in milliseconds.
         backoff_ms: f64,
     },
@@ -125,7 +125,7 @@
     pub(super) fn word(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
-            FinalResponse::Refused { .. } => "refused",
+            FinalResponse::Rejected { .. } => "refused",
             FinalResponse::Failed => "failed",
             FinalResponse::TimedOut => "late",
             FinalResponse::Error(_) => "error",
--- a/src/node/dispatcher/shutdown.rs
+++ b/src/node/dispatcher/shutdown.rs
@@ -61,7 +61,7 @@
             };
             if self.is_unfinishable(now, open) {
                 let id = RequestId(open.request.name.clone());
-                self.respond(key, FinalResponse::Refused { backoff_ms: DEFAULT_BACKOFF_MS });
+                self.respond(key, FinalResponse::Rejected { backoff_ms: DEFAULT_BACKOFF_MS });
                 self.decide(now, Event::ClientGone(id), timers);
                 self.remove_if_done(key, timers);
             }
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -79,12 +79,12 @@
             Ok(Message::Request(..) | Message::DuplicateId(_)) if client.read_closed => {}
             Ok(Message::Request(id, mut request)) => {
                 client.open_ids.insert(id);
-                if let Some(ordering_key) = &request.order {
+                if let Some(ordering_key) = &request.ordering_key {
                     let pacing = &mut self.key_pacing;
                     request.waited_at_client =
-                        pacing.longest_wait(sent_at, ordering_key, request.budget, on_new_connection);
+                        pacing.longest_wait(sent_at, ordering_key, request.budget_ms, on_new_connection);
                 }
-                context.events.push(DispatcherEvent::Asked(*request));
+                context.events.push(DispatcherEvent::RequestReceived(*request));
             }
             Ok(Message::DuplicateId(id)) => {
                 // The client could take any further response with this id for that of the open request.
@@ -141,7 +141,8 @@
         let is_name = |n: &&str| n.len() == NAME_LENGTH && n.bytes().all(|b| b.is_ascii_hexdigit());
         let Some(name) = text("rid").filter(is_name) else { return error(PARAMS, "rid") };
         let max_budget = self.max_budgets.get(class.0).copied().unwrap_or_default();
-        let Some(budget) = param("budget").and_then(json::number).filter(|ms| *ms > 0.0 && *ms <= max_budget)
+        let Some(budget_ms) =
+            param("budget").and_then(json::number).filter(|ms| *ms > 0.0 && *ms <= max_budget)
         else {
             return error(PARAMS, "budget");
         };
@@ -162,7 +163,7 @@
         };
         // A request of an ordered class without its ordering key is invalid, since it could overtake earlier requests
         // with the same key.
-        let order = match self.is_ordered.get(class.0) {
+        let ordering_key = match self.is_ordered.get(class.0) {
             Some(true) => {
                 let key = text("obj").filter(|key| (1..=MAX_KEY_BYTES).contains(&key.len()));
                 let Some(key) = key else { return error(PARAMS, "obj") };
@@ -177,17 +178,17 @@
             return error(PARAMS, "doc");
         };
         let request = ClientRequest {
-            asker: ClientHandle { front: Front::JsonRpc, conn: key, id },
+            client: ClientHandle { front: Front::JsonRpc, conn: key, id },
             name: Arc::from(name),
             class: *class,
-            sent: sent_at,
-            budget,
+            sent_at,
+            budget_ms,
             waited_at_client: 0.0,
-            tables: table_group::table_group(&statement).unwrap_or(0),
+            table_group: table_group::table_group(&statement).unwrap_or(0),
             work_ms,
             memory_mb,
             tenant,
-            order,
+            ordering_key,
             payload: Rc::new(Payload { statement, ..Payload::default() }),
             admitted: None,
         };
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -355,7 +355,7 @@
                 let doc = BASE64_STANDARD.encode(body);
                 format!(r#"{{"jsonrpc":"2.0","id":{id},"result":{{"doc":"{doc}"}}}}"#)
             }
-            FinalResponse::Refused { backoff_ms } => {
+            FinalResponse::Rejected { backoff_ms } => {
                 let backoff = backoff_ms.ceil().max(1.0);
                 let data = format!(r#""message":"refused, not run","data":{{"backoff":{backoff}}}"#);
                 format!(r#"{{"jsonrpc":"2.0","id":{id},"error":{{"code":{REFUSED},{data}}}}}"#)
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -10,7 +10,7 @@
 use crate::node::backend::BackendContext;
 use crate::node::config::{MysqlSettings, OrderBy};
 use crate::node::dispatcher::{
-    Bound, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
+    BoundParameters, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
 };
 use crate::node::front::withdraw;
 use crate::node::mysql_packets::{self, error, PACKET_MOST};
@@ -283,7 +283,7 @@
                 session.socket.put(&body);
             }
             FinalResponse::Error(body) => session.reply(sequence, &body),
-            FinalResponse::Refused { backoff_ms } => {
+            FinalResponse::Rejected { backoff_ms } => {
                 let back = backoff_ms.ceil().max(1.0);
                 let message = format!("refused, not run; come back in {back} ms");
                 session.send_error(sequence, (REFUSED.0, REFUSED.1, &message));
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -88,7 +88,7 @@
         sequence: u8,
         text: Vec<u8>,
         words: &[String],
-        bound: Option<Bound>,
+        bound: Option<BoundParameters>,
         context: &mut BackendContext,
     ) {
         let Some(session) = self.sessions.get_mut(key) else { return };
@@ -105,23 +105,23 @@
         session.requests += 1;
         session.phase = Phase::Busy(sequence);
         let id = session.requests;
-        let tables = table_group::table_group(&text).unwrap_or(0);
-        context.events.push(DispatcherEvent::Asked(ClientRequest {
-            asker: ClientHandle { front: Front::Mysql, conn: key, id },
+        let table_group = table_group::table_group(&text).unwrap_or(0);
+        context.events.push(DispatcherEvent::RequestReceived(ClientRequest {
+            client: ClientHandle { front: Front::Mysql, conn: key, id },
             name: Arc::from(format!("m{}-{}-{id}", key.slot, key.generation)),
             class,
-            sent: context.now,
-            budget: rule.and_then(|rule| rule.budget_ms).unwrap_or(self.classes[class.0].1),
+            sent_at: context.now,
+            budget_ms: rule.and_then(|rule| rule.budget_ms).unwrap_or(self.classes[class.0].1),
             waited_at_client: 0.0,
-            tables,
+            table_group,
             work_ms: rule.and_then(|rule| rule.work_ms),
             memory_mb: rule.and_then(|rule| rule.memory_mb),
             tenant: session.tenant.clone(),
-            order: self.classes[class.0].2.then(|| {
+            ordering_key: self.classes[class.0].2.then(|| {
                 // Each kind of key has its own prefix, so that an account name cannot collide with a table group.
                 Arc::from(match rule.map(|rule| rule.order_by).unwrap_or_default() {
                     OrderBy::Account => format!("a{}", String::from_utf8_lossy(&session.user)),
-                    OrderBy::Tables => format!("t{tables}"),
+                    OrderBy::Tables => format!("t{table_group}"),
                     OrderBy::Session => format!("s{}-{}", key.slot, key.generation),
                 })
             }),
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -71,7 +71,7 @@
 
 impl Statement {
     /// Parses the body of `COM_STMT_EXECUTE`: flags, null bitmap, optional types and values. Fails with an error code.
-    pub(super) fn bind(&mut self, rest: &[u8]) -> Result<Bound, u16> {
+    pub(super) fn bind(&mut self, rest: &[u8]) -> Result<BoundParameters, u16> {
         let long: Vec<(u16, Vec<u8>)> = std::mem::take(&mut self.long_data).into_iter().collect();
         if long.iter().any(|(index, _)| usize::from(*index) >= self.parameter_count) {
             return Err(WRONG_ARGUMENTS.0);
@@ -82,7 +82,7 @@
         }
         let count = self.parameter_count;
         if count == 0 {
-            return Ok(Bound::default());
+            return Ok(BoundParameters::default());
         }
         let (nulls, rest) = rest.split_at_checked(count.div_ceil(8)).ok_or(MALFORMED.0)?;
         let (new, mut values) = rest.split_first().ok_or(MALFORMED.0)?;
@@ -94,7 +94,7 @@
             return Err(WRONG_ARGUMENTS.0);
         }
         let (types, nulls, values) = (self.types.clone(), nulls.to_vec(), values.to_vec());
-        Ok(Bound { count, types, nulls, values, long })
+        Ok(BoundParameters { count, types, nulls, values, long })
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -223,10 +223,12 @@
     /// `None`. Other events are returned unchanged.
     fn admit(&mut self, event: DispatcherEvent) -> Option<DispatcherEvent> {
         let mut request = match event {
-            DispatcherEvent::Asked(request) => request,
+            DispatcherEvent::RequestReceived(request) => request,
             other => return Some(other),
         };
-        let Some(admission) = &mut self.admission else { return Some(DispatcherEvent::Asked(request)) };
+        let Some(admission) = &mut self.admission else {
+            return Some(DispatcherEvent::RequestReceived(request));
+        };
         let admission_request = AdmissionRequest {
             id: &request.name,
             class: request.class.0,
@@ -235,15 +237,15 @@
         };
         match admission.admit(admission_request) {
             Ok(admitted) => {
-                request.budget = admitted
+                request.budget_ms = admitted
                     .limits
                     .deadline_ms
-                    .map_or(request.budget, |deadline| request.budget.min(deadline));
+                    .map_or(request.budget_ms, |deadline| request.budget_ms.min(deadline));
                 request.admitted = Some(admitted);
-                Some(DispatcherEvent::Asked(request))
+                Some(DispatcherEvent::RequestReceived(request))
             }
             Err(reason) => {
-                self.dispatcher.reject(request.asker, reason.retry_after_ms());
+                self.dispatcher.reject(request.client, reason.retry_after_ms());
                 None
             }
         }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -71,7 +71,7 @@
 
 fn outcomes(heard: &mut Vec<DispatcherEvent>) -> Vec<(u32, Outcome)> {
     let outcome = |heard| match heard {
-        DispatcherEvent::Ended(ended) => Some((ended.attempt.request.slot, ended.outcome)),
+        DispatcherEvent::AttemptEnded(ended) => Some((ended.attempt.request.slot, ended.outcome)),
         _ => None,
     };
     heard.drain(..).filter_map(outcome).collect()
