--- a/src/node/backend/line_protocol/connection_limit.rs
+++ b/src/node/backend/line_protocol/connection_limit.rs
@@ -4,13 +4,13 @@
 
 impl LineProtocolBackend {
     /// The highest connection count of any engine, and whether a dial reached the limit since the last call.
-    pub fn links_used(&mut self) -> (usize, bool) {
+    pub fn connection_usage(&mut self) -> (usize, bool) {
         (self.engines.max_connections(), std::mem::take(&mut self.connection_limit_hit))
     }
 
     /// Sets the maximum number of connections per engine and closes idle connections above the limit.
     /// Connections above the limit that have attempts are closed by a later call, once they are idle.
-    pub fn keep_links(&mut self, limit: Option<usize>, context: &mut BackendContext) {
+    pub fn set_connection_limit(&mut self, limit: Option<usize>, context: &mut BackendContext) {
         self.max_connections_per_engine =
             limit.map_or(MAX_CONNECTIONS_PER_ENGINE, |limit| limit.min(MAX_CONNECTIONS_PER_ENGINE));
         if limit.is_none() || self.engines.max_connections() <= self.max_connections_per_engine {
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -144,7 +144,7 @@
     max_load: usize,
     max_connections: usize,
     max_connections_per_engine: usize,
-    /// Whether a dial reached the limit of connections per engine since the last call of `links_used`.
+    /// Whether a dial reached the limit of connections per engine since the last call of `connection_usage`.
     connection_limit_hit: bool,
     last_tag: u64,
     engines: EngineRegistry,
@@ -178,8 +178,8 @@
     }
 
     /// Applies an engine list. Unsent attempts of engines that accept no new work end as overloaded.
-    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
-        for key in self.engines.apply(kind, listings) {
+    pub fn update_engines(&mut self, kind: ListKind, engines: &[ListedEngine], context: &mut BackendContext) {
+        for key in self.engines.apply(kind, engines) {
             self.close(key, Outcome::Reset, context);
         }
         for key in self.connections.keys() {
@@ -251,7 +251,7 @@
     /// Cancels an attempt: removes it from the queue if no byte was written, else sends a cancel to the engine. With
     /// `report_end`, another attempt or a request of the same key waits for this one to end. The end is then reported
     /// once the engine confirms the cancel, because the next attempt could overtake the cancel on another connection.
-    pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
+    pub fn cancel(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
         let cancelled = self.do_cancel(at, report_end, context);
         match cancelled {
             CancelResult::Sent(key) => self.flush(key, context),
@@ -295,7 +295,7 @@
     }
 
     /// Ends an attempt as not sent if no byte of it was written; else does nothing.
-    pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
+    pub fn cancel_if_unsent(&mut self, at: AttemptRef, context: &mut BackendContext) {
         let Some((key, _)) = self.placements.get(&at) else { return };
         let Some(conn) = self.connections.get_mut(*key) else { return };
         let Some(index) = conn.unsent.iter().position(|queued| queued.attempt == at) else { return };
@@ -305,7 +305,7 @@
     }
 
     /// Sends the engine a new priority for an attempt that has no result yet.
-    pub fn hurry(&mut self, at: AttemptRef, priority: u8, context: &mut BackendContext) {
+    pub fn set_priority(&mut self, at: AttemptRef, priority: u8, context: &mut BackendContext) {
         let Some((key, name)) = self.placements.get(&at).cloned() else { return };
         let Some(conn) = self.connections.get_mut(key) else { return };
         if conn.in_flight.get(&name).is_some_and(|attempt| attempt.pages.is_empty()) {
@@ -363,7 +363,7 @@
     }
 
     /// Periodic check of a connection: connect timeout, cancel confirmations, stalled answers, probes, idle timeout.
-    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
+    pub fn check_connection(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         if !conn.connected {
             return self.check_dial(key, context);
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -138,8 +138,8 @@
     }
 
     /// Applies an engine list. Unsent attempts of servers that accept no new work end as overloaded.
-    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
-        for key in self.engines.apply(kind, listings) {
+    pub fn update_engines(&mut self, kind: ListKind, engines: &[ListedEngine], context: &mut BackendContext) {
+        for key in self.engines.apply(kind, engines) {
             self.close(key, Outcome::Reset, context);
         }
         for key in self.connections.keys() {
@@ -236,13 +236,13 @@
     }
 
     /// Whether an attempt is assigned to a connection of this backend.
-    pub fn carries(&self, at: AttemptRef) -> bool {
+    pub fn has_attempt(&self, at: AttemptRef) -> bool {
         self.placements.contains_key(&at)
     }
 
     /// Cancels an attempt. A sent attempt is killed over another connection and its own connection is closed, so that
     /// a late result cannot match another statement. With `report_end`, the end is reported at once.
-    pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
+    pub fn cancel(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
         if report_end {
             context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
@@ -275,10 +275,10 @@
     }
 
     /// Ends an attempt as not sent if its command was not written; else does nothing.
-    pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
+    pub fn cancel_if_unsent(&mut self, at: AttemptRef, context: &mut BackendContext) {
         let Some(key) = self.placements.get(&at) else { return };
         if self.connections.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
-            self.give_up(at, false, context);
+            self.cancel(at, false, context);
             context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::NotSent)));
         }
     }
@@ -378,7 +378,7 @@
     }
 
     /// Periodic check of a connection: connect, login and idle timeouts.
-    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
+    pub fn check_connection(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get(key) else { return };
         let age = context.now - conn.dialed_at;
         match conn.phase {
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -104,7 +104,7 @@
             TimerEvent::AttemptTimeout(request, attempt) => {
                 dispatcher.attempt_timed_out(now, AttemptRef { request, attempt }, timers);
             }
-            TimerEvent::LineProtocol(key) => line_protocol.look(key, &mut context),
+            TimerEvent::LineProtocol(key) => line_protocol.check_connection(key, &mut context),
             TimerEvent::Discovery => {
                 discovery.iter_mut().for_each(|client| client.look(now, registry, timers))
             }
@@ -116,11 +116,11 @@
             TimerEvent::JsonRpcClient(key) => jsonrpc.timed_out(key, &mut context),
             TimerEvent::ClosingConnection(key) => closing.expired(key),
             TimerEvent::Shutdown => self.advance_shutdown(now, &mut events),
-            TimerEvent::MysqlBackend(key) => {
-                mysql.iter_mut().for_each(|(_, mysql_backend)| mysql_backend.look(key, &mut context))
-            }
+            TimerEvent::MysqlBackend(key) => mysql
+                .iter_mut()
+                .for_each(|(_, mysql_backend)| mysql_backend.check_connection(key, &mut context)),
             TimerEvent::MysqlLogin(key) => {
-                mysql.iter_mut().for_each(|(front, _)| front.login_over(key, &mut context));
+                mysql.iter_mut().for_each(|(front, _)| front.login_timed_out(key, &mut context));
             }
             TimerEvent::Control(key) => control.look(key, &mut context),
             // Health and warm-up of engines change without a socket event. The timer only ends the poll: `poll_once`
@@ -184,10 +184,10 @@
         for ListEvent { number, kind, listings } in list_events {
             let Node { poll, timers, log, mysql, line_protocol, closing, .. } = self;
             let mut context = BackendContext { now, registry: poll.registry(), timers, closing, events, log };
-            line_protocol.members(kind, &listings, &mut context);
+            line_protocol.update_engines(kind, &listings, &mut context);
             mysql
                 .iter_mut()
-                .for_each(|(_, mysql_backend)| mysql_backend.members(kind, &listings, &mut context));
+                .for_each(|(_, mysql_backend)| mysql_backend.update_engines(kind, &listings, &mut context));
             for listing in &listings {
                 let entry = &listing.member;
                 let (engine, address, state) = (&entry.engine.0, listing.address, state_in_log(entry.state));
@@ -225,7 +225,7 @@
                     (DispatcherCommand::Respond(client, response), Some((mysql_front, _)))
                         if client.front == Front::Mysql =>
                     {
-                        mysql_front.answer(client, response, &mut context);
+                        mysql_front.respond(client, response, &mut context);
                     }
                     (DispatcherCommand::Respond(client, response), _) => {
                         jsonrpc.respond(client, &response, &mut context)
@@ -238,22 +238,22 @@
                     (DispatcherCommand::Start(start), _) => line_protocol.start(start, &mut context),
                     // Each backend ignores commands for attempts and engines that it does not have.
                     (DispatcherCommand::Cancel(attempt, report_end), mysql) => {
-                        let mysql = mysql.filter(|(_, mysql_backend)| mysql_backend.carries(attempt));
+                        let mysql = mysql.filter(|(_, mysql_backend)| mysql_backend.has_attempt(attempt));
                         match mysql {
                             Some((_, mysql_backend)) => {
-                                mysql_backend.give_up(attempt, report_end, &mut context)
+                                mysql_backend.cancel(attempt, report_end, &mut context)
                             }
-                            None => line_protocol.give_up(attempt, report_end, &mut context),
+                            None => line_protocol.cancel(attempt, report_end, &mut context),
                         }
                     }
                     (DispatcherCommand::CancelIfUnsent(attempt), mysql) => {
-                        line_protocol.withdraw(attempt, &mut context);
-                        mysql
-                            .into_iter()
-                            .for_each(|(_, mysql_backend)| mysql_backend.withdraw(attempt, &mut context));
+                        line_protocol.cancel_if_unsent(attempt, &mut context);
+                        mysql.into_iter().for_each(|(_, mysql_backend)| {
+                            mysql_backend.cancel_if_unsent(attempt, &mut context)
+                        });
                     }
                     (DispatcherCommand::SetPriority(attempt, priority), _) => {
-                        line_protocol.hurry(attempt, priority, &mut context)
+                        line_protocol.set_priority(attempt, priority, &mut context)
                     }
                     (DispatcherCommand::CloseIdle(engine), mysql) => {
                         line_protocol.close_idle(&engine, &mut context);
--- a/src/node/front/jsonrpc/message.rs
+++ b/src/node/front/jsonrpc/message.rs
@@ -72,7 +72,7 @@
             }
             Ok(Message::Cancel(id)) => {
                 if client.open_ids.remove(&id) {
-                    withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.events);
+                    cancel_request(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.events);
                 }
             }
             // The client has closed its write side, which withdraws its requests.
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::node::backend::BackendContext;
 use crate::node::dispatcher::{ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload};
-use crate::node::front::withdraw;
+use crate::node::front::cancel_request;
 use crate::node::json::{self, *};
 use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
@@ -336,7 +336,7 @@
         let mut ids: Vec<u64> = std::mem::take(&mut client.open_ids).into_iter().collect();
         ids.sort_unstable();
         for id in ids {
-            withdraw(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.events);
+            cancel_request(ClientHandle { front: Front::JsonRpc, conn: key, id }, context.events);
         }
     }
 
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -12,7 +12,7 @@
 use crate::node::dispatcher::{
     BoundParameters, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
 };
-use crate::node::front::withdraw;
+use crate::node::front::cancel_request;
 use crate::node::mysql_packets::{self, error, PACKET_MOST};
 use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
@@ -198,7 +198,7 @@
     }
 
     /// Closes a session that did not complete its login within the timeout.
-    pub fn login_over(&mut self, key: SlotKey, context: &mut BackendContext) {
+    pub fn login_timed_out(&mut self, key: SlotKey, context: &mut BackendContext) {
         if self.sessions.get(key).is_some_and(|s| matches!(s.phase, Phase::Greeted | Phase::AuthSwitched)) {
             self.close(key, context);
         }
@@ -265,19 +265,22 @@
     fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Session> {
         let session = self.sessions.remove(key)?;
         if matches!(session.phase, Phase::Busy(_)) {
-            withdraw(ClientHandle { front: Front::Mysql, conn: key, id: session.requests }, context.events);
+            cancel_request(
+                ClientHandle { front: Front::Mysql, conn: key, id: session.requests },
+                context.events,
+            );
         }
         Some(session)
     }
 
     /// Sends a response if the client still waits for it, then continues with the next command.
-    pub fn answer(&mut self, asker: ClientHandle, answer: FinalResponse, context: &mut BackendContext) {
-        let Some(session) = self.sessions.get_mut(asker.conn).filter(|s| s.requests == asker.id) else {
+    pub fn respond(&mut self, client: ClientHandle, response: FinalResponse, context: &mut BackendContext) {
+        let Some(session) = self.sessions.get_mut(client.conn).filter(|s| s.requests == client.id) else {
             return;
         };
         let Phase::Busy(sequence) = session.phase else { return };
         session.phase = Phase::Ready;
-        match answer {
+        match response {
             FinalResponse::Served(mut body) => {
                 mysql_packets::renumber(&mut body, sequence.wrapping_add(1));
                 session.socket.put(&body);
@@ -291,7 +294,7 @@
             FinalResponse::TimedOut => session.send_error(sequence, TIMED_OUT),
             FinalResponse::Failed => session.send_error(sequence, FAILED),
         }
-        self.ready(asker.conn, false, context);
+        self.ready(client.conn, false, context);
     }
 
     /// Enforces the memory limit over all sessions: above it, the session that uses the most memory is closed.
@@ -304,12 +307,12 @@
     }
 
     /// Closes sessions without a request in flight or partial input or output; used by the graceful shutdown.
-    pub fn close_quiet(&mut self, context: &mut BackendContext) {
+    pub fn close_idle(&mut self, context: &mut BackendContext) {
         for key in self.sessions.keys() {
             self.ready(key, false, context); // Handles input received since the poll, lest closing discard it.
             let is_busy = |s: &Session| matches!(s.phase, Phase::Busy(_));
-            let is_quiet = |s: &Session| !is_busy(s) && s.socket.waiting() == 0 && s.socket.input.is_empty();
-            if self.sessions.get(key).is_some_and(is_quiet) {
+            let is_idle = |s: &Session| !is_busy(s) && s.socket.waiting() == 0 && s.socket.input.is_empty();
+            if self.sessions.get(key).is_some_and(is_idle) {
                 self.close_after_flush(key, context);
             }
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -196,7 +196,7 @@
         self.dispatcher.release_expired_units(self.clock.now());
         let changed = admission.process(self.dispatcher.open_requests());
         let now = self.clock.now();
-        let (used, more_wanted) = self.line_protocol.links_used();
+        let (used, more_wanted) = self.line_protocol.connection_usage();
         let max_connections = admission.max_connections_per_engine(used, more_wanted);
         self.dispatcher.set_warm_up_share(admission.warm_up_share());
         let next_poll_at = now + admission.next_poll_in();
@@ -206,7 +206,7 @@
         self.admission_due = Some(self.timers.set(next_poll_at, TimerEvent::Fleet));
         let mut events = Vec::new();
         let Node { poll, timers, log, line_protocol, closing, .. } = self;
-        line_protocol.keep_links(
+        line_protocol.set_connection_limit(
             max_connections,
             &mut BackendContext { now, registry: poll.registry(), timers, closing, events: &mut events, log },
         );
@@ -302,7 +302,7 @@
         if step.close_idle_clients {
             dispatcher.reject_new();
             jsonrpc.close_idle(&mut context);
-            mysql.iter_mut().for_each(|(front, _)| front.close_quiet(&mut context));
+            mysql.iter_mut().for_each(|(front, _)| front.close_idle(&mut context));
         }
         if let Some(next_step_at) = step.next {
             timers.set(next_step_at, TimerEvent::Shutdown);
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -24,8 +24,8 @@
 impl Pool {
     fn members(&mut self, listing: ListedEngine, context: &mut BackendContext) {
         match self {
-            Pool::Lines(pool) => pool.members(ListKind::Changes, &[listing], context),
-            Pool::Mysql(pool) => pool.members(ListKind::Changes, &[listing], context),
+            Pool::Lines(pool) => pool.update_engines(ListKind::Changes, &[listing], context),
+            Pool::Mysql(pool) => pool.update_engines(ListKind::Changes, &[listing], context),
         }
     }
     fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
