--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -51,7 +51,8 @@
     let Some(block) = simd_json::prelude::ValueObjectAccess::get(&root, "fleet") else {
         return Err(invalid_input(format!("{name}: has no `fleet` block; docs/policy.md shows an example")));
     };
-    settings::read(block, "operator", &|_| None).map_err(|e| invalid_input(operator::located(&document, e)))
+    settings::read(block, "operator", &|_| None)
+        .map_err(|e| invalid_input(operator::with_location(&document, e)))
 }
 
 /// Sends requests to the leader and the voters of a fleet.
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -6,7 +6,7 @@
 use super::tasks::read as tasks;
 use super::test_hooks::TestHooks;
 use crate::node::json::{OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
-use crate::node::section::{number_of, wrong as wrong_at, Bounds, ReadResult};
+use crate::node::section::{invalid as invalid_at, number_of, Bounds, ReadResult};
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_consensus::VoterSlot;
 use beamgap_fleet_types::is_valid_name;
@@ -84,7 +84,7 @@
 }
 
 fn invalid<T>(key: &str, problem: impl Into<String>) -> ReadResult<T> {
-    wrong_at(&format!("fleet.{key}"), problem)
+    invalid_at(&format!("fleet.{key}"), problem)
 }
 
 /// Reads the `fleet` block. `node` is the front end's name and the default for the key `member`.
--- a/src/node/backend/engine_registry.rs
+++ b/src/node/backend/engine_registry.rs
@@ -29,14 +29,14 @@
     /// Applies an engine list and returns the connections to close because their address is out of date.
     pub fn apply(&mut self, kind: ListKind, listings: &[ListedEngine]) -> Vec<SlotKey> {
         if kind != ListKind::Changes {
-            let named: HashSet<&EngineId> = listings.iter().map(|l| &l.member.engine).collect();
+            let named: HashSet<&EngineId> = listings.iter().map(|l| &l.entry.engine).collect();
             let gone = self.0.iter_mut().filter(|(id, _)| !named.contains(id));
             gone.for_each(|(_, engine)| engine.state = EngineState::Removed);
         }
         let mut stale = Vec::new();
         for listing in listings {
-            let (address, state) = (listing.address, listing.member.state);
-            let id = &listing.member.engine;
+            let (address, state) = (listing.address, listing.entry.state);
+            let id = &listing.entry.engine;
             let new = || Engine {
                 address,
                 state,
--- a/src/node/backend/line_protocol/connection_io.rs
+++ b/src/node/backend/line_protocol/connection_io.rs
@@ -7,7 +7,7 @@
     pub fn ready(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         if !conn.connected {
-            match conn.socket.connected() {
+            match conn.socket.connect_result() {
                 None => return,
                 Some(Err(e)) => {
                     // A reset shows that the dial had succeeded, so unsent attempts may move to another connection.
@@ -57,12 +57,12 @@
             }
             let Some(conn) = self.connections.get_mut(key) else { return Ok(()) };
             conn.socket.input = input;
-            conn.socket.used(used);
+            conn.socket.consume(used);
             result?;
             match end {
-                Ok(ReadEnd::Open) if conn.socket.has_more() => {}
-                Ok(ReadEnd::Open) => return Ok(()),
-                Ok(ReadEnd::Closed) | Err(_) => return Err(ConnectionLost),
+                Ok(ReadStatus::Open) if conn.socket.read_limit_reached() => {}
+                Ok(ReadStatus::Open) => return Ok(()),
+                Ok(ReadStatus::Closed) | Err(_) => return Err(ConnectionLost),
             }
         }
     }
@@ -102,7 +102,7 @@
                 attempt.pages[0] = Some(parse_page(line.body)?);
                 (attempt.cost, attempt.report) = (line.cost(), line.report());
                 for page in 1..pages {
-                    conn.socket.put(format!("turn {} {page}\r\n", line.id).as_bytes());
+                    conn.socket.queue_write(format!("turn {} {page}\r\n", line.id).as_bytes());
                 }
                 Outcome::Served
             }
@@ -137,7 +137,7 @@
         let (response, report) = match outcome {
             Outcome::Served => {
                 if attempt.pages.len() > 1 {
-                    conn.socket.put(format!("shut {}\r\n", line.id).as_bytes());
+                    conn.socket.queue_write(format!("shut {}\r\n", line.id).as_bytes());
                 }
                 (
                     Some(FinalResponse::Served(attempt.pages.into_iter().flatten().flatten().collect())),
@@ -163,7 +163,7 @@
             if conn.socket.flush().is_err() {
                 return self.close(key, Outcome::Reset, context);
             }
-            if conn.socket.waiting() > 0 {
+            if conn.socket.unsent_bytes() > 0 {
                 return;
             }
             let Some(queued) = conn.unsent.pop_front() else { return };
@@ -171,7 +171,7 @@
                 conn.silent_since = context.now; // The probe interval starts with the first request in flight.
             }
             (conn.idle_before_request, conn.last_used) = (context.now - conn.last_used, context.now);
-            conn.socket.put(&queued.bytes);
+            conn.socket.queue_write(&queued.bytes);
             conn.last_written = Some(queued.attempt);
             let attempt =
                 SentAttempt { attempt: queued.attempt, pages: Vec::new(), cost: None, report: None };
--- a/src/node/backend/line_protocol/dial.rs
+++ b/src/node/backend/line_protocol/dial.rs
@@ -54,7 +54,7 @@
             self.close(idle, Outcome::Reset, context);
         }
         let engine = self.engines.get_mut(id)?;
-        let socket = BufferedSocket::dial(engine.address)
+        let socket = BufferedSocket::connect(engine.address)
             .map_err(|e| context.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
         let (dialed_at, silent_since) = (context.now, context.now);
@@ -84,7 +84,7 @@
             self.connections.len()
         );
         let watched =
-            self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::LineProtocol(key));
+            self.connections.get_mut(key)?.socket.register(context.registry, SocketOwner::LineProtocol(key));
         if watched.is_err() {
             self.close(key, Outcome::ConnectFailed, context);
             return None;
--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -11,7 +11,7 @@
 use crate::node::dispatcher::{
     AttemptRef, AttemptStart, DispatcherEvent, FinalResponse, FinishedAttempt, ACCOUNT,
 };
-use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::{settings, EngineId, ListKind, LoadReport, Micros, Outcome, Progress, TrueCost};
@@ -279,15 +279,15 @@
         if conn.in_flight.remove(&name).is_none() {
             return CancelResult::Unknown;
         }
-        if conn.last_written == Some(at) && conn.socket.waiting() > 0 && conn.in_flight.is_empty() {
+        if conn.last_written == Some(at) && conn.socket.unsent_bytes() > 0 && conn.in_flight.is_empty() {
             return CancelResult::PartlySent(key);
         }
-        conn.socket.put(format!("never_mind {name}\r\n").as_bytes());
+        conn.socket.queue_write(format!("never_mind {name}\r\n").as_bytes());
         conn.cancelled_names.insert(name);
         if report_end {
             self.last_tag += 1;
             let tag = format!("g{}", self.last_tag);
-            conn.socket.put(format!("there {tag}\r\n").as_bytes());
+            conn.socket.queue_write(format!("there {tag}\r\n").as_bytes());
             conn.unconfirmed_cancels.push_back((tag, at, context.now));
             conn.schedule_check(context.now + CANCEL_CONFIRM_TIMEOUT_MS, key, context.timers);
         }
@@ -309,7 +309,7 @@
         let Some((key, name)) = self.placements.get(&at).cloned() else { return };
         let Some(conn) = self.connections.get_mut(key) else { return };
         if conn.in_flight.get(&name).is_some_and(|attempt| attempt.pages.is_empty()) {
-            conn.socket.put(format!("hurry {name} {}\r\n", priority.min(3)).as_bytes());
+            conn.socket.queue_write(format!("hurry {name} {}\r\n", priority.min(3)).as_bytes());
             self.flush(key, context);
         }
     }
@@ -389,7 +389,7 @@
             return self.close(key, Outcome::Reset, context);
         } else if idle >= PROBE_AFTER_MS && conn.probe_sent_at.is_none() {
             conn.probe_sent_at = Some(context.now);
-            conn.socket.put(format!("there k{}\r\n", key.slot).as_bytes());
+            conn.socket.queue_write(format!("there k{}\r\n", key.slot).as_bytes());
             self.flush(key, context);
         }
         if let Some(conn) = self.connections.get_mut(key) {
--- a/src/node/backend/mysql/connection.rs
+++ b/src/node/backend/mysql/connection.rs
@@ -6,7 +6,7 @@
     pub(super) fn command(&mut self, command: Command, body: &[u8]) {
         let mut out = Vec::new();
         mysql_packets::push(&mut out, 0, &[&[command as u8], body].concat());
-        self.socket.put(&out);
+        self.socket.queue_write(&out);
     }
 
     /// Sends the next command: a pending kill first, else the next step of the job.
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -12,7 +12,7 @@
     AttemptRef, AttemptStart, BoundParameters, DispatcherEvent, FinalResponse, FinishedAttempt, Payload,
 };
 use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
-use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::TimerEvent;
 use crate::{EngineId, ListKind, Outcome};
@@ -166,7 +166,7 @@
             Outcome::Overloaded // The engine list changed after the server was chosen.
         } else if let Some(key) = self.idle_connection(&start.engine, &job) {
             return self.assign(key, job, context);
-        } else if self.engines.connections(&start.engine).len() >= self.settings.box_connections {
+        } else if self.engines.connections(&start.engine).len() >= self.settings.max_engine_connections {
             Outcome::Overloaded
         } else {
             match self.dial(&start.engine, context) {
@@ -206,7 +206,7 @@
             self.close(idle, Outcome::Reset, context);
         }
         let engine = self.engines.get_mut(id)?;
-        let socket = BufferedSocket::dial(engine.address)
+        let socket = BufferedSocket::connect(engine.address)
             .map_err(|e| context.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
         let key = self.connections.insert(Connection {
@@ -226,7 +226,7 @@
         });
         engine.connections.push(key);
         let watched =
-            self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::MysqlBackend(key));
+            self.connections.get_mut(key)?.socket.register(context.registry, SocketOwner::MysqlBackend(key));
         if watched.is_err() {
             self.close(key, Outcome::ConnectFailed, context);
             return None;
@@ -303,7 +303,7 @@
     pub fn ready(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         if matches!(conn.phase, Phase::Dialling) {
-            match conn.socket.connected() {
+            match conn.socket.connect_result() {
                 None => return,
                 Some(Err(_)) => return self.close(key, Outcome::ConnectFailed, context),
                 Some(Ok(())) => {
@@ -328,9 +328,9 @@
             failed |= mysql_packets::packet(&input[used..]).is_err();
             let Some(conn) = self.connections.get_mut(key) else { return };
             conn.socket.input = input;
-            conn.socket.used(used);
-            let more = conn.socket.has_more();
-            if failed || !matches!(end, Ok(ReadEnd::Open)) {
+            conn.socket.consume(used);
+            let more = conn.socket.read_limit_reached();
+            if failed || !matches!(end, Ok(ReadStatus::Open)) {
                 return self.close(key, Outcome::Reset, context);
             }
             if !more {
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -97,7 +97,7 @@
         conn.nonce.truncate(20);
         let plugin = greeting.auth_plugin_name_ref().unwrap_or(NATIVE_PLUGIN);
         let plugin = if plugin == SHA2_PLUGIN { SHA2_PLUGIN } else { NATIVE_PLUGIN };
-        let scramble = scramble(plugin, &conn.nonce, &self.settings.box_password);
+        let scramble = scramble(plugin, &conn.nonce, &self.settings.engine_password);
         let name = if plugin == SHA2_PLUGIN {
             AuthPlugin::CachingSha2Password
         } else {
@@ -106,7 +106,7 @@
         let response = HandshakeResponse::new(
             Some(scramble),
             (8, 0, 36),
-            Some(self.settings.box_user.as_bytes()),
+            Some(self.settings.engine_user.as_bytes()),
             None::<Vec<u8>>,
             Some(name),
             mysql_packets::capabilities(),
@@ -116,7 +116,7 @@
         let (mut out, mut reply) = (Vec::new(), Vec::new());
         response.serialize(&mut reply);
         mysql_packets::push(&mut out, sequence.wrapping_add(1), &reply);
-        conn.socket.put(&out);
+        conn.socket.queue_write(&out);
         conn.phase = Phase::Login;
         AfterPacket::KeepOpen
     }
@@ -142,9 +142,9 @@
                 let nonce = switch[end + 1..].strip_suffix(&[0]).unwrap_or(&switch[end + 1..]);
                 conn.nonce = nonce.to_vec();
                 let mut out = Vec::new();
-                let scramble = scramble(&switch[..end], nonce, &self.settings.box_password);
+                let scramble = scramble(&switch[..end], nonce, &self.settings.engine_password);
                 mysql_packets::push(&mut out, sequence.wrapping_add(1), &scramble);
-                conn.socket.put(&out);
+                conn.socket.queue_write(&out);
                 AfterPacket::KeepOpen
             }
             [0xff, ..] => self.handle_error(key, body, context),
--- a/src/node/config/flat_settings.rs
+++ b/src/node/config/flat_settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings as a flat map from path to text, which is the form that the simulator's protocol uses.
 
 use crate::node::json::{OwnedValue, StaticNode, ValueAsArray, ValueAsObject};
-use crate::node::section::{wrong, ReadResult};
+use crate::node::section::{invalid, ReadResult};
 use std::collections::HashMap;
 
 /// Settings by path, such as `Limits.MaxOpen`. All values are text.
@@ -22,7 +22,7 @@
             None => Ok(default),
             Some(text) => match text.parse::<f64>() {
                 Ok(value) if value.is_finite() && value >= 0.0 => Ok(value),
-                _ => wrong(&format!("settings.{path}"), format!("is '{text}', not a number of at least 0")),
+                _ => invalid(&format!("settings.{path}"), format!("is '{text}', not a number of at least 0")),
             },
         }
     }
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -11,7 +11,7 @@
 use super::discovery::ListEvent;
 use super::json::{self, OwnedValue, ValueAsObject, ValueAsScalar, ValueObjectAccess};
 use super::operator;
-use super::section::{address, text_of, wrong, ReadResult};
+use super::section::{address, invalid, text_of, ReadResult};
 use crate::fleet::settings as fleet_settings;
 use crate::settings::read_settings_with_notes;
 use crate::{KindSettings, Micros, Settings};
@@ -22,7 +22,7 @@
 use flat_settings::FlatSettings;
 use initial_list::read_initial_events;
 use mysql::read_mysql;
-pub use mysql::{Account, MysqlSettings, OrderBy, Rule};
+pub use mysql::{Account, ClassRule, MysqlSettings, OrderBy};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -58,15 +58,15 @@
     /// Seed of the random number generators.
     pub seed: u64,
     /// Maximum number of open file descriptors of the process.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory limit of the process, in megabytes of 2^20 bytes.
     pub memory_mb: f64,
     /// Address of the service discovery server; `None` if the engine list is fixed.
     pub bulletin: Option<SocketAddr>,
     /// Events of the engine list that the configuration contains.
-    pub known: Vec<ListEvent>,
+    pub initial_events: Vec<ListEvent>,
     /// Revision of the engine list that the configuration covers. Service discovery resumes after this revision.
-    pub last: u64,
+    pub last_revision: u64,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the zones, in the order by which service discovery refers to a zone by its index.
@@ -76,9 +76,9 @@
     /// Time after which engines close an idle connection, in milliseconds.
     pub idle_ms: f64,
     /// Maximum number of concurrent attempts on one connection.
-    pub streams: usize,
+    pub max_attempts_per_connection: usize,
     /// Maximum number of open requests.
-    pub open_most: usize,
+    pub max_open_requests: usize,
     /// Settings of the MySQL front and backend; `None` if they are disabled.
     pub mysql: Option<MysqlSettings>,
     /// Endpoints for load balancers and proxies; disabled without a `control` section.
@@ -91,7 +91,7 @@
     pub fit: Vec<String>,
     /// Top-level keys of the configuration that only take effect at the start, with their values. A reload compares
     /// them to report which of them have changed.
-    pub at_start: BTreeMap<String, OwnedValue>,
+    pub startup_only: BTreeMap<String, OwnedValue>,
 }
 
 /// The `settings` section, which the platform provides.
@@ -136,12 +136,12 @@
         operator: Option<(&str, &str)>,
         env: &dyn Fn(&str) -> Option<String>,
     ) -> ReadResult<Config> {
-        let mut root = json::read(text).or_else(|e| wrong("(file)", e))?;
+        let mut root = json::read(text).or_else(|e| invalid("(file)", e))?;
         let Some((file, text)) = operator else { return Config::read_sections(&root, env) };
         let document = read_operator_file(file, text)?;
-        let located = |error: ConfigError| operator::located(&document, error);
-        operator::merge(&document, &mut root).map_err(located)?;
-        Config::read_sections(&root, env).map_err(located)
+        let with_location = |error: ConfigError| operator::with_location(&document, error);
+        operator::merge(&document, &mut root).map_err(with_location)?;
+        Config::read_sections(&root, env).map_err(with_location)
     }
 
     /// Reads all sections of the settings.
@@ -162,29 +162,30 @@
             name: text_of(root, "name")?.unwrap_or("beamgap").to_owned(),
             listen,
             seed,
-            sockets: read_limit(root, "sockets", DEFAULT_SOCKETS)? as usize,
+            max_descriptors: read_limit(root, "sockets", DEFAULT_SOCKETS)? as usize,
             memory_mb: read_limit(root, "memory_mb", DEFAULT_MEMORY_MB)?,
             bulletin,
-            known: Vec::new(),
-            last: 0,
+            initial_events: Vec::new(),
+            last_revision: 0,
             settings: module,
             zones: flat.names("Azs"),
             dial_ms: flat.number("Limits.DialTimeout", DEFAULT_DIAL_MS)?,
             idle_ms: flat.number("Limits.ConnIdle", DEFAULT_IDLE_MS)?,
-            streams: flat.number("Limits.StreamsPerConn", DEFAULT_STREAMS)?.max(1.0) as usize,
-            open_most: flat.number("Limits.MaxOpen", DEFAULT_MAX_OPEN)?.max(1.0) as usize,
+            max_attempts_per_connection: flat.number("Limits.StreamsPerConn", DEFAULT_STREAMS)?.max(1.0)
+                as usize,
+            max_open_requests: flat.number("Limits.MaxOpen", DEFAULT_MAX_OPEN)?.max(1.0) as usize,
             mysql,
             control,
             xds,
             fleet: None,
             fit: notes,
-            at_start: startup_only_keys(root),
+            startup_only: startup_only_keys(root),
         };
         if let Some(fleet) = root.get("fleet") {
             config.fleet = Some(fleet_settings::read(fleet, &config.name, env)?);
         }
-        if config.sockets < MIN_SOCKETS {
-            return wrong("limits.sockets", "is under 32, too few file descriptors to serve requests");
+        if config.max_descriptors < MIN_SOCKETS {
+            return invalid("limits.sockets", "is under 32, too few file descriptors to serve requests");
         }
         config.add_kinds(flat.names("MachineTypes"));
         config.add_initial_events(root)?;
@@ -204,9 +205,9 @@
     /// Reads the events of the engine list that the configuration contains.
     fn add_initial_events(&mut self, root: &OwnedValue) -> ReadResult<()> {
         let Some(known) = root.get("known") else { return Ok(()) };
-        self.known = read_initial_events(known)?;
-        let last = self.known.iter().map(|event| event.number).max().unwrap_or(0);
-        self.last = last.max(known.get("no").and_then(|no| no.as_u64()).unwrap_or(0));
+        self.initial_events = read_initial_events(known)?;
+        let last = self.initial_events.iter().map(|event| event.revision).max().unwrap_or(0);
+        self.last_revision = last.max(known.get("no").and_then(|no| no.as_u64()).unwrap_or(0));
         Ok(())
     }
 
@@ -214,7 +215,7 @@
     /// clients use at most a third of all; the difference is for idle clients until they are evicted. The other half is
     /// for connections to engines and for the node itself.
     pub fn client_sockets(&self) -> usize {
-        self.sockets / 2
+        self.max_descriptors / 2
     }
 }
 
@@ -229,12 +230,12 @@
 /// Reads the `settings` section and derives the settings of the decision module from it.
 fn read_platform(root: &OwnedValue) -> ReadResult<PlatformSettings> {
     if root.as_object().is_none() {
-        return wrong("(file)", "is not a JSON object");
+        return invalid("(file)", "is not a JSON object");
     }
-    let Some(nested) = root.get("settings") else { return wrong("settings", "is missing") };
+    let Some(nested) = root.get("settings") else { return invalid("settings", "is missing") };
     let flat = FlatSettings::flatten(nested);
     let (mut module, notes) =
-        read_settings_with_notes(&flat.0).or_else(|e| wrong("settings", format!("are invalid: {e}")))?;
+        read_settings_with_notes(&flat.0).or_else(|e| invalid("settings", format!("are invalid: {e}")))?;
     // Every rejection carries a Retry-After, even if the settings disable it for the clients of the simulator.
     let max_retry_after = flat.number("Limits.MaxRetryAfter", 0.0)?;
     let max_retry_after = if max_retry_after > 0.0 {
@@ -258,7 +259,7 @@
 ) -> ReadResult<Option<SocketAddr>> {
     let env_listen = env("NODE_LISTEN").filter(|_| !has_mysql);
     if root.get("listen").is_none() && env_listen.is_none() && !has_mysql {
-        return wrong("listen", "is missing");
+        return invalid("listen", "is missing");
     }
     let text = text_of(root, "listen")?.or(env_listen.as_deref());
     text.map(|text| address(text, "listen")).transpose()
@@ -267,7 +268,7 @@
 /// Reads the seed, which is given in hexadecimal; 0 if it is absent.
 fn read_seed(root: &OwnedValue) -> ReadResult<u64> {
     match text_of(root, "seed")? {
-        Some(hex) => u64::from_str_radix(hex, 16).or_else(|_| wrong("seed", "is not 16 hex digits")),
+        Some(hex) => u64::from_str_radix(hex, 16).or_else(|_| invalid("seed", "is not 16 hex digits")),
         None => Ok(0),
     }
 }
@@ -278,7 +279,7 @@
         None => Ok(default),
         Some(value) => match json::number(value).filter(|number| *number > 0.0) {
             Some(number) => Ok(number),
-            None => wrong(&format!("limits.{name}"), "is not a number above 0"),
+            None => invalid(&format!("limits.{name}"), "is not a number above 0"),
         },
     }
 }
--- a/src/node/config/mysql.rs
+++ b/src/node/config/mysql.rs
@@ -2,7 +2,7 @@
 
 use super::schema::{integer, optional_key, required_key};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueObjectAccess};
-use crate::node::section::{address, text_of, wrong, ConfigError, ReadResult};
+use crate::node::section::{address, invalid, text_of, ConfigError, ReadResult};
 use crate::{ClassId, Repeat, Settings};
 use beamgap_config::schema::{Block, Shape};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 
 /// Assigns a class to statements. The first rule whose conditions all match a statement applies to it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rule {
+pub struct ClassRule {
     /// First keyword of a matching statement, in upper case; `None` matches any keyword.
     pub verb: Option<String>,
     /// Text that a matching statement contains, in lower case; `None` matches any statement.
@@ -66,13 +66,13 @@
     /// about these statements.
     pub default_class: ClassId,
     /// Classification rules, in the order in which they are tried.
-    pub rules: Vec<Rule>,
+    pub rules: Vec<ClassRule>,
     /// User name with which the node logs in to engines.
-    pub box_user: String,
+    pub engine_user: String,
     /// Password with which the node logs in to engines.
-    pub box_password: String,
+    pub engine_password: String,
     /// Maximum number of connections to one engine.
-    pub box_connections: usize,
+    pub max_engine_connections: usize,
 }
 
 /// Schema of the `mysql` block in the operator's file.
@@ -128,26 +128,26 @@
 pub(super) fn read_mysql(mysql: &OwnedValue, settings: &Settings, env: Env) -> ReadResult<MysqlSettings> {
     let default_class = class_of(settings, &required_text(mysql, "default_class")?, "mysql.default_class")?;
     if settings.classes[default_class.0].repeat != Repeat::Unsafe {
-        return wrong(
+        return invalid(
             "mysql.default_class",
             "may be run twice; the class of statements that match no rule must not allow that",
         );
     }
     let accounts = read_accounts(mysql, settings, env)?;
     let rules = read_rules(mysql, settings)?;
-    let box_connections = match mysql.get("box_connections").map(json::number) {
+    let max_engine_connections = match mysql.get("box_connections").map(json::number) {
         None => DEFAULT_BOX_CONNECTIONS,
         Some(Some(number)) if number >= 1.0 => number as usize,
-        Some(_) => return wrong("mysql.box_connections", "is not a number of at least 1"),
+        Some(_) => return invalid("mysql.box_connections", "is not a number of at least 1"),
     };
     Ok(MysqlSettings {
         listen: address(&required_text(mysql, "listen")?, "mysql.listen")?,
         accounts,
         default_class,
         rules,
-        box_user: required_text(mysql, "box_user")?,
-        box_password: read_password(mysql, "box_password_env", "mysql.box_password_env", env)?,
-        box_connections,
+        engine_user: required_text(mysql, "box_user")?,
+        engine_password: read_password(mysql, "box_password_env", "mysql.box_password_env", env)?,
+        max_engine_connections,
     })
 }
 
@@ -155,14 +155,14 @@
     let path = format!("mysql.{key}");
     match text_of(mysql, key).map_err(|error| ConfigError::new(path.clone(), error.problem))? {
         Some(text) => Ok(text.to_owned()),
-        None => wrong(&path, "is missing"),
+        None => invalid(&path, "is missing"),
     }
 }
 
 fn class_of(settings: &Settings, name: &str, path: &str) -> ReadResult<ClassId> {
     match settings.classes.iter().position(|class| class.name == name) {
         Some(index) => Ok(ClassId(index)),
-        None => wrong(path, format!("is '{name}', not the name of a class in the settings")),
+        None => invalid(path, format!("is '{name}', not the name of a class in the settings")),
     }
 }
 
@@ -171,7 +171,7 @@
     let Some(variable) = text_of(section, key)? else { return Ok(String::new()) };
     match env(variable) {
         Some(password) => Ok(password),
-        None => wrong(path, format!("names {variable}, which is not set in the environment")),
+        None => invalid(path, format!("names {variable}, which is not set in the environment")),
     }
 }
 
@@ -181,7 +181,7 @@
         None => Ok(&[]),
         Some(value) => match value.as_array() {
             Some(list) => Ok(list.as_slice()),
-            None => wrong(&format!("mysql.{key}"), "is not a list"),
+            None => invalid(&format!("mysql.{key}"), "is not a list"),
         },
     }
 }
@@ -190,19 +190,19 @@
     let mut accounts = Vec::new();
     for (i, account) in list_of(mysql, "accounts")?.iter().enumerate() {
         let at = |key: &str| format!("mysql.accounts[{i}].{key}");
-        let Some(user) = text_of(account, "user")? else { return wrong(&at("user"), "is missing") };
+        let Some(user) = text_of(account, "user")? else { return invalid(&at("user"), "is missing") };
         let password = read_password(account, "password_env", &at("password_env"), env)?;
         let tenant: Option<Arc<str>> = text_of(account, "tenant")?.map(Arc::from);
         let is_known = |tenant: &Arc<str>| settings.tenants.iter().any(|known| *known.name == **tenant);
         if tenant.as_ref().is_some_and(|tenant| !is_known(tenant)) {
-            return wrong(&at("tenant"), "is not the name of a tenant in the settings");
+            return invalid(&at("tenant"), "is not the name of a tenant in the settings");
         }
         accounts.push(Account { user: user.to_owned(), password, tenant });
     }
     Ok(accounts)
 }
 
-fn read_rules(mysql: &OwnedValue, settings: &Settings) -> ReadResult<Vec<Rule>> {
+fn read_rules(mysql: &OwnedValue, settings: &Settings) -> ReadResult<Vec<ClassRule>> {
     let mut rules = Vec::new();
     for (i, rule) in list_of(mysql, "rules")?.iter().enumerate() {
         rules.push(read_rule(rule, &format!("mysql.rules[{i}]"), settings)?);
@@ -210,17 +210,17 @@
     Ok(rules)
 }
 
-fn read_rule(rule: &OwnedValue, path: &str, settings: &Settings) -> ReadResult<Rule> {
+fn read_rule(rule: &OwnedValue, path: &str, settings: &Settings) -> ReadResult<ClassRule> {
     let at = |key: &str| format!("{path}.{key}");
-    let Some(class) = text_of(rule, "class")? else { return wrong(&at("class"), "is missing") };
+    let Some(class) = text_of(rule, "class")? else { return invalid(&at("class"), "is missing") };
     let number = |key: &str| match rule.get(key) {
         None => Ok(None),
         Some(value) => match json::number(value).filter(|number| *number > 0.0) {
             Some(number) => Ok(Some(number)),
-            None => wrong(&at(key), "is not a number above 0"),
+            None => invalid(&at(key), "is not a number above 0"),
         },
     };
-    Ok(Rule {
+    Ok(ClassRule {
         verb: text_of(rule, "verb")?.map(str::to_uppercase),
         mentions: text_of(rule, "mentions")?.map(str::to_lowercase),
         class: class_of(settings, class, &at("class"))?,
@@ -236,6 +236,6 @@
         None | Some("account") => Ok(OrderBy::Account),
         Some("tables") => Ok(OrderBy::Tables),
         Some("session") => Ok(OrderBy::Session),
-        Some(other) => wrong(path, format!("is '{other}'; use account, tables or session")),
+        Some(other) => invalid(path, format!("is '{other}'; use account, tables or session")),
     }
 }
--- a/src/node/config/xds.rs
+++ b/src/node/config/xds.rs
@@ -3,7 +3,7 @@
 use super::control::ControlSettings;
 use super::schema::{integer, optional_key, required_key};
 use crate::node::json::{self, OwnedValue, ValueAsArray, ValueAsScalar, ValueObjectAccess};
-use crate::node::section::{address, text_of, wrong, ReadResult};
+use crate::node::section::{address, invalid, text_of, ReadResult};
 use crate::{Settings, SlowStart};
 use beamgap_config::schema::{Block, Shape};
 use beamgap_xds::core::picture::{ColdTerms, Listener, Terms};
@@ -85,15 +85,15 @@
     match xds.get(key).map(json::number) {
         None => Ok(default),
         Some(Some(number)) if (least..=most).contains(&number) => Ok(number),
-        Some(_) => wrong(&format!("xds.{key}"), format!("is not a number from {least} to {most}")),
+        Some(_) => invalid(&format!("xds.{key}"), format!("is not a number from {least} to {most}")),
     }
 }
 
 fn required_text(section: &OwnedValue, key: &str, path: &str) -> ReadResult<String> {
     match text_of(section, key) {
         Ok(Some(text)) => Ok(text.to_owned()),
-        Ok(None) => wrong(path, "is missing"),
-        Err(error) => wrong(path, error.problem),
+        Ok(None) => invalid(path, "is missing"),
+        Err(error) => invalid(path, error.problem),
     }
 }
 
@@ -104,7 +104,7 @@
         let problem =
             "is beyond loopback, where connections are neither encrypted nor authenticated; listen on \
                        127.0.0.1, or set `plaintext_beyond_loopback = true`";
-        return wrong("xds.listen", problem);
+        return invalid("xds.listen", problem);
     }
     Ok(listen)
 }
@@ -114,7 +114,7 @@
         None => &[][..],
         Some(value) => match value.as_array() {
             Some(list) => list.as_slice(),
-            None => return wrong("xds.listeners", "is not a list"),
+            None => return invalid("xds.listeners", "is not a list"),
         },
     };
     let mut listeners: Vec<Listener> = Vec::new();
@@ -122,7 +122,7 @@
         let at = |key: &str| format!("xds.listeners[{i}].{key}");
         let name = required_text(listener, "name", &at("name"))?;
         if name.is_empty() || listeners.iter().any(|other| other.name == name) {
-            return wrong(&at("name"), format!("is '{name}', which is empty or already in use"));
+            return invalid(&at("name"), format!("is '{name}', which is empty or already in use"));
         }
         let address = address(&required_text(listener, "address", &at("address"))?, &at("address"))?;
         listeners.push(Listener { name, address });
@@ -142,12 +142,12 @@
     if terms.proxy_share > 0.0 && terms.proxy_share * terms.fall_multiple <= 1.0 {
         let least = (100.0 / terms.fall_multiple).floor() + 1.0;
         let problem = format!("leaves proxies nothing on cold engines; write 0% or {least}% and more");
-        return wrong("xds.proxy_share", problem);
+        return invalid("xds.proxy_share", problem);
     }
     if request_ms < terms.fall_span_ms {
         let problem =
             format!("is under the {} ms over which the slow start rule measures load", terms.fall_span_ms);
-        return wrong("xds.request_ms", problem);
+        return invalid("xds.request_ms", problem);
     }
     Ok(terms)
 }
--- a/src/node/control/mod.rs
+++ b/src/node/control/mod.rs
@@ -4,7 +4,7 @@
 pub mod xds;
 
 use super::backend::BackendContext;
-use super::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use super::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use super::slab::{Slab, SlotKey};
 use super::timer_queue::TimerEvent;
 use crate::EngineStatus;
@@ -27,11 +27,11 @@
 
 /// State of the node that load balancers and proxies can query.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct NodeStatus {
     /// Whether a graceful shutdown has begun.
     pub shutting_down: bool,
     /// Reason why the fleet's policy admits no requests at present; `None` without a policy or if it admits requests.
-    pub why_not: Option<String>,
+    pub blocked_reason: Option<String>,
     /// Share of the requested work that is admitted, from 0 to 1; 0 if no engine accepts work.
     pub admitted: f64,
     /// Status and address of each engine.
@@ -40,10 +40,10 @@
     pub clients: Option<Arc<str>>,
 }
 
-impl View {
+impl NodeStatus {
     /// Whether the node accepts new requests.
     pub fn ready(&self) -> bool {
-        !self.shutting_down && self.why_not.is_none() && self.admitted > 0.0
+        !self.shutting_down && self.blocked_reason.is_none() && self.admitted > 0.0
     }
 
     /// Response line to an agent check: `drain` during a graceful shutdown, `down` with a reason if the node accepts no
@@ -52,7 +52,7 @@
         if self.shutting_down {
             "drain\n".to_owned()
         } else if !self.ready() {
-            let reason = self.why_not.as_deref().unwrap_or("no engine takes work");
+            let reason = self.blocked_reason.as_deref().unwrap_or("no engine takes work");
             format!("down #{}\n", reason.replace(['\n', '#'], " ").chars().take(200).collect::<String>())
         } else {
             format!("ready up {}%\n", (self.admitted * 100.0).round().clamp(1.0, 100.0))
@@ -62,7 +62,7 @@
 
 /// The protocol of a listener and of the connections that it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ControlProtocol {
     /// HTTP health checks and endpoint discovery over HTTP.
     Http,
     /// Agent checks, which are answered without reading a request.
@@ -71,7 +71,7 @@
 
 struct Connection {
     socket: BufferedSocket,
-    kind: Kind,
+    kind: ControlProtocol,
     /// When the socket last had an event, in Unix milliseconds.
     last_activity: f64,
     /// Whether the last response was queued. The connection then reads no further requests and waits for the peer to
@@ -80,7 +80,7 @@
 }
 
 /// Server for the connections of load balancers and proxies.
-pub struct Control {
+pub struct ControlServer {
     connections: Slab<Connection>,
     cluster: String,
 }
@@ -155,14 +155,20 @@
     }
 }
 
-impl Control {
+impl ControlServer {
     /// Creates a server without connections. `cluster` is the name of the cluster in discovery responses.
-    pub fn new(cluster: String) -> Control {
-        Control { connections: Slab::default(), cluster }
+    pub fn new(cluster: String) -> ControlServer {
+        ControlServer { connections: Slab::default(), cluster }
     }
 
     /// Adds an accepted connection. Answers an agent check at once, because its client need not send a request.
-    pub fn accept(&mut self, stream: TcpStream, kind: Kind, view: &View, context: &mut BackendContext) {
+    pub fn accept(
+        &mut self,
+        stream: TcpStream,
+        kind: ControlProtocol,
+        view: &NodeStatus,
+        context: &mut BackendContext,
+    ) {
         if self.connections.len() >= MAX_CONNECTIONS {
             // Drops the connection: load balancers and proxies are few, and the remaining file descriptors are reserved
             // for clients and engines.
@@ -175,20 +181,20 @@
             is_closing: false,
         });
         let Some(connection) = self.connections.get_mut(key) else { return };
-        if connection.socket.watch(context.registry, SocketOwner::Control(key)).is_err() {
+        if connection.socket.register(context.registry, SocketOwner::Control(key)).is_err() {
             self.connections.remove(key);
             return;
         }
         context.timers.set(context.now + IDLE_TIMEOUT_MS, TimerEvent::Control(key));
-        if kind == Kind::Agent {
-            connection.socket.put(view.agent_line().as_bytes());
+        if kind == ControlProtocol::Agent {
+            connection.socket.queue_write(view.agent_line().as_bytes());
             connection.is_closing = true;
         }
         self.ready(key, view, context);
     }
 
     /// Handles readiness of a connection's socket, and drops the connection if it has failed or ended.
-    pub fn ready(&mut self, key: SlotKey, view: &View, context: &mut BackendContext) {
+    pub fn ready(&mut self, key: SlotKey, view: &NodeStatus, context: &mut BackendContext) {
         if self.process_socket(key, view, context).is_none() {
             self.connections.remove(key);
         }
@@ -196,16 +202,21 @@
 
     /// Reads from the socket, answers all complete requests and writes the responses. Returns `None` if the connection
     /// has failed or the peer has closed it.
-    fn process_socket(&mut self, key: SlotKey, view: &View, context: &mut BackendContext) -> Option<()> {
+    fn process_socket(
+        &mut self,
+        key: SlotKey,
+        view: &NodeStatus,
+        context: &mut BackendContext,
+    ) -> Option<()> {
         let connection = self.connections.get_mut(key)?;
         connection.last_activity = context.now;
         connection.socket.flush().ok()?;
         let end = connection.socket.read(MAX_HEAD_BYTES + MAX_BODY_BYTES).ok()?;
-        while !connection.is_closing && connection.kind == Kind::Http {
+        while !connection.is_closing && connection.kind == ControlProtocol::Http {
             let (status, body, head_only) = match parse_request(&connection.socket.input) {
                 ParseResult::Incomplete => break,
                 ParseResult::Complete(request) => {
-                    connection.socket.used(request.length);
+                    connection.socket.consume(request.length);
                     connection.is_closing = !request.keep_alive;
                     let (status, body) = respond(&self.cluster, &request, view);
                     (status, body, request.method == "HEAD")
@@ -220,26 +231,26 @@
             let reason = reason_phrase(status);
             let length =
                 if status == 304 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-            connection.socket.put(
+            connection.socket.queue_write(
                 format!("HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\n{length}{close}\r\n")
                     .as_bytes(),
             );
             if !head_only && status != 304 {
-                connection.socket.put(body.as_bytes());
+                connection.socket.queue_write(body.as_bytes());
             }
         }
         if connection.is_closing {
-            connection.socket.used(connection.socket.input.len());
+            connection.socket.consume(connection.socket.input.len());
         }
         connection.socket.flush().ok()?;
-        if connection.is_closing && connection.socket.waiting() == 0 {
-            connection.socket.finish();
+        if connection.is_closing && connection.socket.unsent_bytes() == 0 {
+            connection.socket.shutdown_write();
         }
-        (end == ReadEnd::Open).then_some(())
+        (end == ReadStatus::Open).then_some(())
     }
 
     /// Handles the idle timer of a connection: drops the connection if it is idle, else restarts the timer.
-    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
+    pub fn on_timer(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(connection) = self.connections.get(key) else { return };
         if context.now - connection.last_activity >= IDLE_TIMEOUT_MS {
             self.connections.remove(key);
@@ -250,7 +261,7 @@
 }
 
 /// Returns the HTTP status and the body of the response to a request.
-fn respond(cluster: &str, request: &Request, view: &View) -> (u16, String) {
+fn respond(cluster: &str, request: &Request, view: &NodeStatus) -> (u16, String) {
     let path = request.path.split('?').next().unwrap_or_default();
     let is_read = matches!(request.method.as_str(), "GET" | "HEAD");
     match path {
--- a/src/node/control/xds.rs
+++ b/src/node/control/xds.rs
@@ -1,7 +1,7 @@
 //! Endpoint discovery for proxies. Publishes snapshots of the decision module's engine state to the xDS server, which
 //! runs on its own thread, and answers polling requests in the REST-JSON variant of xDS.
 
-use super::View;
+use super::NodeStatus;
 use crate::node::json::{self, quoted, ValueAsArray, ValueAsScalar, ValueObjectAccess};
 use crate::EngineState;
 use beamgap_xds::core::allot::hash;
@@ -20,25 +20,25 @@
 
 /// Interval at which changes to the health and capacity of engines are published, in milliseconds. Changes to the
 /// engine list are published immediately.
-pub const FEED_MS: f64 = 50.0;
+pub const PUBLISH_INTERVAL_MS: f64 = 50.0;
 
 /// Publishes snapshots to the running xDS server.
-pub struct Feed {
+pub struct XdsPublisher {
     handle: Handle,
     last_published: Picture,
     /// When the next snapshot is due, in Unix milliseconds.
     next_publish: f64,
 }
 
-impl Feed {
+impl XdsPublisher {
     /// Starts the xDS server on its own thread.
-    pub fn start(service: Service) -> io::Result<Feed> {
+    pub fn start(service: Service) -> io::Result<XdsPublisher> {
         let log = |message| match message {
             Told::Info(text) => tracing::info!(target: "xds", "xds: {text}"),
             Told::Warning(text) => tracing::warn!(target: "xds", "xds: {text}"),
         };
         let handle = transport::start(service, Arc::new(log))?;
-        Ok(Feed { handle, last_published: Picture::default(), next_publish: 0.0 })
+        Ok(XdsPublisher { handle, last_published: Picture::default(), next_publish: 0.0 })
     }
 
     /// Address on which the xDS server listens.
@@ -52,18 +52,18 @@
     }
 
     /// Makes the next snapshot due immediately. Called when the engine list changes.
-    pub fn hurry(&mut self) {
+    pub fn publish_soon(&mut self) {
         self.next_publish = 0.0;
     }
 
     /// Whether the next snapshot is due.
-    pub fn due(&self, now: f64) -> bool {
+    pub fn is_due(&self, now: f64) -> bool {
         now >= self.next_publish
     }
 
     /// Publishes a snapshot of `view` if it differs from the last one, and schedules the next snapshot.
-    pub fn publish(&mut self, now: f64, view: &View) {
-        self.next_publish = now + FEED_MS;
+    pub fn publish(&mut self, now: f64, view: &NodeStatus) {
+        self.next_publish = now + PUBLISH_INTERVAL_MS;
         let snapshot = snapshot(view);
         if snapshot != self.last_published {
             self.last_published = snapshot.clone();
@@ -73,7 +73,7 @@
 }
 
 /// Converts the decision module's state to a snapshot for the xDS server.
-pub fn snapshot(view: &View) -> Picture {
+pub fn snapshot(view: &NodeStatus) -> Picture {
     let engine = |(status, address): &(crate::EngineStatus, SocketAddr)| Engine {
         name: status.engine.0.clone(),
         address: *address,
@@ -91,7 +91,7 @@
 
 /// Answers a REST-JSON discovery request for the endpoints of `cluster`. Returns the HTTP status and the response body,
 /// which is empty for status 304 if the client already has the current version.
-pub fn discover(cluster: &str, request: Vec<u8>, view: &View) -> (u16, String) {
+pub fn discover(cluster: &str, request: Vec<u8>, view: &NodeStatus) -> (u16, String) {
     let Ok(request) = json::read(request) else { return (400, "not JSON\n".to_owned()) };
     let url = request.get("type_url").and_then(|url| url.as_str());
     if url.is_some_and(|url| url != TYPE_URL) {
@@ -115,7 +115,7 @@
 }
 
 /// Formats the `ClusterLoadAssignment` of the cluster as JSON, with one locality per zone.
-fn resources(cluster: &str, view: &View) -> String {
+fn resources(cluster: &str, view: &NodeStatus) -> String {
     let mut zones: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     for (status, address) in &view.engines {
         let health = match (status.state, status.in_use) {
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -5,7 +5,7 @@
 //! server disconnects all front ends at the same time and they would otherwise reconnect in step.
 
 use super::clock::to_micros;
-use super::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use super::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use super::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::mix;
 use crate::{EngineEntry, EngineId, EngineState, ListKind};
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEngine {
     /// The entry as passed to the decision module.
-    pub member: EngineEntry,
+    pub entry: EngineEntry,
     /// Address on which the engine accepts connections.
     pub address: SocketAddr,
 }
@@ -51,11 +51,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
     /// Revision of the list after this event; increases with every event.
-    pub number: u64,
+    pub revision: u64,
     /// Whether the entries are the complete list, a cached list that may be outdated, or only the changed engines.
     pub kind: ListKind,
     /// Engines that the event lists, with their addresses.
-    pub listings: Vec<ListedEngine>,
+    pub engines: Vec<ListedEngine>,
 }
 
 /// A malformed frame. The stream can't be resynchronized, so its connection must be closed.
@@ -78,7 +78,7 @@
         return Err(BadFrame);
     }
     let Some(body) = bytes.get(4..4 + length) else { return Ok(None) };
-    let number = big_endian(&body[..8]);
+    let revision = big_endian(&body[..8]);
     let kind = match body[8] {
         0 => return Ok(Some((4 + length, None))),
         1 => ListKind::Full,
@@ -90,8 +90,8 @@
         return Err(BadFrame);
     }
     let records = records.chunks_exact(RECORD_BYTES);
-    let listings = records.map(|record| parse_record(record, zones, kinds)).collect::<Result<Vec<_>, _>>()?;
-    Ok(Some((4 + length, Some(ListEvent { number, kind, listings }))))
+    let engines = records.map(|record| parse_record(record, zones, kinds)).collect::<Result<Vec<_>, _>>()?;
+    Ok(Some((4 + length, Some(ListEvent { revision, kind, engines }))))
 }
 
 /// Decodes an unsigned big-endian integer of up to eight bytes.
@@ -111,7 +111,7 @@
     let address = Ipv4Addr::from(big_endian(&r[4..8]) as u32);
     Ok(ListedEngine {
         address: SocketAddr::from((address, big_endian(&r[8..10]) as u16)),
-        member: EngineEntry {
+        entry: EngineEntry {
             engine: EngineId(Arc::from(format!("s-{:08x}", big_endian(&r[..4])))),
             zone: name(zones, r[11]),
             kind: name(kinds, r[12]),
@@ -170,16 +170,16 @@
     }
 
     /// Handles the check timer: closes a silent watch, connects if no connection exists, and schedules the next check.
-    pub fn look(&mut self, now: f64, registry: &Registry, timers: &mut TimerQueue) {
+    pub fn on_timer(&mut self, now: f64, registry: &Registry, timers: &mut TimerQueue) {
         if self.socket.is_some() && now - self.last_frame_at > SILENCE_TIMEOUT_MS {
             self.socket = None;
         }
         if self.socket.is_none() {
             self.generation = self.generation.wrapping_add(1);
             (self.subscribed, self.last_frame_at) = (false, now);
-            self.socket = BufferedSocket::dial(self.address)
+            self.socket = BufferedSocket::connect(self.address)
                 .and_then(|mut socket| {
-                    socket.watch(registry, SocketOwner::Discovery(self.generation)).map(|()| socket)
+                    socket.register(registry, SocketOwner::Discovery(self.generation)).map(|()| socket)
                 })
                 .ok();
             self.connect_attempts = (self.connect_attempts + 1).min(16);
@@ -207,7 +207,7 @@
     /// Applies a reloaded configuration: if the server's address has changed, closes the old connection and schedules
     /// a connection to the new address, which resumes after the last revision received. Returns the events of `known`
     /// that are newer than this revision.
-    pub fn moved(
+    pub fn apply_reload(
         &mut self,
         now: f64,
         address: SocketAddr,
@@ -225,8 +225,8 @@
     /// Returns the event and advances the last revision if the event is newer than that; drops duplicates and outdated
     /// events.
     fn accept_if_new(&mut self, event: ListEvent) -> Option<ListEvent> {
-        let is_new = event.number > self.last_revision;
-        self.last_revision = self.last_revision.max(event.number);
+        let is_new = event.revision > self.last_revision;
+        self.last_revision = self.last_revision.max(event.revision);
         Some(event).filter(|_| is_new)
     }
 
@@ -247,11 +247,11 @@
     fn process_socket(&mut self, now: f64, events: &mut Vec<ListEvent>) -> Option<()> {
         let socket = self.socket.as_mut()?;
         if !self.subscribed {
-            match socket.connected() {
+            match socket.connect_result() {
                 None => return Some(()),
                 Some(result) => result.ok()?,
             }
-            socket.put(&self.last_revision.to_be_bytes());
+            socket.queue_write(&self.last_revision.to_be_bytes());
             (self.subscribed, self.last_frame_at, self.connect_attempts) = (true, now, 0);
         }
         socket.flush().ok()?;
@@ -259,12 +259,12 @@
         let mut read_frames = || loop {
             let end = socket.read(MAX_FRAME_BYTES + 16);
             while let Some((length, event)) = parse_frame(&socket.input, &self.zones, &self.kinds).ok()? {
-                socket.used(length);
+                socket.consume(length);
                 self.last_frame_at = now;
                 received.extend(event);
             }
-            if !socket.has_more() {
-                return end.ok().filter(|end| *end == ReadEnd::Open).map(|_| ());
+            if !socket.read_limit_reached() {
+                return end.ok().filter(|end| *end == ReadStatus::Open).map(|_| ());
             }
         };
         let status = read_frames();
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -106,7 +106,7 @@
             }
             TimerEvent::LineProtocol(key) => line_protocol.check_connection(key, &mut context),
             TimerEvent::Discovery => {
-                discovery.iter_mut().for_each(|client| client.look(now, registry, timers))
+                discovery.iter_mut().for_each(|client| client.on_timer(now, registry, timers))
             }
             TimerEvent::ResumeAccept => {
                 self.accept_paused = false;
@@ -122,11 +122,11 @@
             TimerEvent::MysqlLogin(key) => {
                 mysql.iter_mut().for_each(|(front, _)| front.login_timed_out(key, &mut context));
             }
-            TimerEvent::Control(key) => control.look(key, &mut context),
+            TimerEvent::Control(key) => control.on_timer(key, &mut context),
             // Health and warm-up of engines change without a socket event. The timer only ends the poll: `poll_once`
             // calls `publish_view` at the end of each iteration.
             TimerEvent::Xds => {
-                timers.set(now + control::xds::FEED_MS, TimerEvent::Xds);
+                timers.set(now + control::xds::PUBLISH_INTERVAL_MS, TimerEvent::Xds);
             }
             // The timer only ends the poll: `poll_once` calls `update_admission` in each iteration.
             TimerEvent::Fleet => self.admission_due = None,
@@ -179,26 +179,26 @@
     ) {
         let now = self.clock.now();
         if !list_events.is_empty() {
-            self.xds.iter_mut().for_each(Feed::hurry);
+            self.xds.iter_mut().for_each(XdsPublisher::publish_soon);
         }
-        for ListEvent { number, kind, listings } in list_events {
+        for ListEvent { revision, kind, engines } in list_events {
             let Node { poll, timers, log, mysql, line_protocol, closing, .. } = self;
             let mut context = BackendContext { now, registry: poll.registry(), timers, closing, events, log };
-            line_protocol.update_engines(kind, &listings, &mut context);
+            line_protocol.update_engines(kind, &engines, &mut context);
             mysql
                 .iter_mut()
-                .for_each(|(_, mysql_backend)| mysql_backend.update_engines(kind, &listings, &mut context));
-            for listing in &listings {
-                let entry = &listing.member;
+                .for_each(|(_, mysql_backend)| mysql_backend.update_engines(kind, &engines, &mut context));
+            for listing in &engines {
+                let entry = &listing.entry;
                 let (engine, address, state) = (&entry.engine.0, listing.address, state_in_log(entry.state));
-                self.log.push(format!("list: no={number} engine={engine} address={address} state={state}"));
+                self.log.push(format!("list: no={revision} engine={engine} address={address} state={state}"));
             }
-            let entries: Vec<_> = listings.into_iter().map(|listing| listing.member).collect();
+            let entries: Vec<_> = engines.into_iter().map(|listing| listing.entry).collect();
             let entries = match &mut self.admission {
                 Some(admission) => admission.engines_listed(kind != crate::ListKind::Changes, entries),
                 None => entries,
             };
-            events.push(DispatcherEvent::EngineList(kind, number, entries));
+            events.push(DispatcherEvent::EngineList(kind, revision, entries));
         }
     }
 
--- a/src/node/front/closing.rs
+++ b/src/node/front/closing.rs
@@ -4,7 +4,7 @@
 //! closes too. Closing a socket with unread input would reset the connection, and the client could lose the response
 //! that was written just before.
 
-use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use mio::Registry;
@@ -48,7 +48,7 @@
 
     /// Starts to close a connection, which is closed at the latest [`LINGER_MS`] after `now`.
     pub fn add(&mut self, mut link: BufferedSocket, now: f64, registry: &Registry, timers: &mut TimerQueue) {
-        link.used(link.input.len());
+        link.consume(link.input.len());
         let key = self.connections.insert_with(|key| ClosingConnection {
             link,
             dropped_bytes: 0,
@@ -56,7 +56,7 @@
             deadline: timers.set(now + LINGER_MS, TimerEvent::ClosingConnection(key)),
         });
         let Some(connection) = self.connections.get_mut(key) else { return };
-        match connection.link.rewatch(registry, SocketOwner::Closing(key)) {
+        match connection.link.reregister(registry, SocketOwner::Closing(key)) {
             Ok(()) => self.ready(key, timers),
             Err(_) => self.remove(key, timers),
         }
@@ -68,9 +68,9 @@
         if connection.link.flush().is_err() {
             return self.remove(key, timers);
         }
-        let is_written = connection.link.waiting() == 0;
+        let is_written = connection.link.unsent_bytes() == 0;
         if is_written && !connection.is_shut_down {
-            connection.link.finish();
+            connection.link.shutdown_write();
             connection.is_shut_down = true;
         }
         if connection.dropped_bytes >= MAX_DROPPED_BYTES {
@@ -79,12 +79,12 @@
         let end = connection.link.read(MAX_READ_BYTES);
         let bytes = connection.link.input.len();
         connection.dropped_bytes += bytes;
-        connection.link.used(bytes);
+        connection.link.consume(bytes);
         match end {
-            Ok(ReadEnd::Open) if connection.link.has_more() => self.unread.push(key),
-            Ok(ReadEnd::Open) => {}
-            Ok(ReadEnd::Closed) if !is_written => {}
-            Ok(ReadEnd::Closed) | Err(_) => self.remove(key, timers),
+            Ok(ReadStatus::Open) if connection.link.read_limit_reached() => self.unread.push(key),
+            Ok(ReadStatus::Open) => {}
+            Ok(ReadStatus::Closed) if !is_written => {}
+            Ok(ReadStatus::Closed) | Err(_) => self.remove(key, timers),
         }
     }
 
--- a/src/node/front/jsonrpc/mod.rs
+++ b/src/node/front/jsonrpc/mod.rs
@@ -8,7 +8,7 @@
 use crate::node::dispatcher::{ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload};
 use crate::node::front::cancel_request;
 use crate::node::json::{self, *};
-use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::reactor::{memory_use_and_largest, BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::table_group;
 use crate::node::timer_queue::{TimerEvent, TimerHandle};
@@ -78,13 +78,16 @@
 
 impl Client {
     fn buffered(&self) -> usize {
-        self.link.waiting() + self.link.input.capacity()
+        self.link.unsent_bytes() + self.link.input.capacity()
     }
 
     /// Whether the client is owed no response and has no unread or incomplete message.
     fn is_idle(&self) -> bool {
         let link = &self.link;
-        self.open_ids.is_empty() && link.waiting() == 0 && link.input.is_empty() && !link.has_more()
+        self.open_ids.is_empty()
+            && link.unsent_bytes() == 0
+            && link.input.is_empty()
+            && !link.read_limit_reached()
     }
 
     /// Rank for disconnecting clients when connections run out, lowest first. `None` for clients that must stay: a
@@ -93,7 +96,7 @@
         match () {
             () if !self.open_ids.is_empty() || (self.is_active && self.partial_since.is_some()) => None,
             () if !self.is_active && now - self.idle_since > NEW_CLIENT_MS => Some(1),
-            () if self.is_active && self.link.waiting() == 0 => Some(2),
+            () if self.is_active && self.link.unsent_bytes() == 0 => Some(2),
             () if !self.is_active => Some(3),
             () => None,
         }
@@ -165,13 +168,10 @@
         };
         let key = self.clients.insert(client);
         let Some(client) = self.clients.get_mut(key) else { return };
-        match client.link.watch(context.registry, SocketOwner::JsonRpc(key)) {
+        match client.link.register(context.registry, SocketOwner::JsonRpc(key)) {
             Ok(()) => {
-                client.timer = Some(
-                    context
-                        .timers
-                        .set(context.now + FIRST_MESSAGE_TIMEOUT_MS, TimerEvent::JsonRpcClient(key)),
-                );
+                let due = context.now + FIRST_MESSAGE_TIMEOUT_MS;
+                client.timer = Some(context.timers.set(due, TimerEvent::JsonRpcClient(key)));
                 self.ready(key, false, sent_at, context);
             }
             Err(e) => {
@@ -220,7 +220,7 @@
             self.withdraw_requests(key, context);
         }
         let Some(client) = self.clients.get_mut(key) else { return };
-        if client.link.waiting() > READ_PAUSE_BYTES {
+        if client.link.unsent_bytes() > READ_PAUSE_BYTES {
             if client.read_closed {
                 self.close_gracefully(key, context);
             }
@@ -228,7 +228,7 @@
         }
         let max_input = (client.link.input.len() + BYTES_PER_TURN).min(MAX_HEADER_BYTES + self.max_message);
         let end = client.link.read(max_input);
-        client.read_closed |= matches!(end, Ok(ReadEnd::Closed));
+        client.read_closed |= matches!(end, Ok(ReadStatus::Closed));
         let input = std::mem::take(&mut client.link.input);
         let (mut used, mut messages) = (0, 0);
         let framing = loop {
@@ -244,7 +244,7 @@
         };
         let Some(client) = self.clients.get_mut(key) else { return };
         client.link.input = input;
-        client.link.used(used);
+        client.link.consume(used);
         match (end, framing) {
             (Err(_), _) => return self.close(key, context),
             (_, Frame::Invalid) => {
@@ -266,7 +266,7 @@
                     let due = first_due.min(partial_since + MESSAGE_TIMEOUT_MS);
                     client.timer = Some(context.timers.set(due, TimerEvent::JsonRpcClient(key)));
                 }
-                if end == ReadEnd::Open && client.link.has_more() {
+                if end == ReadStatus::Open && client.link.read_limit_reached() {
                     self.unread.push(key);
                 }
                 self.flush_or_close(key, context);
@@ -281,7 +281,7 @@
     fn flush_or_close(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(client) = self.clients.get_mut(key) else { return };
         let max_unwritten = MAX_UNWRITTEN_BYTES.min(self.max_total / 2);
-        if client.link.flush().is_err() || client.link.waiting() > max_unwritten {
+        if client.link.flush().is_err() || client.link.unsent_bytes() > max_unwritten {
             self.close(key, context);
         } else if client.read_closed {
             self.close_gracefully(key, context);
@@ -372,7 +372,8 @@
     /// Disconnects the client with the most buffered bytes if all buffers together exceed the limit. This bounds
     /// memory against many clients that don't read their responses or never complete a message.
     fn enforce_total(&mut self, context: &mut BackendContext) {
-        let (total, heaviest_client) = heaviest(self.clients.iter().map(|(key, c)| (c.buffered(), key)));
+        let (total, heaviest_client) =
+            memory_use_and_largest(self.clients.iter().map(|(key, c)| (c.buffered(), key)));
         if let Some(key) = heaviest_client.filter(|_| total > self.max_total) {
             context.log.push(format!("slow client: closed, bytes={total}"));
             self.close(key, context);
@@ -393,6 +394,6 @@
 
 /// Queues a JSON text with its header for writing.
 fn put(link: &mut BufferedSocket, text: &str) {
-    link.put(format!("Content-Length: {}\r\n\r\n", text.len()).as_bytes());
-    link.put(text.as_bytes());
+    link.queue_write(format!("Content-Length: {}\r\n\r\n", text.len()).as_bytes());
+    link.queue_write(text.as_bytes());
 }
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -14,7 +14,7 @@
 };
 use crate::node::front::cancel_request;
 use crate::node::mysql_packets::{self, error, PACKET_MOST};
-use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::reactor::{memory_use_and_largest, BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::table_group;
 use crate::node::timer_queue::TimerEvent;
@@ -111,7 +111,7 @@
 
 impl Session {
     fn memory_bytes(&self) -> usize {
-        self.socket.waiting() + self.socket.input.len() + self.statement_bytes()
+        self.socket.unsent_bytes() + self.socket.input.len() + self.statement_bytes()
     }
     fn statement_bytes(&self) -> usize {
         let long = |s: &Statement| s.long_data.values().map(Vec::len).sum::<usize>();
@@ -120,7 +120,7 @@
     fn reply(&mut self, after: u8, body: &[u8]) {
         let mut out = Vec::new();
         mysql_packets::push(&mut out, after.wrapping_add(1), body);
-        self.socket.put(&out);
+        self.socket.queue_write(&out);
     }
     fn send_error(&mut self, after: u8, (code, state, message): (u16, &str, &str)) {
         self.reply(after, &error(code, state, message));
@@ -176,7 +176,7 @@
         let (mut body, mut out) = (Vec::new(), Vec::new());
         greeting.serialize(&mut body);
         mysql_packets::push(&mut out, 0, &body);
-        socket.put(&out);
+        socket.queue_write(&out);
         let key = self.sessions.insert(Session {
             socket,
             phase: Phase::Greeted,
@@ -189,7 +189,7 @@
             requests: 0,
         });
         let Some(session) = self.sessions.get_mut(key) else { return };
-        if session.socket.watch(context.registry, SocketOwner::Mysql(key)).is_err() {
+        if session.socket.register(context.registry, SocketOwner::Mysql(key)).is_err() {
             self.sessions.remove(key);
             return;
         }
@@ -216,9 +216,11 @@
                 return self.close(key, context);
             }
             let end = session.socket.read(PACKET_MOST + 8);
-            let mut more = session.socket.has_more();
+            let mut more = session.socket.read_limit_reached();
             while let Some(session) = self.sessions.get_mut(key) {
-                if matches!(session.phase, Phase::Busy(_)) || session.socket.waiting() > MAX_UNWRITTEN_BYTES {
+                if matches!(session.phase, Phase::Busy(_))
+                    || session.socket.unsent_bytes() > MAX_UNWRITTEN_BYTES
+                {
                     more = false; // Resumes after the response, or when the client has read more output.
                     break;
                 }
@@ -226,7 +228,7 @@
                     Ok(None) => break,
                     Ok(Some((sequence, body))) => {
                         let body = body.to_vec();
-                        session.socket.used(4 + body.len());
+                        session.socket.consume(4 + body.len());
                         if !self.handle_packet(key, sequence, &body, context) {
                             return self.close_after_flush(key, context);
                         }
@@ -239,7 +241,7 @@
             }
             let Some(session) = self.sessions.get_mut(key) else { return };
             let broken = session.socket.flush().is_err();
-            if broken || !matches!(end, Ok(ReadEnd::Open)) {
+            if broken || !matches!(end, Ok(ReadStatus::Open)) {
                 return self.close(key, context);
             }
             if !more {
@@ -283,7 +285,7 @@
         match response {
             FinalResponse::Served(mut body) => {
                 mysql_packets::renumber(&mut body, sequence.wrapping_add(1));
-                session.socket.put(&body);
+                session.socket.queue_write(&body);
             }
             FinalResponse::Error(body) => session.reply(sequence, &body),
             FinalResponse::Rejected { backoff_ms } => {
@@ -299,7 +301,8 @@
 
     /// Enforces the memory limit over all sessions: above it, the session that uses the most memory is closed.
     fn enforce_memory_limit(&mut self, context: &mut BackendContext) {
-        let (total, most) = heaviest(self.sessions.iter().map(|(key, s)| (s.memory_bytes(), key)));
+        let (total, most) =
+            memory_use_and_largest(self.sessions.iter().map(|(key, s)| (s.memory_bytes(), key)));
         if let Some(key) = most.filter(|_| total > self.max_total_bytes) {
             context.log.push(format!("slow client: closed, bytes={total}"));
             self.close(key, context);
@@ -311,7 +314,8 @@
         for key in self.sessions.keys() {
             self.ready(key, false, context); // Handles input received since the poll, lest closing discard it.
             let is_busy = |s: &Session| matches!(s.phase, Phase::Busy(_));
-            let is_idle = |s: &Session| !is_busy(s) && s.socket.waiting() == 0 && s.socket.input.is_empty();
+            let is_idle =
+                |s: &Session| !is_busy(s) && s.socket.unsent_bytes() == 0 && s.socket.input.is_empty();
             if self.sessions.get(key).is_some_and(is_idle) {
                 self.close_after_flush(key, context);
             }
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -51,7 +51,7 @@
             }
             mysql_packets::push(&mut out, sequence.wrapping_add(1), &mysql_packets::eof());
         }
-        self.socket.put(&out);
+        self.socket.queue_write(&out);
     }
 
     /// Appends data to a long parameter value. The command has no reply, so the next execution reports any error.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -30,8 +30,8 @@
 use backend::BackendContext;
 use clock::Clock;
 use config::{Config, ConfigError};
-use control::xds::Feed;
-use control::{Control, Kind, View};
+use control::xds::XdsPublisher;
+use control::{ControlProtocol, ControlServer, NodeStatus};
 use discovery::{DiscoveryClient, ListEvent};
 use dispatcher::{AttemptRef, DispatcherCommand, DispatcherEvent, Front, RequestDispatcher};
 use front::closing::ClosingConnections;
@@ -84,17 +84,17 @@
     closing: ClosingConnections,
     line_protocol: LineProtocolBackend,
     discovery: Option<DiscoveryClient>,
-    control: Control,
-    control_listeners: Vec<(Kind, TcpListener)>,
-    /// Feed of the xDS server, which runs in a thread of its own; `None` if xDS is off.
-    xds: Option<Feed>,
+    control: ControlServer,
+    control_listeners: Vec<(ControlProtocol, TcpListener)>,
+    /// Publisher to the xDS server, which runs in a thread of its own; `None` if xDS is off.
+    xds: Option<XdsPublisher>,
     /// Admission control under the fleet's policy; `None` without a fleet.
     admission: Option<AdmissionControl>,
     /// Timer of the next poll of the fleet's leader.
     admission_due: Option<TimerHandle>,
     waker: Option<Arc<Waker>>,
     /// Settings that a reload does not apply, with their values at the start of the node.
-    at_start: BTreeMap<String, OwnedValue>,
+    startup_only: BTreeMap<String, OwnedValue>,
     shutdown: Option<GracefulShutdown>,
     log: Vec<String>,
 }
@@ -107,7 +107,7 @@
     }
 
     /// Address of a control listener, which serves the health checks of load balancers and proxies.
-    pub fn control_address(&self, kind: Kind) -> Option<SocketAddr> {
+    pub fn control_address(&self, kind: ControlProtocol) -> Option<SocketAddr> {
         let (_, listener) =
             self.control_listeners.iter().find(|(listener_kind, _)| *listener_kind == kind)?;
         listener.local_addr().ok()
@@ -115,7 +115,7 @@
 
     /// Address of the xDS server.
     pub fn xds_address(&self) -> Option<SocketAddr> {
-        self.xds.as_ref().map(Feed::address)
+        self.xds.as_ref().map(XdsPublisher::address)
     }
 
     /// Registers the signal pipe: the first byte on it starts a graceful shutdown.
@@ -143,12 +143,15 @@
             Err(e) => return self.log.push(format!("reload: {e}; the old settings remain in use")),
         };
         self.log.push("reload: done".to_owned());
-        let keys = self.at_start.keys().chain(config.at_start.keys()).collect::<BTreeSet<_>>();
-        let changed = keys.into_iter().filter(|key| self.at_start.get(*key) != config.at_start.get(*key));
+        let keys = self.startup_only.keys().chain(config.startup_only.keys()).collect::<BTreeSet<_>>();
+        let changed =
+            keys.into_iter().filter(|key| self.startup_only.get(*key) != config.startup_only.get(*key));
         self.log.extend(changed.map(|key| format!("reload: {key} has changed: needs a restart")));
         let now = self.clock.now();
         let list_events = match (&mut self.discovery, config.bulletin) {
-            (Some(discovery), Some(address)) => discovery.moved(now, address, config.known, &mut self.timers),
+            (Some(discovery), Some(address)) => {
+                discovery.apply_reload(now, address, config.initial_events, &mut self.timers)
+            }
             (None, None) => return,
             _ => return self.log.push("reload: bulletin was added or removed: needs a restart".to_owned()),
         };
@@ -211,7 +214,7 @@
             &mut BackendContext { now, registry: poll.registry(), timers, closing, events: &mut events, log },
         );
         if !changed.is_empty() {
-            self.xds.iter_mut().for_each(Feed::hurry);
+            self.xds.iter_mut().for_each(XdsPublisher::publish_soon);
             events.push(DispatcherEvent::EngineList(crate::ListKind::Changes, 0, changed));
         }
         if !events.is_empty() {
@@ -255,22 +258,22 @@
     /// at a fixed interval.
     fn publish_view(&mut self) {
         let now = self.clock.now();
-        if self.xds.as_ref().is_some_and(|xds| xds.due(now)) {
+        if self.xds.as_ref().is_some_and(|xds| xds.is_due(now)) {
             let view = self.view();
             self.xds.iter_mut().for_each(|xds| xds.publish(now, &view));
         }
     }
 
     /// Snapshot of the node's state for health checks and xDS.
-    fn view(&self) -> View {
+    fn view(&self) -> NodeStatus {
         let gateway = self.dispatcher.gateway();
         let with_address = |s: crate::EngineStatus| Some((s.clone(), self.line_protocol.address(&s.engine)?));
-        View {
+        NodeStatus {
             shutting_down: self.shutdown.is_some(),
-            why_not: self.admission.as_ref().and_then(AdmissionControl::blocked_reason),
+            blocked_reason: self.admission.as_ref().and_then(AdmissionControl::blocked_reason),
             admitted: gateway.admitted_share(),
             engines: gateway.engine_statuses().into_iter().filter_map(with_address).collect(),
-            clients: self.xds.as_ref().map(Feed::status),
+            clients: self.xds.as_ref().map(XdsPublisher::status),
         }
     }
 
@@ -329,10 +332,10 @@
     SocketOwner::Fixed(number).token()
 }
 
-fn control_token(kind: Kind) -> mio::Token {
+fn control_token(kind: ControlProtocol) -> mio::Token {
     let number = match kind {
-        Kind::Http => HTTP_LISTENER,
-        Kind::Agent => AGENT_LISTENER,
+        ControlProtocol::Http => HTTP_LISTENER,
+        ControlProtocol::Agent => AGENT_LISTENER,
     };
     SocketOwner::Fixed(number).token()
 }
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -46,7 +46,7 @@
 }
 
 /// Adds the location in the operator's file to an error whose key was read from this file.
-pub fn located(document: &Document, error: ConfigError) -> ConfigError {
+pub fn with_location(document: &Document, error: ConfigError) -> ConfigError {
     match document.place(&error.key).filter(|_| error.place.is_none()) {
         Some(at) => {
             ConfigError { place: Some(format!("{}:{}:{}", document.file, at.line, at.column)), ..error }
--- a/src/node/reactor.rs
+++ b/src/node/reactor.rs
@@ -62,11 +62,11 @@
 }
 
 /// A TCP connection with a read buffer and a write buffer. [`BufferedSocket::read`] bounds the read buffer by the
-/// limit that its caller passes; the write buffer is unbounded, so callers must check [`BufferedSocket::waiting`].
+/// limit that its caller passes; the write buffer is unbounded, so callers must check [`BufferedSocket::unsent_bytes`].
 #[derive(Debug)]
 pub struct BufferedSocket {
     stream: TcpStream,
-    /// Bytes that were received and not yet consumed by [`BufferedSocket::used`].
+    /// Bytes that were received and not yet consumed by [`BufferedSocket::consume`].
     pub input: Vec<u8>,
     output: Vec<u8>,
     /// Bytes at the front of `output` that the socket has already accepted.
@@ -77,7 +77,9 @@
 
 /// Sums the memory use of connections, in bytes. Returns the sum and the connection with the highest use, or `None` if
 /// no connection uses memory. A front closes this connection when the sum exceeds its memory limit.
-pub fn heaviest(connections: impl Iterator<Item = (usize, SlotKey)>) -> (usize, Option<SlotKey>) {
+pub fn memory_use_and_largest(
+    connections: impl Iterator<Item = (usize, SlotKey)>,
+) -> (usize, Option<SlotKey>) {
     let (mut total, mut largest) = (0, (0, None));
     for (bytes, key) in connections {
         total += bytes;
@@ -90,7 +92,7 @@
 
 /// State of the connection after a read without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadEnd {
+pub enum ReadStatus {
     /// The connection is open: the read has received all available bytes or stopped at its limit.
     Open,
     /// The peer has closed the connection or its write side.
@@ -111,8 +113,8 @@
             read_limit_reached: false,
         }
     }
-    /// Starts a non-blocking connect; [`BufferedSocket::connected`] returns its result.
-    pub fn dial(address: SocketAddr) -> io::Result<BufferedSocket> {
+    /// Starts a non-blocking connect; [`BufferedSocket::connect_result`] returns its result.
+    pub fn connect(address: SocketAddr) -> io::Result<BufferedSocket> {
         TcpStream::connect(address).map(|stream| BufferedSocket {
             stream,
             input: Vec::new(),
@@ -122,15 +124,15 @@
         })
     }
     /// Registers the socket with the poll, so that its events carry the owner's token.
-    pub fn watch(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
+    pub fn register(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
         registry.register(&mut self.stream, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
     /// Changes the token of a registered socket to that of another owner.
-    pub fn rewatch(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
+    pub fn reregister(&mut self, registry: &Registry, owner: SocketOwner) -> io::Result<()> {
         registry.reregister(&mut self.stream, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
-    /// Result of a connect started by [`BufferedSocket::dial`]; `None` while it is in progress.
-    pub fn connected(&mut self) -> Option<io::Result<()>> {
+    /// Result of a connect started by [`BufferedSocket::connect`]; `None` while it is in progress.
+    pub fn connect_result(&mut self) -> Option<io::Result<()>> {
         match self.stream.take_error() {
             Ok(Some(error)) | Err(error) => return Some(Err(error)),
             Ok(None) => {}
@@ -145,18 +147,18 @@
         }
     }
     /// Reads until the socket has no more bytes or until the read buffer contains at least `limit` bytes.
-    pub fn read(&mut self, limit: usize) -> io::Result<ReadEnd> {
+    pub fn read(&mut self, limit: usize) -> io::Result<ReadStatus> {
         self.read_limit_reached = false;
         let mut chunk = [0u8; 16 * 1024];
         loop {
             if self.input.len() >= limit {
                 self.read_limit_reached = true;
-                return Ok(ReadEnd::Open);
+                return Ok(ReadStatus::Open);
             }
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Ok(ReadEnd::Closed),
+                Ok(0) => return Ok(ReadStatus::Closed),
                 Ok(n) => self.input.extend_from_slice(&chunk[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadEnd::Open),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(ReadStatus::Open),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
@@ -164,22 +166,22 @@
     }
     /// Whether the last read stopped at its limit. The socket may then have more bytes for which the poll reports no
     /// further event, because registrations are edge-triggered, so the caller must read again.
-    pub fn has_more(&self) -> bool {
+    pub fn read_limit_reached(&self) -> bool {
         self.read_limit_reached
     }
     /// Removes consumed bytes from the front of the read buffer, and frees a large buffer once it is empty.
-    pub fn used(&mut self, bytes: usize) {
+    pub fn consume(&mut self, bytes: usize) {
         self.input.drain(..bytes);
         if self.input.is_empty() && self.input.capacity() > 64 * 1024 {
             self.input = Vec::new();
         }
     }
     /// Appends bytes to the write buffer; [`BufferedSocket::flush`] sends them.
-    pub fn put(&mut self, bytes: &[u8]) {
+    pub fn queue_write(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
     /// Number of bytes in the write buffer that the socket has not yet accepted.
-    pub fn waiting(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
     /// Writes buffered bytes until the buffer is empty or the socket would block, and frees a large buffer once it is
@@ -202,7 +204,7 @@
         Ok(())
     }
     /// Shuts down the write side of the connection.
-    pub fn finish(&mut self) {
+    pub fn shutdown_write(&mut self) {
         // Fails only on a connection that is already broken, which needs no shutdown.
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
--- a/src/node/section.rs
+++ b/src/node/section.rs
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Always returns an error.
-pub fn wrong<T>(key: &str, problem: impl Into<String>) -> ReadResult<T> {
+pub fn invalid<T>(key: &str, problem: impl Into<String>) -> ReadResult<T> {
     Err(ConfigError::new(key, problem))
 }
 
@@ -54,7 +54,7 @@
         None | Some(OwnedValue::Static(StaticNode::Null)) => Ok(None),
         Some(value) => match value.as_str() {
             Some(text) => Ok(Some(text)),
-            None => wrong(key, "is not a string"),
+            None => invalid(key, "is not a string"),
         },
     }
 }
@@ -64,7 +64,7 @@
 /// # Errors
 /// Returns an error if the text is not an IP address with a port.
 pub fn address(text: &str, key: &str) -> ReadResult<SocketAddr> {
-    text.parse().or_else(|_| wrong(key, format!("is '{text}', not an IP address with a port")))
+    text.parse().or_else(|_| invalid(key, format!("is '{text}', not an IP address with a port")))
 }
 
 /// Inclusive range of valid values of a number.
@@ -91,6 +91,6 @@
     match section.get(key).map(json::number) {
         None => Ok(default),
         Some(Some(number)) if (least..=most).contains(&number) => Ok(number),
-        Some(_) => wrong(path, format!("is not from {least} to {most}")),
+        Some(_) => invalid(path, format!("is not from {least} to {most}")),
     }
 }
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -17,7 +17,9 @@
             }
         }
         let mut control_listeners = Vec::new();
-        for (kind, address) in [(Kind::Http, config.control.http), (Kind::Agent, config.control.agent)] {
+        for (kind, address) in
+            [(ControlProtocol::Http, config.control.http), (ControlProtocol::Agent, config.control.agent)]
+        {
             if let Some(address) = address {
                 let mut listener = TcpListener::bind(address)?;
                 poll.registry().register(&mut listener, control_token(kind), Interest::READABLE)?;
@@ -27,12 +29,12 @@
         let classes = config.settings.classes.iter();
         let class_names = classes.map(|c| (c.name.clone(), c.repeat == Repeat::Unsafe)).collect();
         let client_sockets = config.client_sockets();
-        let backend_sockets = config.sockets.saturating_sub(client_sockets + 32).max(4);
+        let backend_sockets = config.max_descriptors.saturating_sub(client_sockets + 32).max(4);
         let line_protocol = LineProtocolBackend::new(
             class_names,
             config.dial_ms,
             config.idle_ms,
-            config.streams,
+            config.max_attempts_per_connection,
             backend_sockets,
         );
         let kinds = config.settings.kinds.iter().map(|k| k.name.clone()).collect();
@@ -53,12 +55,12 @@
         let jitter_seed = config.seed ^ u64::from(config.settings.own_number).rotate_left(32);
         let zones = config.zones.clone();
         let mut dispatcher =
-            RequestDispatcher::new(config.settings, config.seed, config.open_most, max_buffer_bytes)
+            RequestDispatcher::new(config.settings, config.seed, config.max_open_requests, max_buffer_bytes)
                 .map_err(io::Error::other)?;
-        let discovery = config
-            .bulletin
-            .map(|address| DiscoveryClient::new(address, config.zones, kinds, config.last, jitter_seed));
-        let xds = config.xds.map(Feed::start).transpose()?;
+        let discovery = config.bulletin.map(|address| {
+            DiscoveryClient::new(address, config.zones, kinds, config.last_revision, jitter_seed)
+        });
+        let xds = config.xds.map(XdsPublisher::start).transpose()?;
         let mut waker = None;
         let admission = match &config.fleet {
             Some(fleet) => {
@@ -93,13 +95,13 @@
             closing: ClosingConnections::default(),
             line_protocol,
             discovery,
-            control: Control::new(config.control.cluster),
+            control: ControlServer::new(config.control.cluster),
             control_listeners,
             xds,
             admission,
             admission_due: None,
             waker,
-            at_start: config.at_start,
+            startup_only: config.startup_only,
             shutdown: None,
             log: config.fit,
         };
@@ -117,7 +119,7 @@
             node.log.push(format!("listen: fleet address={address}"));
         }
         let mut events = Vec::new();
-        node.apply_list_events(config.known, &mut events);
+        node.apply_list_events(config.initial_events, &mut events);
         if node.discovery.is_some() {
             node.timers.set(node.clock.now(), TimerEvent::Discovery);
         }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -42,9 +42,9 @@
         accounts: Vec::new(),
         default_class: ClassId(0),
         rules: Vec::new(),
-        box_user: "node".to_owned(),
-        box_password: String::new(),
-        box_connections: 4,
+        engine_user: "node".to_owned(),
+        engine_password: String::new(),
+        max_engine_connections: 4,
     };
     let lines = LineProtocolBackend::new(vec![("load".to_owned(), true)], 250.0, 15_000.0, 100, 100);
     [Pool::Lines(lines), Pool::Mysql(Box::new(MysqlBackend::new(mysql, 250.0, 15_000.0, 100, 1 << 20)))]
@@ -52,7 +52,7 @@
 
 fn listing(address: SocketAddr, state: EngineState) -> ListedEngine {
     let engine = EngineId(Arc::from("s-00000001"));
-    ListedEngine { address, member: EngineEntry { engine, state, ..EngineEntry::default() } }
+    ListedEngine { address, entry: EngineEntry { engine, state, ..EngineEntry::default() } }
 }
 
 fn start(number: u32) -> AttemptStart {
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -4,7 +4,7 @@
 mod stage;
 
 use beamgap::node::config::Config;
-use beamgap::node::control::Kind;
+use beamgap::node::control::ControlProtocol;
 use stage::{config, Peer, Stage};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
     r#""listen":"127.0.0.1:0","control":{"http":"127.0.0.1:0","agent":"127.0.0.1:0","cluster":"boxes"},"#;
 
 /// Writes a text and gives all that comes until `end` or the close.
-fn ask(stage: &mut Stage, kind: Kind, text: &str, end: &str) -> String {
+fn ask(stage: &mut Stage, kind: ControlProtocol, text: &str, end: &str) -> String {
     let address = stage.node.control_address(kind).unwrap();
     let mut peer = Peer::new(TcpStream::connect(address).unwrap());
     peer.push(text.as_bytes());
@@ -30,12 +30,17 @@
 }
 
 fn get(stage: &mut Stage, path: &str) -> String {
-    ask(stage, Kind::Http, &format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"), "")
+    ask(
+        stage,
+        ControlProtocol::Http,
+        &format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"),
+        "",
+    )
 }
 
 fn discover(stage: &mut Stage, body: &str) -> String {
     let head = format!("POST /v3/discovery:endpoints HTTP/1.0\r\nContent-Length: {}\r\n\r\n", body.len());
-    ask(stage, Kind::Http, &(head + body), "")
+    ask(stage, ControlProtocol::Http, &(head + body), "")
 }
 
 #[test]
@@ -43,14 +48,14 @@
     let mut stage = Stage::new(1, CONTROL);
     assert!(get(&mut stage, "/health/live").starts_with("HTTP/1.1 200 OK\r\n"));
     assert!(get(&mut stage, "/health/ready").ends_with("\r\n\r\nready\n"));
-    assert_eq!(ask(&mut stage, Kind::Agent, "", ""), "ready up 100%\n");
-    assert_eq!(ask(&mut stage, Kind::Agent, "who are you\n", ""), "ready up 100%\n");
+    assert_eq!(ask(&mut stage, ControlProtocol::Agent, "", ""), "ready up 100%\n");
+    assert_eq!(ask(&mut stage, ControlProtocol::Agent, "who are you\n", ""), "ready up 100%\n");
     stage.tell_of(0, "2 2");
     assert!(get(&mut stage, "/health/ready").starts_with("HTTP/1.1 503 "));
-    assert!(ask(&mut stage, Kind::Agent, "", "").starts_with("down #"));
+    assert!(ask(&mut stage, ControlProtocol::Agent, "", "").starts_with("down #"));
     stage.tell_of(0, "3 0");
     stage.node.begin_shutdown();
-    assert_eq!(ask(&mut stage, Kind::Agent, "", ""), "drain\n");
+    assert_eq!(ask(&mut stage, ControlProtocol::Agent, "", ""), "drain\n");
     assert!(get(&mut stage, "/health/live").starts_with("HTTP/1.1 200 "));
 }
 
@@ -58,7 +63,7 @@
 fn http_is_kept_open_or_closed_as_asked_and_nonsense_is_told() {
     let mut stage = Stage::new(1, CONTROL);
     let two = "GET /health/live HTTP/1.1\r\n\r\nHEAD /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n";
-    let got = ask(&mut stage, Kind::Http, two, "");
+    let got = ask(&mut stage, ControlProtocol::Http, two, "");
     assert_eq!((got.matches("HTTP/1.1 200").count(), got.matches("alive\n").count()), (2, 1));
     assert!(got.ends_with("\r\n\r\n"), "a HEAD has no body");
     assert!(get(&mut stage, "/other").starts_with("HTTP/1.1 404 "));
@@ -71,7 +76,7 @@
         ("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "501"),
         (&long, "431"),
     ] {
-        let got = ask(&mut stage, Kind::Http, text, "");
+        let got = ask(&mut stage, ControlProtocol::Http, text, "");
         assert!(got.starts_with(&format!("HTTP/1.1 {status} ")), "{status}: {got}");
     }
 }
--- a/tests/discovery_frames.rs
+++ b/tests/discovery_frames.rs
@@ -25,10 +25,10 @@
     }
     let (length, event) = parse_frame(&whole, &zones, &kinds).unwrap().unwrap();
     let event = event.unwrap();
-    let listing = &event.listings[0];
-    assert_eq!((length, event.number, event.kind), (whole.len(), 5, ListKind::Changes));
+    let listing = &event.engines[0];
+    assert_eq!((length, event.revision, event.kind), (whole.len(), 5, ListKind::Changes));
     assert_eq!(listing.address, "10.1.0.9:10080".parse().unwrap());
-    let m = &listing.member;
+    let m = &listing.entry;
     assert_eq!((&*m.engine.0, &*m.zone, &*m.kind, m.cell), ("s-00c41f7a", "b", "std", 2));
     assert_eq!((m.size_hint, m.state, m.started), (4.0, EngineState::Draining, Some(to_micros(77.0))));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -327,7 +327,7 @@
         for (bulletin, timers, begun) in &mut all {
             if !*begun || timers.pop_expired(now).is_some() {
                 *begun = true;
-                bulletin.look(now, poll.registry(), timers);
+                bulletin.on_timer(now, poll.registry(), timers);
             }
         }
         // The discovery server accepts each connection and closes it immediately.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -70,7 +70,7 @@
             };
             served += 1;
             let members: Vec<EngineEntry> =
-                config.known[0].listings.iter().map(|listing| listing.member.clone()).collect();
+                config.initial_events[0].engines.iter().map(|listing| listing.entry.clone()).collect();
             let mut b = Bench::born(config.settings, 1, ms(1000), members);
             let mut open = BTreeSet::new();
             for i in 0..20 {
