--- a/src/node/backend/mysql/connection.rs
+++ b/src/node/backend/mysql/connection.rs
@@ -5,7 +5,7 @@
 impl Connection {
     pub(super) fn command(&mut self, command: Command, body: &[u8]) {
         let mut out = Vec::new();
-        mysql_packets::push(&mut out, 0, &[&[command as u8], body].concat());
+        mysql_packets::append_packet(&mut out, 0, &[&[command as u8], body].concat());
         self.socket.queue_write(&out);
     }
 
@@ -26,7 +26,7 @@
         }
         let Some(bound) = &payload.bound else {
             job.sent = true;
-            self.phase = Phase::Running(Course::default());
+            self.phase = Phase::Running(ResponseState::default());
             return self.command(Command::COM_QUERY, &payload.statement);
         };
         match self.prepared.get(&statement_key(&payload)).copied() {
@@ -76,7 +76,7 @@
             body.extend_from_slice(&bound.types);
             body.extend_from_slice(&bound.values);
         }
-        self.phase = Phase::Running(Course::default());
+        self.phase = Phase::Running(ResponseState::default());
         self.command(Command::COM_STMT_EXECUTE, &body);
     }
 }
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -11,7 +11,7 @@
 use crate::node::dispatcher::{
     AttemptRef, AttemptStart, BoundParameters, DispatcherEvent, FinalResponse, FinishedAttempt, Payload,
 };
-use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
+use crate::node::mysql_packets::{self, PacketEffect, ResponseState, MAX_PACKET_BYTES};
 use crate::node::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::TimerEvent;
@@ -69,7 +69,7 @@
     /// Waiting for the prepare reply (`None`), then for definition packets (statement id, packets left).
     Preparing(Option<(u32, u64)>),
     /// Receiving the result of a query or an execution.
-    Running(Course),
+    Running(ResponseState),
     /// Waiting for the reply to `KILL QUERY` for another connection; the reply is ignored.
     Killing,
 }
@@ -314,18 +314,18 @@
         }
         loop {
             let Some(conn) = self.connections.get_mut(key) else { return };
-            let end = conn.socket.read(PACKET_MOST + 8);
+            let end = conn.socket.read(MAX_PACKET_BYTES + 8);
             let input = std::mem::take(&mut conn.socket.input);
             let mut used = 0;
             let mut failed = false;
-            while let Ok(Some((sequence, body))) = mysql_packets::packet(&input[used..]) {
+            while let Ok(Some((sequence, body))) = mysql_packets::parse_packet(&input[used..]) {
                 used += 4 + body.len();
                 if matches!(self.handle_packet(key, sequence, body, context), AfterPacket::Close) {
                     failed = true;
                     break;
                 }
             }
-            failed |= mysql_packets::packet(&input[used..]).is_err();
+            failed |= mysql_packets::parse_packet(&input[used..]).is_err();
             let Some(conn) = self.connections.get_mut(key) else { return };
             conn.socket.input = input;
             conn.socket.consume(used);
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -43,12 +43,12 @@
                     AfterPacket::KeepOpen
                 }
             },
-            Phase::Running(course) => {
-                let step = course.step(body);
-                mysql_packets::push(&mut conn.answer, 0, body);
+            Phase::Running(response) => {
+                let effect = response.advance(body);
+                mysql_packets::append_packet(&mut conn.answer, 0, body);
                 let size = conn.answer.len();
-                match step {
-                    Step::More if size <= MAX_RESULT_BYTES => {
+                match effect {
+                    PacketEffect::More if size <= MAX_RESULT_BYTES => {
                         let all: usize = self.connections.iter().map(|(_, conn)| conn.answer.len()).sum();
                         if all > self.max_result_bytes_total {
                             context.log.push(format!("result: dropped, answers={all}"));
@@ -56,7 +56,7 @@
                         }
                         AfterPacket::KeepOpen
                     }
-                    Step::More => {
+                    PacketEffect::More => {
                         context.log.push(format!("result: dropped, bytes={size}"));
                         let text = "the result is larger than beamgap keeps; it has run";
                         let body = mysql_packets::error(1105, "HY000", text);
@@ -64,12 +64,12 @@
                         self.end_attempt(key, Outcome::NotSent, Some(FinalResponse::Error(body)), context);
                         AfterPacket::Close
                     }
-                    Step::Done => {
+                    PacketEffect::Done => {
                         let answer = std::mem::take(&mut conn.answer);
                         self.end_attempt(key, Outcome::Served, Some(FinalResponse::Served(answer)), context)
                     }
-                    Step::Error => self.handle_error(key, body, context),
-                    Step::Broken => AfterPacket::Close,
+                    PacketEffect::Error => self.handle_error(key, body, context),
+                    PacketEffect::Broken => AfterPacket::Close,
                 }
             }
             Phase::Killing => {
@@ -111,11 +111,11 @@
             Some(name),
             mysql_packets::capabilities(),
             None,
-            PACKET_MOST as u32,
+            MAX_PACKET_BYTES as u32,
         );
         let (mut out, mut reply) = (Vec::new(), Vec::new());
         response.serialize(&mut reply);
-        mysql_packets::push(&mut out, sequence.wrapping_add(1), &reply);
+        mysql_packets::append_packet(&mut out, sequence.wrapping_add(1), &reply);
         conn.socket.queue_write(&out);
         conn.phase = Phase::Login;
         AfterPacket::KeepOpen
@@ -143,7 +143,7 @@
                 conn.nonce = nonce.to_vec();
                 let mut out = Vec::new();
                 let scramble = scramble(&switch[..end], nonce, &self.settings.engine_password);
-                mysql_packets::push(&mut out, sequence.wrapping_add(1), &scramble);
+                mysql_packets::append_packet(&mut out, sequence.wrapping_add(1), &scramble);
                 conn.socket.queue_write(&out);
                 AfterPacket::KeepOpen
             }
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -13,7 +13,7 @@
     BoundParameters, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
 };
 use crate::node::front::cancel_request;
-use crate::node::mysql_packets::{self, error, PACKET_MOST};
+use crate::node::mysql_packets::{self, error, MAX_PACKET_BYTES};
 use crate::node::reactor::{memory_use_and_largest, BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::table_group;
@@ -119,7 +119,7 @@
     }
     fn reply(&mut self, after: u8, body: &[u8]) {
         let mut out = Vec::new();
-        mysql_packets::push(&mut out, after.wrapping_add(1), body);
+        mysql_packets::append_packet(&mut out, after.wrapping_add(1), body);
         self.socket.queue_write(&out);
     }
     fn send_error(&mut self, after: u8, (code, state, message): (u16, &str, &str)) {
@@ -175,7 +175,7 @@
         );
         let (mut body, mut out) = (Vec::new(), Vec::new());
         greeting.serialize(&mut body);
-        mysql_packets::push(&mut out, 0, &body);
+        mysql_packets::append_packet(&mut out, 0, &body);
         socket.queue_write(&out);
         let key = self.sessions.insert(Session {
             socket,
@@ -215,7 +215,7 @@
             if session.socket.flush().is_err() {
                 return self.close(key, context);
             }
-            let end = session.socket.read(PACKET_MOST + 8);
+            let end = session.socket.read(MAX_PACKET_BYTES + 8);
             let mut more = session.socket.read_limit_reached();
             while let Some(session) = self.sessions.get_mut(key) {
                 if matches!(session.phase, Phase::Busy(_))
@@ -224,7 +224,7 @@
                     more = false; // Resumes after the response, or when the client has read more output.
                     break;
                 }
-                match mysql_packets::packet(&session.socket.input) {
+                match mysql_packets::parse_packet(&session.socket.input) {
                     Ok(None) => break,
                     Ok(Some((sequence, body))) => {
                         let body = body.to_vec();
--- a/src/node/front/mysql/run.rs
+++ b/src/node/front/mysql/run.rs
@@ -55,7 +55,7 @@
             let name = name.trim().trim_end_matches(';').trim().trim_matches('`');
             return session.choose_schema(sequence, name.as_bytes());
         }
-        if let Err(feature) = statement::movable(&words) {
+        if let Err(feature) = statement::check_session_independent(&words) {
             return session.send_unsupported(sequence, feature.0);
         }
         self.dispatch(key, sequence, text.to_vec(), &words, None, context);
@@ -94,7 +94,7 @@
         let Some(session) = self.sessions.get_mut(key) else { return };
         let verb = words.iter().find(|w| *w != "(").map_or("", String::as_str);
         let lower = String::from_utf8_lossy(&text).to_lowercase();
-        let reads = statement::only_reads(words);
+        let reads = statement::is_read_only(words);
         let rule = self.settings.rules.iter().find(|rule| {
             let verb = rule.verb.as_deref().is_none_or(|v| v == verb);
             verb && rule.mentions.as_deref().is_none_or(|m| lower.contains(m))
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -22,10 +22,10 @@
     /// The reply declares no result columns: they are unknown until an engine executes the statement.
     pub(super) fn prepare(&mut self, sequence: u8, text: &[u8]) {
         let words = statement::words(text);
-        if let Err(feature) = statement::movable(&words) {
+        if let Err(feature) = statement::check_session_independent(&words) {
             return self.send_unsupported(sequence, feature.0);
         }
-        let parameter_count = statement::parameters(&words);
+        let parameter_count = statement::count_parameters(&words);
         if self.statements.len() >= MAX_STATEMENTS
             || self.statement_bytes() + text.len() > MAX_STATEMENT_BYTES
             || parameter_count > MAX_PARAMETERS
@@ -42,14 +42,14 @@
         body.extend((parameter_count as u16).to_le_bytes());
         body.extend([0, 0, 0]);
         let (mut out, mut sequence) = (Vec::new(), sequence.wrapping_add(1));
-        mysql_packets::push(&mut out, sequence, &body);
+        mysql_packets::append_packet(&mut out, sequence, &body);
         if parameter_count > 0 {
             let parameter = parameter_definition();
             for _ in 0..parameter_count {
                 sequence = sequence.wrapping_add(1);
-                mysql_packets::push(&mut out, sequence, &parameter);
+                mysql_packets::append_packet(&mut out, sequence, &parameter);
             }
-            mysql_packets::push(&mut out, sequence.wrapping_add(1), &mysql_packets::eof());
+            mysql_packets::append_packet(&mut out, sequence.wrapping_add(1), &mysql_packets::eof());
         }
         self.socket.queue_write(&out);
     }
--- a/src/node/front/mysql/statement.rs
+++ b/src/node/front/mysql/statement.rs
@@ -53,12 +53,12 @@
 }
 
 /// Counts the parameter markers (`?`) of a statement.
-pub fn parameters(words: &[String]) -> usize {
+pub fn count_parameters(words: &[String]) -> usize {
     words.iter().filter(|w| *w == "?").count()
 }
 
 /// Checks that a statement can run on any engine because it neither reads nor changes session state.
-pub fn movable(words: &[String]) -> Result<(), Unsupported> {
+pub fn check_session_independent(words: &[String]) -> Result<(), Unsupported> {
     let word = |i: usize| words.get(i).map_or("", String::as_str);
     let first = words.iter().position(|w| w != "(" && w != ";").unwrap_or(0);
     match (word(first), word(first + 1)) {
@@ -93,7 +93,7 @@
 }
 
 /// Whether a statement is read-only, so that it can safely run again.
-pub fn only_reads(words: &[String]) -> bool {
+pub fn is_read_only(words: &[String]) -> bool {
     const OPENS: &[&str] = &["SELECT", "SHOW", "EXPLAIN", "DESCRIBE", "DESC", "VALUES", "TABLE", "WITH"];
     const WRITES: &[&str] =
         &["INSERT", "UPDATE", "DELETE", "REPLACE", "INTO", "CALL", "LOCK", "NEXTVAL", "SETVAL", "ANALYZE"];
--- a/src/node/mysql_packets.rs
+++ b/src/node/mysql_packets.rs
@@ -3,7 +3,7 @@
 use mysql_common::constants::{CapabilityFlags, StatusFlags};
 
 /// Maximum packet body in bytes. It bounds the read buffers, since a packet is processed only once it is complete.
-pub const PACKET_MOST: usize = 1 << 20;
+pub const MAX_PACKET_BYTES: usize = 1 << 20;
 
 /// Capability flags for clients and servers. Neither side uses `CLIENT_DEPRECATE_EOF`, so that results are forwarded
 /// unchanged, with their EOF packets.
@@ -19,28 +19,28 @@
         | CapabilityFlags::CLIENT_PLUGIN_AUTH
 }
 
-/// A packet exceeds [`PACKET_MOST`]; contains its sequence number, which the error packet continues.
+/// A packet exceeds [`MAX_PACKET_BYTES`]; contains its sequence number, which the error packet continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooLong(pub u8);
+pub struct PacketTooLarge(pub u8);
 
 /// Parses the first packet in `bytes` and returns its sequence number and body, or `None` if it is incomplete.
-pub fn packet(bytes: &[u8]) -> Result<Option<(u8, &[u8])>, TooLong> {
+pub fn parse_packet(bytes: &[u8]) -> Result<Option<(u8, &[u8])>, PacketTooLarge> {
     let Some([a, b, c, number]) = bytes.first_chunk::<4>().copied() else { return Ok(None) };
     let length = usize::from(a) | usize::from(b) << 8 | usize::from(c) << 16;
-    if length > PACKET_MOST {
-        return Err(TooLong(number));
+    if length > MAX_PACKET_BYTES {
+        return Err(PacketTooLarge(number));
     }
     Ok(bytes.get(4..4 + length).map(|body| (number, body)))
 }
 
 /// Appends a packet with the given sequence number and body to `out`.
-pub fn push(out: &mut Vec<u8>, number: u8, body: &[u8]) {
+pub fn append_packet(out: &mut Vec<u8>, number: u8, body: &[u8]) {
     out.extend_from_slice(&(body.len() as u32).to_le_bytes()[..3]);
     out.push(number);
     out.extend_from_slice(body);
 }
 
-/// Renumbers a sequence of packets, each with a header as written by [`push`], starting with `first`.
+/// Renumbers a sequence of packets, each with a header as written by [`append_packet`], starting with `first`.
 pub fn renumber(answer: &mut [u8], first: u8) {
     let (mut at, mut number) = (0, first);
     while let Some([a, b, c]) = answer.get(at..).and_then(|rest| rest.first_chunk::<3>()).copied() {
@@ -98,7 +98,7 @@
 
 /// Parser state for the response to a query or execution, which may consist of several results with or without rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Course {
+pub enum ResponseState {
     /// The next packet is the first of a result.
     #[default]
     Head,
@@ -110,7 +110,7 @@
 
 /// The effect of a packet on the parsing of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum PacketEffect {
     /// More packets follow.
     More,
     /// The packet was the last of the response.
@@ -121,32 +121,40 @@
     Broken,
 }
 
-impl Course {
+impl ResponseState {
     /// Updates the state with the next packet body.
-    pub fn step(&mut self, body: &[u8]) -> Step {
+    pub fn advance(&mut self, body: &[u8]) -> PacketEffect {
         let more = |status: Option<&[u8]>| match status.and_then(|s| s.first_chunk::<2>()) {
             Some(s) => u16::from_le_bytes(*s) & StatusFlags::SERVER_MORE_RESULTS_EXISTS.bits() != 0,
             None => false,
         };
-        let end = |more| if more { (Course::Head, Step::More) } else { (Course::Head, Step::Done) };
-        let (next, step) = match (*self, body.first()) {
-            (_, None) | (Course::Head, Some(0xfb)) => (*self, Step::Broken),
-            (Course::Columns(left), _) if left > 0 => (Course::Columns(left - 1), Step::More),
-            (_, Some(0xff)) => (Course::Head, Step::Error),
-            (Course::Head, Some(0)) => {
+        let end = |more| {
+            if more {
+                (ResponseState::Head, PacketEffect::More)
+            } else {
+                (ResponseState::Head, PacketEffect::Done)
+            }
+        };
+        let (next, effect) = match (*self, body.first()) {
+            (_, None) | (ResponseState::Head, Some(0xfb)) => (*self, PacketEffect::Broken),
+            (ResponseState::Columns(left), _) if left > 0 => {
+                (ResponseState::Columns(left - 1), PacketEffect::More)
+            }
+            (_, Some(0xff)) => (ResponseState::Head, PacketEffect::Error),
+            (ResponseState::Head, Some(0)) => {
                 let rows = length_encoded(&body[1..]).map_or(0, |(_, n)| n);
                 let id = body.get(1 + rows..).and_then(length_encoded).map_or(0, |(_, n)| n);
                 end(more(body.get(1 + rows + id..)))
             }
-            (Course::Head, Some(_)) => match length_encoded(body) {
-                Some((columns, _)) => (Course::Columns(columns), Step::More),
-                None => (*self, Step::Broken),
+            (ResponseState::Head, Some(_)) => match length_encoded(body) {
+                Some((columns, _)) => (ResponseState::Columns(columns), PacketEffect::More),
+                None => (*self, PacketEffect::Broken),
             },
-            (Course::Columns(_), Some(_)) => (Course::Rows, Step::More),
-            (Course::Rows, Some(0xfe)) if body.len() < 9 => end(more(body.get(3..))),
-            (Course::Rows, Some(_)) => (Course::Rows, Step::More),
+            (ResponseState::Columns(_), Some(_)) => (ResponseState::Rows, PacketEffect::More),
+            (ResponseState::Rows, Some(0xfe)) if body.len() < 9 => end(more(body.get(3..))),
+            (ResponseState::Rows, Some(_)) => (ResponseState::Rows, PacketEffect::More),
         };
         *self = next;
-        step
+        effect
     }
 }
--- a/tests/common/boxes.rs
+++ b/tests/common/boxes.rs
@@ -4,7 +4,7 @@
 
 use super::stage::{Peer, Stage};
 use beamgap::node::dispatcher::Front;
-use beamgap::node::mysql_packets::{self, eof, error, ok, packet, push};
+use beamgap::node::mysql_packets::{self, append_packet, eof, error, ok, parse_packet};
 use mysql::OptsBuilder;
 use mysql_common::constants::StatusFlags;
 use mysql_common::packets::HandshakePacket;
@@ -63,18 +63,18 @@
         body.extend_from_slice(text);
     }
     body.extend([0x0c, 45, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0, 0, 0]);
-    push(out, number, &body);
+    append_packet(out, number, &body);
 }
 
 /// A result of one text, as rows of text or in the binary form.
 fn result(text: &str, binary: bool) -> Vec<u8> {
     let mut out = Vec::new();
-    push(&mut out, 1, &[1]);
+    append_packet(&mut out, 1, &[1]);
     column(&mut out, 2);
-    push(&mut out, 3, &eof());
+    append_packet(&mut out, 3, &eof());
     let head: &[u8] = if binary { &[0, 0] } else { &[] };
-    push(&mut out, 4, &[head, &[text.len() as u8], text.as_bytes()].concat());
-    push(&mut out, 5, &eof());
+    append_packet(&mut out, 4, &[head, &[text.len() as u8], text.as_bytes()].concat());
+    append_packet(&mut out, 5, &eof());
     out
 }
 
@@ -93,7 +93,7 @@
         );
         let (mut body, mut out) = (Vec::new(), Vec::new());
         greeting.serialize(&mut body);
-        push(&mut out, 0, &body);
+        append_packet(&mut out, 0, &body);
         peer.push(&out);
         self.greeted = true;
     }
@@ -103,15 +103,15 @@
         let parameters = text.matches('?').count() as u8;
         self.prepared.insert(id, text);
         let mut out = Vec::new();
-        push(&mut out, 1, &[&[0], &id.to_le_bytes()[..], &[1, 0, parameters, 0, 0, 0, 0]].concat());
+        append_packet(&mut out, 1, &[&[0], &id.to_le_bytes()[..], &[1, 0, parameters, 0, 0, 0, 0]].concat());
         for i in 0..parameters {
             column(&mut out, 2 + i);
         }
         if parameters > 0 {
-            push(&mut out, 0, &eof());
+            append_packet(&mut out, 0, &eof());
         }
         column(&mut out, 0);
-        push(&mut out, 0, &eof());
+        append_packet(&mut out, 0, &eof());
         out
     }
 }
@@ -156,7 +156,7 @@
         if !session.greeted {
             session.greet(peer);
         }
-        while let Ok(Some((_, body))) = packet(&peer.input) {
+        while let Ok(Some((_, body))) = parse_packet(&peer.input) {
             let body = body.to_vec();
             peer.input.drain(..4 + body.len());
             match self.command(house, &mut session, &body) {
@@ -171,7 +171,7 @@
     fn command(&mut self, house: usize, session: &mut Session, body: &[u8]) -> Option<Vec<u8>> {
         let one = |body: &[u8]| {
             let mut out = Vec::new();
-            push(&mut out, 1, body);
+            append_packet(&mut out, 1, body);
             out
         };
         if !session.logged_in {
@@ -179,7 +179,7 @@
             session.logged_in = body.windows(20).any(|w| w == right);
             let answer = if session.logged_in { ok() } else { error(1045, "28000", "denied") };
             let mut out = Vec::new();
-            push(&mut out, 2, &answer);
+            append_packet(&mut out, 2, &answer);
             return Some(out);
         }
         let text = String::from_utf8_lossy(&body[1..]).into_owned();
@@ -217,11 +217,11 @@
         let writes = text.starts_with("insert");
         self.runs.push(Run { house, text, bound });
         match self.next.pop().unwrap_or(Next::Answer) {
-            Next::Answer | Next::Forget if writes => push(&mut out, 1, &ok()),
+            Next::Answer | Next::Forget if writes => append_packet(&mut out, 1, &ok()),
             Next::Answer | Next::Forget => out = result(&format!("box {house}"), binary),
             Next::Hold => {}
             Next::Drop => return None,
-            Next::Error(code) => push(&mut out, 1, &error(code, "HY000", "the box's own words")),
+            Next::Error(code) => append_packet(&mut out, 1, &error(code, "HY000", "the box's own words")),
         }
         Some(out)
     }
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -6,7 +6,7 @@
 mod stage;
 
 use beamgap::node::dispatcher::Front;
-use beamgap::node::mysql_packets::{error_code, packet, push};
+use beamgap::node::mysql_packets::{append_packet, error_code, parse_packet};
 use boxes::{Boxes, Next};
 use mysql::prelude::Queryable;
 use mysql::{Conn, Error};
@@ -239,13 +239,13 @@
     }
     fn send(&mut self, number: u8, body: &[u8]) {
         let mut out = Vec::new();
-        push(&mut out, number, body);
+        append_packet(&mut out, number, body);
         self.0.push(&out);
     }
     fn next(&mut self, boxes: &mut Boxes) -> Vec<u8> {
         for _ in 0..20_000 {
             self.0.pull();
-            if let Ok(Some((_, body))) = packet(&self.0.input) {
+            if let Ok(Some((_, body))) = parse_packet(&self.0.input) {
                 let body = body.to_vec();
                 self.0.input.drain(..4 + body.len());
                 return body;
--- a/tests/mysql_statements.rs
+++ b/tests/mysql_statements.rs
@@ -1,6 +1,8 @@
 //! What the MySQL front reads off a statement: parameters, whether it can move between engines, whether it only reads.
 
-use beamgap::node::front::mysql::statement::{movable, only_reads, parameters, words};
+use beamgap::node::front::mysql::statement::{
+    check_session_independent, count_parameters, is_read_only, words,
+};
 
 #[test]
 fn only_question_marks_outside_strings_names_and_comments_are_parameters() {
@@ -10,7 +12,7 @@
         ("select /* ? */ 1 /*! + ? */", 1),
         ("select 'open ?", 0),
     ] {
-        assert_eq!(parameters(&words(sql.as_bytes())), count, "{sql}");
+        assert_eq!(count_parameters(&words(sql.as_bytes())), count, "{sql}");
     }
 }
 
@@ -30,10 +32,10 @@
         "kill 7",
         "load data infile 'x'",
     ] {
-        assert!(movable(&words(sql.as_bytes())).is_err(), "{sql}");
+        assert!(check_session_independent(&words(sql.as_bytes())).is_err(), "{sql}");
     }
     for sql in ["select @@max_allowed_packet", "select 1;", "insert into t values ('@a; set')", "start"] {
-        assert_eq!(movable(&words(sql.as_bytes())), Ok(()), "{sql}");
+        assert_eq!(check_session_independent(&words(sql.as_bytes())), Ok(()), "{sql}");
     }
 }
 
@@ -42,7 +44,7 @@
     for sql in
         ["select 1", "(select 1) union (select 2)", "with a as (select 1) select * from a", "show tables"]
     {
-        assert!(only_reads(&words(sql.as_bytes())), "{sql}");
+        assert!(is_read_only(&words(sql.as_bytes())), "{sql}");
     }
     for sql in [
         "insert into t select 1",
@@ -54,6 +56,6 @@
         "explain analyze delete from t",
         "select 1 /*! into @x */",
     ] {
-        assert!(!only_reads(&words(sql.as_bytes())), "{sql}");
+        assert!(!is_read_only(&words(sql.as_bytes())), "{sql}");
     }
 }
