--- a/src/node/backend/line_protocol/mod.rs
+++ b/src/node/backend/line_protocol/mod.rs
@@ -11,7 +11,7 @@
 use crate::node::dispatcher::{
     AttemptRef, AttemptStart, DispatcherEvent, FinalResponse, FinishedAttempt, ACCOUNT,
 };
-use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::{TimerEvent, TimerHandle, TimerQueue};
 use crate::{settings, EngineId, ListKind, LoadReport, Micros, Outcome, Progress, TrueCost};
@@ -116,8 +116,8 @@
 
     /// Schedules the next check, replacing any that is scheduled.
     fn schedule_check(&mut self, at: f64, key: SlotKey, timers: &mut TimerQueue) {
-        self.check_timer.take().into_iter().for_each(|before| timers.clear(before));
-        self.check_timer = Some(timers.set(at, TimerEvent::Backend(key)));
+        self.check_timer.take().into_iter().for_each(|before| timers.cancel(before));
+        self.check_timer = Some(timers.set(at, TimerEvent::LineProtocol(key)));
     }
 }
 
@@ -144,7 +144,7 @@
     max_load: usize,
     max_connections: usize,
     max_connections_per_engine: usize,
-    /// Whether a dial reached the limit of connections per engine since the last call of `links_used`.
+    /// Whether a dial reached the limit of connections per engine since the last call of `connection_usage`.
     connection_limit_hit: bool,
     last_tag: u64,
     engines: EngineRegistry,
@@ -178,8 +178,8 @@
     }
 
     /// Applies an engine list. Unsent attempts of engines that accept no new work end as overloaded.
-    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
-        for key in self.engines.apply(kind, listings) {
+    pub fn update_engines(&mut self, kind: ListKind, engines: &[ListedEngine], context: &mut BackendContext) {
+        for key in self.engines.apply(kind, engines) {
             self.close(key, Outcome::Reset, context);
         }
         for key in self.connections.keys() {
@@ -203,9 +203,8 @@
         let unsent = self.connections.get_mut(key).map(|conn| std::mem::take(&mut conn.unsent));
         for queued in unsent.into_iter().flatten() {
             self.placements.remove(&queued.attempt);
-            context
-                .heard
-                .push(DispatcherEvent::Ended(FinishedAttempt::bare(queued.attempt, Outcome::Overloaded)));
+            let ended = FinishedAttempt::bare(queued.attempt, Outcome::Overloaded);
+            context.events.push(DispatcherEvent::AttemptEnded(ended));
         }
     }
 
@@ -223,7 +222,7 @@
             // The engine list changed after the engine was chosen.
             None => Outcome::Overloaded,
         };
-        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+        context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
     }
 
     fn enqueue(
@@ -252,7 +251,7 @@
     /// Cancels an attempt: removes it from the queue if no byte was written, else sends a cancel to the engine. With
     /// `report_end`, another attempt or a request of the same key waits for this one to end. The end is then reported
     /// once the engine confirms the cancel, because the next attempt could overtake the cancel on another connection.
-    pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
+    pub fn cancel(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
         let cancelled = self.do_cancel(at, report_end, context);
         match cancelled {
             CancelResult::Sent(key) => self.flush(key, context),
@@ -266,7 +265,7 @@
             CancelResult::PartlySent(_) | CancelResult::Unknown => Outcome::Cancelled,
         };
         if report_end {
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
         }
     }
 
@@ -280,15 +279,15 @@
         if conn.in_flight.remove(&name).is_none() {
             return CancelResult::Unknown;
         }
-        if conn.last_written == Some(at) && conn.socket.waiting() > 0 && conn.in_flight.is_empty() {
+        if conn.last_written == Some(at) && conn.socket.unsent_bytes() > 0 && conn.in_flight.is_empty() {
             return CancelResult::PartlySent(key);
         }
-        conn.socket.put(format!("never_mind {name}\r\n").as_bytes());
+        conn.socket.queue_write(format!("never_mind {name}\r\n").as_bytes());
         conn.cancelled_names.insert(name);
         if report_end {
             self.last_tag += 1;
             let tag = format!("g{}", self.last_tag);
-            conn.socket.put(format!("there {tag}\r\n").as_bytes());
+            conn.socket.queue_write(format!("there {tag}\r\n").as_bytes());
             conn.unconfirmed_cancels.push_back((tag, at, context.now));
             conn.schedule_check(context.now + CANCEL_CONFIRM_TIMEOUT_MS, key, context.timers);
         }
@@ -296,21 +295,21 @@
     }
 
     /// Ends an attempt as not sent if no byte of it was written; else does nothing.
-    pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
+    pub fn cancel_if_unsent(&mut self, at: AttemptRef, context: &mut BackendContext) {
         let Some((key, _)) = self.placements.get(&at) else { return };
         let Some(conn) = self.connections.get_mut(*key) else { return };
         let Some(index) = conn.unsent.iter().position(|queued| queued.attempt == at) else { return };
         conn.unsent.remove(index);
         self.placements.remove(&at);
-        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
+        context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::NotSent)));
     }
 
     /// Sends the engine a new priority for an attempt that has no result yet.
-    pub fn hurry(&mut self, at: AttemptRef, priority: u8, context: &mut BackendContext) {
+    pub fn set_priority(&mut self, at: AttemptRef, priority: u8, context: &mut BackendContext) {
         let Some((key, name)) = self.placements.get(&at).cloned() else { return };
         let Some(conn) = self.connections.get_mut(key) else { return };
         if conn.in_flight.get(&name).is_some_and(|attempt| attempt.pages.is_empty()) {
-            conn.socket.put(format!("hurry {name} {}\r\n", priority.min(3)).as_bytes());
+            conn.socket.queue_write(format!("hurry {name} {}\r\n", priority.min(3)).as_bytes());
             self.flush(key, context);
         }
     }
@@ -331,7 +330,7 @@
         let (id, up, ms) = (&conn.engine.0, conn.connected, context.now - conn.dialed_at);
         trace!(target: ACCOUNT, "close: engine={id} up={up} ms={ms:.1} load={}", conn.load());
         self.engines.remove_connection(&conn.engine, key);
-        conn.check_timer.into_iter().for_each(|timer| context.timers.clear(timer));
+        conn.check_timer.into_iter().for_each(|timer| context.timers.cancel(timer));
         let cancelled = conn.unconfirmed_cancels.into_iter().map(|(_, at, _)| (at, Outcome::Cancelled));
         let mut ends: Vec<_> =
             conn.in_flight.into_values().map(|a| (a.attempt, outcome)).chain(cancelled).collect();
@@ -359,12 +358,12 @@
         }
         for (at, outcome) in ends {
             self.placements.remove(&at);
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
         }
     }
 
     /// Periodic check of a connection: connect timeout, cancel confirmations, stalled answers, probes, idle timeout.
-    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
+    pub fn check_connection(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         if !conn.connected {
             return self.check_dial(key, context);
@@ -373,7 +372,7 @@
             .unconfirmed_cancels
             .pop_front_if(|(.., since)| context.now - *since >= CANCEL_CONFIRM_TIMEOUT_MS)
         {
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let idle = context.now - conn.silent_since;
         if !conn.socket.input.is_empty() && idle >= ANSWER_STALL_MS {
@@ -390,7 +389,7 @@
             return self.close(key, Outcome::Reset, context);
         } else if idle >= PROBE_AFTER_MS && conn.probe_sent_at.is_none() {
             conn.probe_sent_at = Some(context.now);
-            conn.socket.put(format!("there k{}\r\n", key.slot).as_bytes());
+            conn.socket.queue_write(format!("there k{}\r\n", key.slot).as_bytes());
             self.flush(key, context);
         }
         if let Some(conn) = self.connections.get_mut(key) {
--- a/src/node/backend/mysql/connection.rs
+++ b/src/node/backend/mysql/connection.rs
@@ -5,8 +5,8 @@
 impl Connection {
     pub(super) fn command(&mut self, command: Command, body: &[u8]) {
         let mut out = Vec::new();
-        mysql_packets::push(&mut out, 0, &[&[command as u8], body].concat());
-        self.socket.put(&out);
+        mysql_packets::append_packet(&mut out, 0, &[&[command as u8], body].concat());
+        self.socket.queue_write(&out);
     }
 
     /// Sends the next command: a pending kill first, else the next step of the job.
@@ -26,7 +26,7 @@
         }
         let Some(bound) = &payload.bound else {
             job.sent = true;
-            self.phase = Phase::Running(Course::default());
+            self.phase = Phase::Running(ResponseState::default());
             return self.command(Command::COM_QUERY, &payload.statement);
         };
         match self.prepared.get(&statement_key(&payload)).copied() {
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn execute(&mut self, id: u32, bound: &Bound) {
+    pub(super) fn execute(&mut self, id: u32, bound: &BoundParameters) {
         if let Some(job) = &mut self.job {
             job.sent = true;
         }
@@ -76,7 +76,7 @@
             body.extend_from_slice(&bound.types);
             body.extend_from_slice(&bound.values);
         }
-        self.phase = Phase::Running(Course::default());
+        self.phase = Phase::Running(ResponseState::default());
         self.command(Command::COM_STMT_EXECUTE, &body);
     }
 }
--- a/src/node/backend/mysql/mod.rs
+++ b/src/node/backend/mysql/mod.rs
@@ -9,10 +9,10 @@
 use crate::node::config::MysqlSettings;
 use crate::node::discovery::ListedEngine;
 use crate::node::dispatcher::{
-    AttemptRef, AttemptStart, Bound, DispatcherEvent, FinalResponse, FinishedAttempt, Payload,
+    AttemptRef, AttemptStart, BoundParameters, DispatcherEvent, FinalResponse, FinishedAttempt, Payload,
 };
-use crate::node::mysql_packets::{self, Course, Step, PACKET_MOST};
-use crate::node::reactor::{BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::mysql_packets::{self, PacketEffect, ResponseState, MAX_PACKET_BYTES};
+use crate::node::reactor::{BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::timer_queue::TimerEvent;
 use crate::{EngineId, ListKind, Outcome};
@@ -69,7 +69,7 @@
     /// Waiting for the prepare reply (`None`), then for definition packets (statement id, packets left).
     Preparing(Option<(u32, u64)>),
     /// Receiving the result of a query or an execution.
-    Running(Course),
+    Running(ResponseState),
     /// Waiting for the reply to `KILL QUERY` for another connection; the reply is ignored.
     Killing,
 }
@@ -138,8 +138,8 @@
     }
 
     /// Applies an engine list. Unsent attempts of servers that accept no new work end as overloaded.
-    pub fn members(&mut self, kind: ListKind, listings: &[ListedEngine], context: &mut BackendContext) {
-        for key in self.engines.apply(kind, listings) {
+    pub fn update_engines(&mut self, kind: ListKind, engines: &[ListedEngine], context: &mut BackendContext) {
+        for key in self.engines.apply(kind, engines) {
             self.close(key, Outcome::Reset, context);
         }
         for key in self.connections.keys() {
@@ -151,7 +151,7 @@
                 if let Some(job) = conn.job.take() {
                     self.placements.remove(&job.attempt);
                     let ended = FinishedAttempt::bare(job.attempt, Outcome::Overloaded);
-                    context.heard.push(DispatcherEvent::Ended(ended));
+                    context.events.push(DispatcherEvent::AttemptEnded(ended));
                 }
                 self.close(key, Outcome::Reset, context);
             }
@@ -166,7 +166,7 @@
             Outcome::Overloaded // The engine list changed after the server was chosen.
         } else if let Some(key) = self.idle_connection(&start.engine, &job) {
             return self.assign(key, job, context);
-        } else if self.engines.connections(&start.engine).len() >= self.settings.box_connections {
+        } else if self.engines.connections(&start.engine).len() >= self.settings.max_engine_connections {
             Outcome::Overloaded
         } else {
             match self.dial(&start.engine, context) {
@@ -174,7 +174,7 @@
                 None => Outcome::ConnectFailed,
             }
         };
-        context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, outcome)));
+        context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, outcome)));
     }
 
     /// An idle connection, preferably one on which the statement is already prepared.
@@ -206,7 +206,7 @@
             self.close(idle, Outcome::Reset, context);
         }
         let engine = self.engines.get_mut(id)?;
-        let socket = BufferedSocket::dial(engine.address)
+        let socket = BufferedSocket::connect(engine.address)
             .map_err(|e| context.log.push(format!("dial: engine={} error={e}", id.0)))
             .ok()?;
         let key = self.connections.insert(Connection {
@@ -225,25 +225,26 @@
             answer: Vec::new(),
         });
         engine.connections.push(key);
-        if self.connections.get_mut(key)?.socket.watch(context.registry, SocketOwner::MysqlBox(key)).is_err()
-        {
+        let watched =
+            self.connections.get_mut(key)?.socket.register(context.registry, SocketOwner::MysqlBackend(key));
+        if watched.is_err() {
             self.close(key, Outcome::ConnectFailed, context);
             return None;
         }
-        context.timers.set(context.now + self.dial_timeout_ms, TimerEvent::MysqlBox(key));
+        context.timers.set(context.now + self.dial_timeout_ms, TimerEvent::MysqlBackend(key));
         Some(key)
     }
 
     /// Whether an attempt is assigned to a connection of this backend.
-    pub fn carries(&self, at: AttemptRef) -> bool {
+    pub fn has_attempt(&self, at: AttemptRef) -> bool {
         self.placements.contains_key(&at)
     }
 
     /// Cancels an attempt. A sent attempt is killed over another connection and its own connection is closed, so that
     /// a late result cannot match another statement. With `report_end`, the end is reported at once.
-    pub fn give_up(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
+    pub fn cancel(&mut self, at: AttemptRef, report_end: bool, context: &mut BackendContext) {
         if report_end {
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::Cancelled)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::Cancelled)));
         }
         let Some(key) = self.placements.remove(&at) else { return };
         let Some(conn) = self.connections.get_mut(key) else { return };
@@ -274,11 +275,11 @@
     }
 
     /// Ends an attempt as not sent if its command was not written; else does nothing.
-    pub fn withdraw(&mut self, at: AttemptRef, context: &mut BackendContext) {
+    pub fn cancel_if_unsent(&mut self, at: AttemptRef, context: &mut BackendContext) {
         let Some(key) = self.placements.get(&at) else { return };
         if self.connections.get(*key).and_then(|conn| conn.job.as_ref()).is_some_and(|job| !job.sent) {
-            self.give_up(at, false, context);
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(at, Outcome::NotSent)));
+            self.cancel(at, false, context);
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(at, Outcome::NotSent)));
         }
     }
 
@@ -302,34 +303,34 @@
     pub fn ready(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get_mut(key) else { return };
         if matches!(conn.phase, Phase::Dialling) {
-            match conn.socket.connected() {
+            match conn.socket.connect_result() {
                 None => return,
                 Some(Err(_)) => return self.close(key, Outcome::ConnectFailed, context),
                 Some(Ok(())) => {
                     conn.phase = Phase::Greeting;
-                    context.timers.set(conn.dialed_at + LOGIN_TIMEOUT_MS, TimerEvent::MysqlBox(key));
+                    context.timers.set(conn.dialed_at + LOGIN_TIMEOUT_MS, TimerEvent::MysqlBackend(key));
                 }
             }
         }
         loop {
             let Some(conn) = self.connections.get_mut(key) else { return };
-            let end = conn.socket.read(PACKET_MOST + 8);
+            let end = conn.socket.read(MAX_PACKET_BYTES + 8);
             let input = std::mem::take(&mut conn.socket.input);
             let mut used = 0;
             let mut failed = false;
-            while let Ok(Some((sequence, body))) = mysql_packets::packet(&input[used..]) {
+            while let Ok(Some((sequence, body))) = mysql_packets::parse_packet(&input[used..]) {
                 used += 4 + body.len();
                 if matches!(self.handle_packet(key, sequence, body, context), AfterPacket::Close) {
                     failed = true;
                     break;
                 }
             }
-            failed |= mysql_packets::packet(&input[used..]).is_err();
+            failed |= mysql_packets::parse_packet(&input[used..]).is_err();
             let Some(conn) = self.connections.get_mut(key) else { return };
             conn.socket.input = input;
-            conn.socket.used(used);
-            let more = conn.socket.has_more();
-            if failed || !matches!(end, Ok(ReadEnd::Open)) {
+            conn.socket.consume(used);
+            let more = conn.socket.read_limit_reached();
+            if failed || !matches!(end, Ok(ReadStatus::Open)) {
                 return self.close(key, Outcome::Reset, context);
             }
             if !more {
@@ -343,15 +344,15 @@
         &mut self,
         key: SlotKey,
         outcome: Outcome,
-        answer: Option<FinalResponse>,
+        response: Option<FinalResponse>,
         context: &mut BackendContext,
     ) -> AfterPacket {
         let Some(conn) = self.connections.get_mut(key) else { return AfterPacket::Close };
         conn.answer = Vec::new();
         if let Some(job) = conn.job.take() {
             self.placements.remove(&job.attempt);
-            let ended = FinishedAttempt { answer, ..FinishedAttempt::bare(job.attempt, outcome) };
-            context.heard.push(DispatcherEvent::Ended(ended));
+            let ended = FinishedAttempt { response, ..FinishedAttempt::bare(job.attempt, outcome) };
+            context.events.push(DispatcherEvent::AttemptEnded(ended));
         }
         conn.advance(context.now);
         let serving = self.engines.serving(&conn.engine).is_some();
@@ -372,12 +373,12 @@
         if let Some(job) = conn.job {
             self.placements.remove(&job.attempt);
             let outcome = if job.sent { outcome } else { Outcome::ConnectFailed };
-            context.heard.push(DispatcherEvent::Ended(FinishedAttempt::bare(job.attempt, outcome)));
+            context.events.push(DispatcherEvent::AttemptEnded(FinishedAttempt::bare(job.attempt, outcome)));
         }
     }
 
     /// Periodic check of a connection: connect, login and idle timeouts.
-    pub fn look(&mut self, key: SlotKey, context: &mut BackendContext) {
+    pub fn check_connection(&mut self, key: SlotKey, context: &mut BackendContext) {
         let Some(conn) = self.connections.get(key) else { return };
         let age = context.now - conn.dialed_at;
         match conn.phase {
@@ -392,7 +393,7 @@
                 self.close(key, Outcome::Reset, context)
             }
             _ => {
-                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBox(key));
+                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBackend(key));
             }
         }
     }
--- a/src/node/backend/mysql/wire.rs
+++ b/src/node/backend/mysql/wire.rs
@@ -43,12 +43,12 @@
                     AfterPacket::KeepOpen
                 }
             },
-            Phase::Running(course) => {
-                let step = course.step(body);
-                mysql_packets::push(&mut conn.answer, 0, body);
+            Phase::Running(response) => {
+                let effect = response.advance(body);
+                mysql_packets::append_packet(&mut conn.answer, 0, body);
                 let size = conn.answer.len();
-                match step {
-                    Step::More if size <= MAX_RESULT_BYTES => {
+                match effect {
+                    PacketEffect::More if size <= MAX_RESULT_BYTES => {
                         let all: usize = self.connections.iter().map(|(_, conn)| conn.answer.len()).sum();
                         if all > self.max_result_bytes_total {
                             context.log.push(format!("result: dropped, answers={all}"));
@@ -56,20 +56,20 @@
                         }
                         AfterPacket::KeepOpen
                     }
-                    Step::More => {
+                    PacketEffect::More => {
                         context.log.push(format!("result: dropped, bytes={size}"));
-                        let text = "the result is larger than beamgap buffers; the statement has run";
+                        let text = "the result is larger than beamgap keeps; it has run";
                         let body = mysql_packets::error(1105, "HY000", text);
                         // The rest of the result would still arrive, so the connection is closed.
                         self.end_attempt(key, Outcome::NotSent, Some(FinalResponse::Error(body)), context);
                         AfterPacket::Close
                     }
-                    Step::Done => {
+                    PacketEffect::Done => {
                         let answer = std::mem::take(&mut conn.answer);
                         self.end_attempt(key, Outcome::Served, Some(FinalResponse::Served(answer)), context)
                     }
-                    Step::Error => self.handle_error(key, body, context),
-                    Step::Broken => AfterPacket::Close,
+                    PacketEffect::Error => self.handle_error(key, body, context),
+                    PacketEffect::Broken => AfterPacket::Close,
                 }
             }
             Phase::Killing => {
@@ -97,7 +97,7 @@
         conn.nonce.truncate(20);
         let plugin = greeting.auth_plugin_name_ref().unwrap_or(NATIVE_PLUGIN);
         let plugin = if plugin == SHA2_PLUGIN { SHA2_PLUGIN } else { NATIVE_PLUGIN };
-        let scramble = scramble(plugin, &conn.nonce, &self.settings.box_password);
+        let scramble = scramble(plugin, &conn.nonce, &self.settings.engine_password);
         let name = if plugin == SHA2_PLUGIN {
             AuthPlugin::CachingSha2Password
         } else {
@@ -106,17 +106,17 @@
         let response = HandshakeResponse::new(
             Some(scramble),
             (8, 0, 36),
-            Some(self.settings.box_user.as_bytes()),
+            Some(self.settings.engine_user.as_bytes()),
             None::<Vec<u8>>,
             Some(name),
             mysql_packets::capabilities(),
             None,
-            PACKET_MOST as u32,
+            MAX_PACKET_BYTES as u32,
         );
         let (mut out, mut reply) = (Vec::new(), Vec::new());
         response.serialize(&mut reply);
-        mysql_packets::push(&mut out, sequence.wrapping_add(1), &reply);
-        conn.socket.put(&out);
+        mysql_packets::append_packet(&mut out, sequence.wrapping_add(1), &reply);
+        conn.socket.queue_write(&out);
         conn.phase = Phase::Login;
         AfterPacket::KeepOpen
     }
@@ -131,7 +131,7 @@
         let Some(conn) = self.connections.get_mut(key) else { return AfterPacket::Close };
         match body {
             [0, ..] => {
-                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBox(key));
+                context.timers.set(context.now + CHECK_INTERVAL_MS, TimerEvent::MysqlBackend(key));
                 conn.phase = Phase::Idle;
                 conn.advance(context.now);
                 AfterPacket::KeepOpen
@@ -142,9 +142,9 @@
                 let nonce = switch[end + 1..].strip_suffix(&[0]).unwrap_or(&switch[end + 1..]);
                 conn.nonce = nonce.to_vec();
                 let mut out = Vec::new();
-                let scramble = scramble(&switch[..end], nonce, &self.settings.box_password);
-                mysql_packets::push(&mut out, sequence.wrapping_add(1), &scramble);
-                conn.socket.put(&out);
+                let scramble = scramble(&switch[..end], nonce, &self.settings.engine_password);
+                mysql_packets::append_packet(&mut out, sequence.wrapping_add(1), &scramble);
+                conn.socket.queue_write(&out);
                 AfterPacket::KeepOpen
             }
             [0xff, ..] => self.handle_error(key, body, context),
--- a/src/node/dispatcher/shutdown.rs
+++ b/src/node/dispatcher/shutdown.rs
@@ -29,8 +29,8 @@
             let Some(open) = self.open.get_mut(key).filter(|open| open.deadline > response_deadline) else {
                 continue;
             };
-            open.deadline_timer.take().into_iter().for_each(|timer| timers.clear(timer));
-            open.deadline_timer = Some(timers.set(response_deadline, TimerEvent::RequestOver(key)));
+            open.deadline_timer.take().into_iter().for_each(|timer| timers.cancel(timer));
+            open.deadline_timer = Some(timers.set(response_deadline, TimerEvent::RequestDeadline(key)));
         }
         self.reject_unfinishable(now, timers);
     }
@@ -61,7 +61,7 @@
             };
             if self.is_unfinishable(now, open) {
                 let id = RequestId(open.request.name.clone());
-                self.respond(key, FinalResponse::Refused { backoff_ms: DEFAULT_BACKOFF_MS });
+                self.respond(key, FinalResponse::Rejected { backoff_ms: DEFAULT_BACKOFF_MS });
                 self.decide(now, Event::ClientGone(id), timers);
                 self.remove_if_done(key, timers);
             }
--- a/src/node/front/mysql/mod.rs
+++ b/src/node/front/mysql/mod.rs
@@ -10,11 +10,11 @@
 use crate::node::backend::BackendContext;
 use crate::node::config::{MysqlSettings, OrderBy};
 use crate::node::dispatcher::{
-    Bound, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
+    BoundParameters, ClientHandle, ClientRequest, DispatcherEvent, FinalResponse, Front, Payload,
 };
-use crate::node::front::withdraw;
-use crate::node::mysql_packets::{self, error, PACKET_MOST};
-use crate::node::reactor::{heaviest, BufferedSocket, ReadEnd, SocketOwner};
+use crate::node::front::cancel_request;
+use crate::node::mysql_packets::{self, error, MAX_PACKET_BYTES};
+use crate::node::reactor::{memory_use_and_largest, BufferedSocket, ReadStatus, SocketOwner};
 use crate::node::slab::{Slab, SlotKey};
 use crate::node::table_group;
 use crate::node::timer_queue::TimerEvent;
@@ -70,13 +70,12 @@
 const WRONG_ARGUMENTS: (u16, &str, &str) = (1210, "HY000", "Incorrect arguments to EXECUTE");
 const TOO_MANY_STATEMENTS: (u16, &str, &str) =
     (1461, "42000", "Too many prepared statements in this session");
-const PACKET_TOO_LARGE: (u16, &str, &str) =
-    (1153, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes");
+const PACKET_TOO_LARGE: (u16, &str, &str) = (1153, "08S01", "Got a packet bigger than is taken");
 const ACCESS_DENIED: (u16, &str, &str) = (1045, "28000", "Access denied");
 const REFUSED: (u16, &str) = (1040, "08004");
 const UNSUPPORTED: (u16, &str) = (1235, "42000");
-const FAILED: (u16, &str, &str) = (1105, "HY000", "the statement failed; it may have run");
-const TIMED_OUT: (u16, &str, &str) = (3024, "HY000", "the statement timed out; it may have run");
+const FAILED: (u16, &str, &str) = (1105, "HY000", "failed; it may have run");
+const TIMED_OUT: (u16, &str, &str) = (3024, "HY000", "no answer in time; it may have run");
 
 #[derive(Debug)]
 struct Statement {
@@ -112,7 +111,7 @@
 
 impl Session {
     fn memory_bytes(&self) -> usize {
-        self.socket.waiting() + self.socket.input.len() + self.statement_bytes()
+        self.socket.unsent_bytes() + self.socket.input.len() + self.statement_bytes()
     }
     fn statement_bytes(&self) -> usize {
         let long = |s: &Statement| s.long_data.values().map(Vec::len).sum::<usize>();
@@ -120,8 +119,8 @@
     }
     fn reply(&mut self, after: u8, body: &[u8]) {
         let mut out = Vec::new();
-        mysql_packets::push(&mut out, after.wrapping_add(1), body);
-        self.socket.put(&out);
+        mysql_packets::append_packet(&mut out, after.wrapping_add(1), body);
+        self.socket.queue_write(&out);
     }
     fn send_error(&mut self, after: u8, (code, state, message): (u16, &str, &str)) {
         self.reply(after, &error(code, state, message));
@@ -176,8 +175,8 @@
         );
         let (mut body, mut out) = (Vec::new(), Vec::new());
         greeting.serialize(&mut body);
-        mysql_packets::push(&mut out, 0, &body);
-        socket.put(&out);
+        mysql_packets::append_packet(&mut out, 0, &body);
+        socket.queue_write(&out);
         let key = self.sessions.insert(Session {
             socket,
             phase: Phase::Greeted,
@@ -190,7 +189,7 @@
             requests: 0,
         });
         let Some(session) = self.sessions.get_mut(key) else { return };
-        if session.socket.watch(context.registry, SocketOwner::Mysql(key)).is_err() {
+        if session.socket.register(context.registry, SocketOwner::Mysql(key)).is_err() {
             self.sessions.remove(key);
             return;
         }
@@ -199,7 +198,7 @@
     }
 
     /// Closes a session that did not complete its login within the timeout.
-    pub fn login_over(&mut self, key: SlotKey, context: &mut BackendContext) {
+    pub fn login_timed_out(&mut self, key: SlotKey, context: &mut BackendContext) {
         if self.sessions.get(key).is_some_and(|s| matches!(s.phase, Phase::Greeted | Phase::AuthSwitched)) {
             self.close(key, context);
         }
@@ -216,18 +215,20 @@
             if session.socket.flush().is_err() {
                 return self.close(key, context);
             }
-            let end = session.socket.read(PACKET_MOST + 8);
-            let mut more = session.socket.has_more();
+            let end = session.socket.read(MAX_PACKET_BYTES + 8);
+            let mut more = session.socket.read_limit_reached();
             while let Some(session) = self.sessions.get_mut(key) {
-                if matches!(session.phase, Phase::Busy(_)) || session.socket.waiting() > MAX_UNWRITTEN_BYTES {
+                if matches!(session.phase, Phase::Busy(_))
+                    || session.socket.unsent_bytes() > MAX_UNWRITTEN_BYTES
+                {
                     more = false; // Resumes after the response, or when the client has read more output.
                     break;
                 }
-                match mysql_packets::packet(&session.socket.input) {
+                match mysql_packets::parse_packet(&session.socket.input) {
                     Ok(None) => break,
                     Ok(Some((sequence, body))) => {
                         let body = body.to_vec();
-                        session.socket.used(4 + body.len());
+                        session.socket.consume(4 + body.len());
                         if !self.handle_packet(key, sequence, &body, context) {
                             return self.close_after_flush(key, context);
                         }
@@ -240,7 +241,7 @@
             }
             let Some(session) = self.sessions.get_mut(key) else { return };
             let broken = session.socket.flush().is_err();
-            if broken || !matches!(end, Ok(ReadEnd::Open)) {
+            if broken || !matches!(end, Ok(ReadStatus::Open)) {
                 return self.close(key, context);
             }
             if !more {
@@ -266,25 +267,28 @@
     fn remove(&mut self, key: SlotKey, context: &mut BackendContext) -> Option<Session> {
         let session = self.sessions.remove(key)?;
         if matches!(session.phase, Phase::Busy(_)) {
-            withdraw(ClientHandle { front: Front::Mysql, conn: key, id: session.requests }, context.heard);
+            cancel_request(
+                ClientHandle { front: Front::Mysql, conn: key, id: session.requests },
+                context.events,
+            );
         }
         Some(session)
     }
 
     /// Sends a response if the client still waits for it, then continues with the next command.
-    pub fn answer(&mut self, asker: ClientHandle, answer: FinalResponse, context: &mut BackendContext) {
-        let Some(session) = self.sessions.get_mut(asker.conn).filter(|s| s.requests == asker.id) else {
+    pub fn respond(&mut self, client: ClientHandle, response: FinalResponse, context: &mut BackendContext) {
+        let Some(session) = self.sessions.get_mut(client.conn).filter(|s| s.requests == client.id) else {
             return;
         };
         let Phase::Busy(sequence) = session.phase else { return };
         session.phase = Phase::Ready;
-        match answer {
+        match response {
             FinalResponse::Served(mut body) => {
                 mysql_packets::renumber(&mut body, sequence.wrapping_add(1));
-                session.socket.put(&body);
+                session.socket.queue_write(&body);
             }
             FinalResponse::Error(body) => session.reply(sequence, &body),
-            FinalResponse::Refused { backoff_ms } => {
+            FinalResponse::Rejected { backoff_ms } => {
                 let back = backoff_ms.ceil().max(1.0);
                 let message = format!("refused, not run; come back in {back} ms");
                 session.send_error(sequence, (REFUSED.0, REFUSED.1, &message));
@@ -292,12 +296,13 @@
             FinalResponse::TimedOut => session.send_error(sequence, TIMED_OUT),
             FinalResponse::Failed => session.send_error(sequence, FAILED),
         }
-        self.ready(asker.conn, false, context);
+        self.ready(client.conn, false, context);
     }
 
     /// Enforces the memory limit over all sessions: above it, the session that uses the most memory is closed.
     fn enforce_memory_limit(&mut self, context: &mut BackendContext) {
-        let (total, most) = heaviest(self.sessions.iter().map(|(key, s)| (s.memory_bytes(), key)));
+        let (total, most) =
+            memory_use_and_largest(self.sessions.iter().map(|(key, s)| (s.memory_bytes(), key)));
         if let Some(key) = most.filter(|_| total > self.max_total_bytes) {
             context.log.push(format!("slow client: closed, bytes={total}"));
             self.close(key, context);
@@ -305,12 +310,13 @@
     }
 
     /// Closes sessions without a request in flight or partial input or output; used by the graceful shutdown.
-    pub fn close_quiet(&mut self, context: &mut BackendContext) {
+    pub fn close_idle(&mut self, context: &mut BackendContext) {
         for key in self.sessions.keys() {
             self.ready(key, false, context); // Handles input received since the poll, lest closing discard it.
             let is_busy = |s: &Session| matches!(s.phase, Phase::Busy(_));
-            let is_quiet = |s: &Session| !is_busy(s) && s.socket.waiting() == 0 && s.socket.input.is_empty();
-            if self.sessions.get(key).is_some_and(is_quiet) {
+            let is_idle =
+                |s: &Session| !is_busy(s) && s.socket.unsent_bytes() == 0 && s.socket.input.is_empty();
+            if self.sessions.get(key).is_some_and(is_idle) {
                 self.close_after_flush(key, context);
             }
         }
--- a/src/node/front/mysql/session.rs
+++ b/src/node/front/mysql/session.rs
@@ -4,7 +4,7 @@
 
 impl Session {
     pub(super) fn send_unsupported(&mut self, sequence: u8, what: &str) {
-        let message = format!("beamgap does not support {what}: engines do not share session state");
+        let message = format!("beamgap does not support {what}: it would not move from box to box");
         self.send_error(sequence, (UNSUPPORTED.0, UNSUPPORTED.1, &message));
     }
 
@@ -22,10 +22,10 @@
     /// The reply declares no result columns: they are unknown until an engine executes the statement.
     pub(super) fn prepare(&mut self, sequence: u8, text: &[u8]) {
         let words = statement::words(text);
-        if let Err(feature) = statement::movable(&words) {
+        if let Err(feature) = statement::check_session_independent(&words) {
             return self.send_unsupported(sequence, feature.0);
         }
-        let parameter_count = statement::parameters(&words);
+        let parameter_count = statement::count_parameters(&words);
         if self.statements.len() >= MAX_STATEMENTS
             || self.statement_bytes() + text.len() > MAX_STATEMENT_BYTES
             || parameter_count > MAX_PARAMETERS
@@ -42,16 +42,16 @@
         body.extend((parameter_count as u16).to_le_bytes());
         body.extend([0, 0, 0]);
         let (mut out, mut sequence) = (Vec::new(), sequence.wrapping_add(1));
-        mysql_packets::push(&mut out, sequence, &body);
+        mysql_packets::append_packet(&mut out, sequence, &body);
         if parameter_count > 0 {
             let parameter = parameter_definition();
             for _ in 0..parameter_count {
                 sequence = sequence.wrapping_add(1);
-                mysql_packets::push(&mut out, sequence, &parameter);
+                mysql_packets::append_packet(&mut out, sequence, &parameter);
             }
-            mysql_packets::push(&mut out, sequence.wrapping_add(1), &mysql_packets::eof());
+            mysql_packets::append_packet(&mut out, sequence.wrapping_add(1), &mysql_packets::eof());
         }
-        self.socket.put(&out);
+        self.socket.queue_write(&out);
     }
 
     /// Appends data to a long parameter value. The command has no reply, so the next execution reports any error.
@@ -71,7 +71,7 @@
 
 impl Statement {
     /// Parses the body of `COM_STMT_EXECUTE`: flags, null bitmap, optional types and values. Fails with an error code.
-    pub(super) fn bind(&mut self, rest: &[u8]) -> Result<Bound, u16> {
+    pub(super) fn bind(&mut self, rest: &[u8]) -> Result<BoundParameters, u16> {
         let long: Vec<(u16, Vec<u8>)> = std::mem::take(&mut self.long_data).into_iter().collect();
         if long.iter().any(|(index, _)| usize::from(*index) >= self.parameter_count) {
             return Err(WRONG_ARGUMENTS.0);
@@ -82,7 +82,7 @@
         }
         let count = self.parameter_count;
         if count == 0 {
-            return Ok(Bound::default());
+            return Ok(BoundParameters::default());
         }
         let (nulls, rest) = rest.split_at_checked(count.div_ceil(8)).ok_or(MALFORMED.0)?;
         let (new, mut values) = rest.split_first().ok_or(MALFORMED.0)?;
@@ -94,7 +94,7 @@
             return Err(WRONG_ARGUMENTS.0);
         }
         let (types, nulls, values) = (self.types.clone(), nulls.to_vec(), values.to_vec());
-        Ok(Bound { count, types, nulls, values, long })
+        Ok(BoundParameters { count, types, nulls, values, long })
     }
 }
 
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -24,8 +24,8 @@
 impl Pool {
     fn members(&mut self, listing: ListedEngine, context: &mut BackendContext) {
         match self {
-            Pool::Lines(pool) => pool.members(ListKind::Changes, &[listing], context),
-            Pool::Mysql(pool) => pool.members(ListKind::Changes, &[listing], context),
+            Pool::Lines(pool) => pool.update_engines(ListKind::Changes, &[listing], context),
+            Pool::Mysql(pool) => pool.update_engines(ListKind::Changes, &[listing], context),
         }
     }
     fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
@@ -42,9 +42,9 @@
         accounts: Vec::new(),
         default_class: ClassId(0),
         rules: Vec::new(),
-        box_user: "node".to_owned(),
-        box_password: String::new(),
-        box_connections: 4,
+        engine_user: "node".to_owned(),
+        engine_password: String::new(),
+        max_engine_connections: 4,
     };
     let lines = LineProtocolBackend::new(vec![("load".to_owned(), true)], 250.0, 15_000.0, 100, 100);
     [Pool::Lines(lines), Pool::Mysql(Box::new(MysqlBackend::new(mysql, 250.0, 15_000.0, 100, 1 << 20)))]
@@ -52,7 +52,7 @@
 
 fn listing(address: SocketAddr, state: EngineState) -> ListedEngine {
     let engine = EngineId(Arc::from("s-00000001"));
-    ListedEngine { address, member: EngineEntry { engine, state, ..EngineEntry::default() } }
+    ListedEngine { address, entry: EngineEntry { engine, state, ..EngineEntry::default() } }
 }
 
 fn start(number: u32) -> AttemptStart {
@@ -71,7 +71,7 @@
 
 fn outcomes(heard: &mut Vec<DispatcherEvent>) -> Vec<(u32, Outcome)> {
     let outcome = |heard| match heard {
-        DispatcherEvent::Ended(ended) => Some((ended.attempt.request.slot, ended.outcome)),
+        DispatcherEvent::AttemptEnded(ended) => Some((ended.attempt.request.slot, ended.outcome)),
         _ => None,
     };
     heard.drain(..).filter_map(outcome).collect()
@@ -91,15 +91,15 @@
             registry: poll.registry(),
             timers: &mut timers,
             closing: &mut closing,
-            heard: &mut heard,
+            events: &mut heard,
             log: &mut log,
         };
         pool.members(listing(address, EngineState::Serving), &mut context);
         pool.start(start(1), &mut context);
-        assert_eq!(outcomes(context.heard), []);
+        assert_eq!(outcomes(context.events), []);
         pool.members(listing(address, EngineState::Draining), &mut context);
         pool.start(start(2), &mut context);
-        assert_eq!(outcomes(context.heard), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
+        assert_eq!(outcomes(context.events), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
         let mut got = Vec::new();
         listener.accept().unwrap().0.read_to_end(&mut got).unwrap();
         assert_eq!(got, b"", "not a byte of it was written");
@@ -120,7 +120,7 @@
         registry: &registry,
         timers: &mut timers,
         closing: &mut closing,
-        heard: &mut heard,
+        events: &mut heard,
         log: &mut log,
     };
     pool.members(listing(listener.local_addr().unwrap(), EngineState::Serving), &mut context);
@@ -133,12 +133,12 @@
     let mut got = [0; 5];
     while !next.iter_mut().any(|(stream, _): &mut (std::net::TcpStream, _)| stream.read(&mut got).is_ok()) {
         poll.poll(&mut events, Some(std::time::Duration::from_millis(5))).unwrap();
-        for owner in events.iter().filter_map(|event| SocketOwner::of(event.token())) {
-            let SocketOwner::Warehouse(key) = owner else { panic!("{owner:?}") };
+        for owner in events.iter().filter_map(|event| SocketOwner::from_token(event.token())) {
+            let SocketOwner::LineProtocol(key) = owner else { panic!("{owner:?}") };
             pool.ready(key, &mut context);
         }
         next = next.or_else(|| listener.accept().ok());
         next.iter().for_each(|(stream, _)| stream.set_nonblocking(true).unwrap());
     }
-    assert_eq!((&got, outcomes(context.heard)), (b"want ", vec![]));
+    assert_eq!((&got, outcomes(context.events)), (b"want ", vec![]));
 }
