--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -1,7 +1,9 @@
-//! A fleet to try out: stand-in engines and clients, three front ends that hold a council, and a live table. It prints the
-//! lines to type in a second terminal, and ends all that it started on Ctrl-C.
+//! A demo fleet: fake engines and clients, three front ends that form a consensus group, and a status table that is
+//! printed every second. The example prints commands for a second terminal, and on Ctrl-C stops every process that it
+//! started.
 //!
-//! `cargo run --release --example fleet`, and beside it `cargo run --release --example fleet -- cut 3` and the like.
+//! `cargo run --release --example fleet` starts the fleet. While the fleet runs, commands such as
+//! `cargo run --release --example fleet -- cut 3` in a second terminal inject faults.
 
 use beamgap_fault_harness::faults::Fault;
 use beamgap_fault_harness::relay::Way;
@@ -19,8 +21,8 @@
     std::env::temp_dir().join("beamgap-fleet.port")
 }
 
-/// From the second terminal: tells the first what to do.
-fn tell(words: &[String]) -> Result<(), Box<dyn Error>> {
+/// Sends a command from the second terminal to the running fleet, and prints the reply.
+fn send_command(words: &[String]) -> Result<(), Box<dyn Error>> {
     let port = std::fs::read_to_string(port_file())
         .map_err(|_| "no fleet runs: start `cargo run --release --example fleet`")?;
     let mut stream = TcpStream::connect(port.trim())?;
@@ -32,7 +34,8 @@
     Ok(())
 }
 
-/// A rate that all front ends have in common, and look-ups that may be open at a time.
+/// A policy with two budgets that all front ends share: a limit on the request rate of the account `munster`, and a limit
+/// on the number of concurrent look-ups.
 const BUDGETS: &str = r#"form = 1
 budget "munster" {
   limits  = "requests"
@@ -48,8 +51,8 @@
 }
 "#;
 
-/// `kill 2`, `start 2`, `stop 2`, `wake 2`, `cut 2`, `mend 2`, `fill 2`, `room 2`, `flood 2`, `calm 2`: members are counted from 1.
-fn fault(text: &str, members: usize) -> Result<Fault, String> {
+/// Parses a command to inject or to undo a fault, such as `kill 2`. The number is the member's, counted from 1.
+fn parse_fault(text: &str, members: usize) -> Result<Fault, String> {
     let usage = "kill|start|stop|wake|cut|mend|fill|room|flood|calm and a member from 1";
     let (verb, member) = text.trim().split_once(' ').ok_or(usage)?;
     let member = member.trim().parse::<usize>().ok().filter(|m| (1..=members).contains(m)).ok_or(usage)? - 1;
@@ -68,7 +71,7 @@
     })
 }
 
-fn table(world: &World, before: &mut (u64, u64)) {
+fn print_table(world: &World, before: &mut (u64, u64)) {
     let status = world.status();
     let counts = world.counts();
     let (served, sent) = (counts.0 - before.0, counts.1 - before.1);
@@ -101,9 +104,9 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     if !words.is_empty() {
-        return tell(&words);
+        return send_command(&words);
     }
-    // An example brings the library along, not the program.
+    // Cargo builds only the library for an example, so the `beamgap` binary needs a build of its own.
     let cargo = std::env::var("CARGO").unwrap_or("cargo".to_owned());
     let built = Command::new(cargo).args(["build", "--release", "--bin", "beamgap"]).status()?;
     let examples = std::env::current_exe()?;
@@ -123,9 +126,9 @@
     let control = TcpListener::bind("127.0.0.1:0")?;
     control.set_nonblocking(true)?;
     std::fs::write(port_file(), control.local_addr()?.to_string())?;
-    let over = Arc::new(AtomicBool::new(false));
+    let stop_requested = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        signal_hook::flag::register(signal, over.clone())?;
+        signal_hook::flag::register(signal, stop_requested.clone())?;
     }
     let (b, o) = (binary.display(), world.operator());
     let o = o.display();
@@ -146,25 +149,25 @@
     println!("  cargo run --release --example fleet -- flood 2    # its client asks 250 times a second; and: calm 2");
     println!("  {b} fleet status --operator {o}     # who has which part, and what each wants");
     let mut before = (0, 0);
-    while !over.load(Relaxed) {
+    while !stop_requested.load(Relaxed) {
         let next = Instant::now() + Duration::from_secs(1);
-        while Instant::now() < next && !over.load(Relaxed) {
+        while Instant::now() < next && !stop_requested.load(Relaxed) {
             if let Ok((mut stream, _)) = control.accept() {
                 stream.set_read_timeout(Some(Duration::from_millis(500)))?;
                 let mut text = String::new();
-                let _ = stream.read_to_string(&mut text); // What came in time counts.
-                let done = fault(&text, world.members.len()).and_then(|fault| world.fault(&fault));
+                let _ = stream.read_to_string(&mut text); // On a timeout, the text received so far is used.
+                let done = parse_fault(&text, world.members.len()).and_then(|fault| world.fault(&fault));
                 let answer = done.map_or_else(|e| e, |()| format!("done: {text}"));
-                let _ = stream.write_all(answer.as_bytes()); // Whoever asked may be gone.
+                let _ = stream.write_all(answer.as_bytes()); // The sender of the command may have disconnected.
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        // Ctrl-C ends the members too: there is nothing to show of them any more.
-        if !over.load(Relaxed) {
-            table(&world, &mut before);
+        // The terminal delivers Ctrl-C to the front ends too, so that no status is left to show.
+        if !stop_requested.load(Relaxed) {
+            print_table(&world, &mut before);
         }
     }
-    let _ = std::fs::remove_file(port_file()); // It is of use to nobody now.
+    let _ = std::fs::remove_file(port_file()); // The port is closed, so a leftover file does no harm.
     println!("\nended");
     Ok(())
 }
--- a/examples/fleet_budgets.rs
+++ b/examples/fleet_budgets.rs
@@ -1,9 +1,9 @@
 //! Measures budgets on real processes: `cargo build --release && cargo run --release --example fleet_budgets -- WHAT`.
 //!
-//! - `move N`: N members, the demand moves: time until the budget is where the demand is, and how much of it is used,
-//!   compared with a static division in the same run.
-//! - `rest N`: bytes, processor time and fsyncs of a fleet at rest, without budgets and with 64.
-//! - `look`: what an admission costs with budgets and without.
+//! - `move N`: moves the demand between N members. Measures the time until the shares of the budget follow the demand, and
+//!   the fraction of the budget that is used, compared with equal static limits in the same run.
+//! - `rest N`: traffic in bytes, CPU time and fsyncs of an idle fleet of N members, without budgets and with 64 budgets.
+//! - `look`: CPU time of an admission check with and without budgets.
 
 use beamgap::fleet::budgets::FleetBudgets;
 use beamgap::fleet::test_hooks::{machine_clock, TestHooks};
@@ -24,24 +24,33 @@
 
 type Done = Result<(), Box<dyn Error>>;
 
-/// The budget of `move`, in requests per second and at once.
+/// The budget of `move`: requests per second, and also the largest burst in requests.
 const RATE: f64 = 300.0;
-/// Time between two requests of the client with the demand.
-const FLOOD: Duration = Duration::from_millis(2);
-/// Time between two requests of the other clients.
-const CALM: Duration = Duration::from_millis(1000);
-/// How long the demand stays at a member.
-const ROUND: Duration = Duration::from_secs(7);
-/// The part of a round in which the use of the budget is measured, in milliseconds.
-const MEASURED: std::ops::Range<f64> = 3000.0..7000.0;
-/// How long a fleet at rest is measured.
-const REST: Duration = Duration::from_secs(15);
-/// Admissions of one timing, and timings.
-const ADMISSIONS: usize = 1_000_000;
+/// Interval between the requests of the client with high demand: 500 per second, more than the whole budget admits.
+const HIGH_DEMAND_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval between the requests of each client with low demand.
+const LOW_DEMAND_INTERVAL: Duration = Duration::from_millis(1000);
+/// Duration of a round of `move`, in which one member has high demand.
+const ROUND_DURATION: Duration = Duration::from_secs(7);
+/// The part of a round in which the used fraction of the budget is measured, in milliseconds after the start of the round;
+/// the first 3 seconds give the shares time to follow the demand.
+const MEASURED_MS: std::ops::Range<f64> = 3000.0..7000.0;
+/// Duration of each measurement of an idle fleet.
+const IDLE_DURATION: Duration = Duration::from_secs(15);
+/// Number of admissions in each timed run of `look`.
+const ADMISSIONS_PER_TIMING: usize = 1_000_000;
+/// Number of timed runs of `look` for each set of budgets.
 const TIMINGS: usize = 15;
 
 fn options(members: usize) -> Options {
-    Options { members, switch_bound: 1000, right: 5000, check: 2000, every: CALM, ..Options::default() }
+    Options {
+        members,
+        switch_bound: 1000,
+        right: 5000,
+        check: 2000,
+        every: LOW_DEMAND_INTERVAL,
+        ..Options::default()
+    }
 }
 
 fn print_quantiles(name: &str, values: &mut [f64], unit: &str) {
@@ -60,7 +69,7 @@
     version.filter(|_| code == 0).ok_or(format!("{name} ended with {code}").into())
 }
 
-/// Times of a member's admissions since then, in order.
+/// Times of a member's admissions since `since`, in the order of the recorded history.
 fn admitted_at(world: &World, member: usize, since: f64) -> Vec<f64> {
     let name = format!("n{member}");
     let all = world.history.all();
@@ -68,32 +77,34 @@
     all.iter().filter(|event| event.at >= since && of(&event.what)).map(|event| event.at).collect()
 }
 
-/// What was measured of a budget that follows its demand, one value for each round.
+/// Measurements of a budget whose demand moves between members, one value for each round.
 #[derive(Default)]
 struct Rounds {
-    /// When nine tenths of the rate were first used in half a second, in milliseconds.
+    /// Time in milliseconds from the start of the round to the first half second in which the member with high demand
+    /// admitted nine tenths of the budget's rate.
     moved_after_ms: Vec<f64>,
-    /// Fraction of the rate that was used.
+    /// Fraction of the budget's rate that the member with high demand used.
     used: Vec<f64>,
 }
 
-/// Floods one member after the other.
+/// Gives one member after the other high demand, for one round each.
 fn measure_rounds(world: &World, members: usize, rounds: usize) -> Rounds {
     let mut measured = Rounds::default();
     for round in 0..rounds {
         let hot = (round * 2 + 1) % members;
         for member in 0..members {
-            world.clients[member].wants(if member == hot { FLOOD } else { CALM }, 0);
+            world.clients[member]
+                .wants(if member == hot { HIGH_DEMAND_INTERVAL } else { LOW_DEMAND_INTERVAL }, 0);
         }
-        std::thread::sleep(CALM); // The client that is to flood wakes from its last pause.
+        std::thread::sleep(LOW_DEMAND_INTERVAL); // The client may still be in a sleep of its earlier, longer interval.
         let from = now();
-        std::thread::sleep(ROUND);
+        std::thread::sleep(ROUND_DURATION);
         let admitted = admitted_at(world, hot, from);
         let is_full = |window: &&[f64]| window[window.len() - 1] - window[0] <= 500.0;
         let full = admitted.windows((RATE * 0.45) as usize).find(is_full);
         measured.moved_after_ms.push(full.map_or(f64::INFINITY, |window| window[0] - from));
-        let count = admitted.iter().filter(|at| MEASURED.contains(&(**at - from))).count();
-        measured.used.push(count as f64 / (RATE * (MEASURED.end - MEASURED.start) / 1000.0));
+        let count = admitted.iter().filter(|at| MEASURED_MS.contains(&(**at - from))).count();
+        measured.used.push(count as f64 / (RATE * (MEASURED_MS.end - MEASURED_MS.start) / 1000.0));
     }
     measured
 }
@@ -135,7 +146,7 @@
     voters.iter().filter_map(|voter| voter["fsyncs"].as_u64()).sum()
 }
 
-/// Processor time of all members so far, in seconds.
+/// Total CPU time of all members since their start, in seconds.
 fn processor_time(world: &World) -> f64 {
     world.members.iter().filter_map(|member| member.used()).map(|(cpu, _)| cpu).sum()
 }
@@ -158,8 +169,8 @@
         let bytes_before = world.bytes();
         let cpu_before = processor_time(&world);
         let fsyncs_before = fsyncs(&world);
-        std::thread::sleep(REST);
-        let seconds = REST.as_secs_f64();
+        std::thread::sleep(IDLE_DURATION);
+        let seconds = IDLE_DURATION.as_secs_f64();
         let cpu = (processor_time(&world) - cpu_before) / seconds * 100.0 / members as f64;
         let bytes = (world.bytes() - bytes_before) as f64 / seconds;
         let fsyncs = fsyncs(&world) - fsyncs_before;
@@ -181,8 +192,8 @@
     }
 }
 
-/// A member that holds all of these budgets.
-fn holder_of(specs: &[BudgetSpec]) -> FleetBudgets {
+/// A member that is assigned the whole share of every given budget.
+fn member_with_budgets(specs: &[BudgetSpec]) -> FleetBudgets {
     let mut budgets = FleetBudgets::new("n0", 1, "", &["lookup".to_owned()], TestHooks::default());
     let timings = BudgetTimings::for_lease(600_000.0, 0.0);
     let mut leader = BudgetLeader::new(1, timings, InjectedBug::None);
@@ -198,7 +209,7 @@
     budgets
 }
 
-/// What an admission costs: the reading of the clock and the budgets that apply to it.
+/// Measures the time of an admission check, which reads the clock and checks the budgets that apply to the request.
 fn measure_admission() -> Done {
     let rate = Amount::Rate { per_second: 1e9, burst: 1_000_000 };
     let concurrency = Amount::Concurrency { max: 1_000_000, max_duration_ms: 1000.0 };
@@ -208,18 +219,18 @@
         spec(2, Resource::OpenRequests, concurrency),
     ];
     for (name, specs) in [("none", &all[..0]), ("one rate", &all[..1]), ("two rates and a stock", &all[..])] {
-        let budgets = Rc::new(RefCell::new(holder_of(specs)));
+        let budgets = Rc::new(RefCell::new(member_with_budgets(specs)));
         let mut nanoseconds = Vec::new();
         let mut admitted = 0usize;
         for _ in 0..TIMINGS {
             let from = Instant::now();
-            for _ in 0..ADMISSIONS {
+            for _ in 0..ADMISSIONS_PER_TIMING {
                 let admission = FleetBudgets::admit(&budgets, machine_clock(), 0, Some("leinster"));
                 admitted += usize::from(admission.is_ok());
             }
-            nanoseconds.push(from.elapsed().as_secs_f64() * 1e9 / ADMISSIONS as f64);
+            nanoseconds.push(from.elapsed().as_secs_f64() * 1e9 / ADMISSIONS_PER_TIMING as f64);
         }
-        let fraction = admitted as f64 / (TIMINGS * ADMISSIONS) as f64;
+        let fraction = admitted as f64 / (TIMINGS * ADMISSIONS_PER_TIMING) as f64;
         let title = format!("an admission, {name}, {fraction:.2} admitted");
         print_quantiles(&title, &mut nanoseconds, "ns");
     }
--- a/examples/fleet_policy.rs
+++ b/examples/fleet_policy.rs
@@ -1,9 +1,13 @@
-//! Measures a change of policy on real processes: `cargo build --release && cargo run --release --example fleet_policy -- WHAT`.
+//! Measures policy rollouts on real processes: `cargo build --release && cargo run --release --example fleet_policy -- WHAT`.
 //!
-//! `change N`: N members, 20 changes: time from the command's start to in force everywhere, and the overlap.
-//! `idle N`: bytes and processor time per second of a fleet at rest. `leader N`: time in which nothing is admitted after the
-//! leader's death. `look`: what the gate costs by itself. `cost`: processor time per request with the policy on and off, in turn. `front OLD NEW`: processor time
-//! per request and memory of one front end before 6, 60 and 80 engines, two programs in turn.
+//! - `change N`: performs 30 policy changes (20 with more than 9 members) in a fleet of N members. Measures the time from
+//!   the start of the command until every member uses the new version, and for how long members use different versions.
+//! - `idle N`: traffic in bytes and CPU time per second of an idle fleet of N members.
+//! - `leader N`: the time without admissions after the leader is killed.
+//! - `look`: CPU time of the admission check alone.
+//! - `cost`: CPU time per request, alternately with and without the shared policy.
+//! - `front OLD NEW`: CPU time per request and memory of one front end with 6, 60 and 80 engines, alternately for two
+//!   binaries.
 
 use beamgap::fleet::test_hooks::machine_clock;
 use beamgap_fault_harness::history::What;
@@ -28,7 +32,7 @@
     }
 }
 
-fn told(name: &str, values: &mut [f64], unit: &str) {
+fn print_quantiles(name: &str, values: &mut [f64], unit: &str) {
     values.sort_by(f64::total_cmp);
     let at = |part: f64| {
         values.get(((values.len() - 1) as f64 * part).round() as usize).copied().unwrap_or(f64::NAN)
@@ -42,7 +46,7 @@
     );
 }
 
-fn change(binary: &Path, members: usize) -> Done {
+fn measure_change(binary: &Path, members: usize) -> Done {
     let mut world = World::start(binary, "change", options(members))?;
     let (mut command, mut everywhere, mut overlaps) = (Vec::new(), Vec::new(), Vec::new());
     for i in 0..if members > 9 { 20 } else { 30u64 } {
@@ -68,24 +72,24 @@
         overlaps.push((last - first).max(0.0));
     }
     println!("{members} processes");
-    told("  the command, start to end", &mut command, "ms");
-    told("  from its start until the last member uses it", &mut everywhere, "ms");
-    told("  overlap of two versions", &mut overlaps, "ms");
+    print_quantiles("  the command, start to end", &mut command, "ms");
+    print_quantiles("  from its start until the last member uses it", &mut everywhere, "ms");
+    print_quantiles("  overlap of two versions", &mut overlaps, "ms");
     println!("  {:?}", world.judge()?);
     Ok(())
 }
 
-fn used(world: &World) -> Vec<f64> {
+fn cpu_seconds(world: &World) -> Vec<f64> {
     world.members.iter().filter_map(|m| m.used()).map(|(cpu, _)| cpu).collect()
 }
 
-fn idle(binary: &Path, members: usize) -> Done {
+fn measure_idle(binary: &Path, members: usize) -> Done {
     let world = World::start(binary, "idle", options(members))?;
     world.clients.iter().for_each(|c| c.asks(None));
     std::thread::sleep(Duration::from_secs(2));
-    let (cpu, bytes) = (used(&world), world.bytes());
+    let (cpu, bytes) = (cpu_seconds(&world), world.bytes());
     std::thread::sleep(Duration::from_secs(20));
-    let after = used(&world);
+    let after = cpu_seconds(&world);
     let each: Vec<f64> = after.iter().zip(&cpu).map(|(a, b)| (a - b) / 20.0 * 100.0).collect();
     let all = (world.bytes() - bytes) as f64 / 20.0;
     let mean = |list: &[f64]| list.iter().sum::<f64>() / list.len().max(1) as f64;
@@ -97,7 +101,7 @@
     Ok(())
 }
 
-fn leader(binary: &Path, members: usize) -> Done {
+fn measure_leader(binary: &Path, members: usize) -> Done {
     let mut world = World::start(binary, "leader", options(members))?;
     let (mut gaps, mut elections) = (Vec::new(), Vec::new());
     for _ in 0..8 {
@@ -120,29 +124,29 @@
         world.all_admit(0, Duration::from_secs(20))?;
     }
     println!("{members} processes, the leader killed");
-    told("  until another is seen to lead", &mut elections, "ms");
-    told("  longest time in which nobody admitted", &mut gaps, "ms");
+    print_quantiles("  until another is seen to lead", &mut elections, "ms");
+    print_quantiles("  longest time in which nobody admitted", &mut gaps, "ms");
     Ok(())
 }
 
-/// Processor microseconds for each request served, over all members, and the largest resident memory in KiB.
+/// CPU time in microseconds per served request, over all members, and the largest resident memory of a member in KiB.
 fn per_request(world: &World, seconds: u64) -> (f64, u64) {
     std::thread::sleep(Duration::from_secs(2));
-    let (cpu, served) = (used(world).iter().sum::<f64>(), world.counts().0);
+    let (cpu, served) = (cpu_seconds(world).iter().sum::<f64>(), world.counts().0);
     std::thread::sleep(Duration::from_secs(seconds));
-    let (after, now_served) = (used(world).iter().sum::<f64>(), world.counts().0);
+    let (after, now_served) = (cpu_seconds(world).iter().sum::<f64>(), world.counts().0);
     let memory = world.members.iter().filter_map(|m| m.used()).map(|(_, rss)| rss).max().unwrap_or(0);
     ((after - cpu) * 1e6 / (now_served - served).max(1) as f64, memory)
 }
 
-fn cost(binary: &Path) -> Done {
+fn measure_cost(binary: &Path) -> Done {
     let (mut ratios, mut lines) = (Vec::new(), Vec::new());
     for round in 0..3 {
         let mut both = Vec::new();
         for fleet in [true, false] {
             let every = Duration::from_millis(2);
             let world = World::start(binary, "cost", Options { fleet, every, history: false, ..options(3) });
-            // Without a history nobody is seen to admit: the fleet is founded all the same.
+            // Without a recorded history the harness can't see admissions; the fleet is bootstrapped nevertheless.
             let world = world?;
             both.push(per_request(&world, 5));
         }
@@ -154,17 +158,17 @@
     }
     println!("processor time per request, policy on and off, three front ends of some 500 requests a second");
     lines.iter().for_each(|line| println!("{line}"));
-    told("  on / off", &mut ratios, "");
+    print_quantiles("  on / off", &mut ratios, "");
     Ok(())
 }
 
-fn front(old: &Path, new: &Path) -> Done {
+fn measure_front(old: &Path, new: &Path) -> Done {
     for engines in [6, 60, 80] {
         let mut ratios = Vec::new();
         let mut lines = Vec::new();
         for round in 0..4 {
             let mut both = Vec::new();
-            // Which of the two comes first changes by turns.
+            // The two binaries alternate in running first, so that the order favours neither of them.
             let turn = if round % 2 == 0 { [old, new] } else { [new, old] };
             for binary in turn {
                 let every = Duration::from_millis(2);
@@ -181,41 +185,41 @@
             ));
         }
         println!("{engines} engines, before / after: {}", lines.join("; "));
-        told("  after / before", &mut ratios, "");
+        print_quantiles("  after / before", &mut ratios, "");
     }
     Ok(())
 }
 
-/// What a request costs at the gate: the reading of the clock, the right, the policy's rules.
-fn look() -> Done {
+/// Measures the time of the admission check alone: reading the clock and checking the rules of the policy.
+fn measure_admission() -> Done {
     let text = "form = 1\nclass \"lookup\" {\n  attempts = 1\n  rate = 1000000\n}\naccount \"leinster\" {\n  share = \"90%\"\n}\n";
     let policy = CompiledPolicy::new(
         parse("look", text).map_err(|e| format!("{e:?}"))?.policy,
         &["lookup".to_owned()],
     );
-    const MANY: usize = 2_000_000;
+    const ITERATIONS: usize = 2_000_000;
     let mut clocks = Vec::new();
-    let mut looks = Vec::new();
+    let mut checks = Vec::new();
     for _ in 0..20 {
         let from = Instant::now();
         let mut sum = 0.0;
-        for _ in 0..MANY {
+        for _ in 0..ITERATIONS {
             sum += machine_clock();
         }
-        clocks.push(from.elapsed().as_secs_f64() * 1e9 / MANY as f64);
+        clocks.push(from.elapsed().as_secs_f64() * 1e9 / ITERATIONS as f64);
         let (mut meter, mut admitted) = (AdmissionMeter::default(), 0usize);
         let from = Instant::now();
-        for i in 0..MANY {
+        for i in 0..ITERATIONS {
             let now = machine_clock();
             let account = Some(if i % 2 == 0 { "leinster" } else { "munster" });
             admitted += usize::from(meter.admit(now, &policy, 0, account, 10).is_ok());
         }
-        looks.push(from.elapsed().as_secs_f64() * 1e9 / MANY as f64);
+        checks.push(from.elapsed().as_secs_f64() * 1e9 / ITERATIONS as f64);
         assert!(sum > 0.0 && admitted > 0);
     }
-    println!("the gate alone, {MANY} times each");
-    told("  a reading of the clock", &mut clocks, "ns");
-    told("  the clock and the policy's rules", &mut looks, "ns");
+    println!("the gate alone, {ITERATIONS} times each");
+    print_quantiles("  a reading of the clock", &mut clocks, "ns");
+    print_quantiles("  the clock and the policy's rules", &mut checks, "ns");
     Ok(())
 }
 
@@ -225,12 +229,14 @@
     let binary = exe.parent().and_then(Path::parent).ok_or("where is this program?")?.join("beamgap");
     let number = words.get(1).and_then(|n| n.parse().ok()).unwrap_or(3);
     match words.first().map(String::as_str) {
-        Some("change") => change(&binary, number),
-        Some("idle") => idle(&binary, number),
-        Some("leader") => leader(&binary, number),
-        Some("cost") => cost(&binary),
-        Some("look") => look(),
-        Some("front") if words.len() == 3 => front(&PathBuf::from(&words[1]), &PathBuf::from(&words[2])),
+        Some("change") => measure_change(&binary, number),
+        Some("idle") => measure_idle(&binary, number),
+        Some("leader") => measure_leader(&binary, number),
+        Some("cost") => measure_cost(&binary),
+        Some("look") => measure_admission(),
+        Some("front") if words.len() == 3 => {
+            measure_front(&PathBuf::from(&words[1]), &PathBuf::from(&words[2]))
+        }
         _ => Err("change N, idle N, leader N, cost, look, or front OLD NEW".into()),
     }
 }
--- a/examples/record_decisions/host.rs
+++ b/examples/record_decisions/host.rs
@@ -1,9 +1,9 @@
-//! The program under recording: one `beamgap-simulator-host` process and the text exchanged with it.
+//! The recorded program: a `beamgap-simulator-host` process and the text exchanged with the process.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// A running `beamgap-simulator-host`, with all that was sent to it and received from it.
+/// A running `beamgap-simulator-host` process, with the complete text sent to the process and received from it.
 pub struct Host {
     child: Child,
     input: ChildStdin,
@@ -13,7 +13,6 @@
 }
 
 impl Host {
-    /// Starts the program.
     pub fn start(program: &str) -> io::Result<Host> {
         let mut child = Command::new(program).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
         let input = child.stdin.take().ok_or_else(|| io::Error::other("no standard input"))?;
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Ends the program and returns its events and actions.
+    /// Closes the program's standard input, waits until the program exits, and returns the recorded events and actions.
     pub fn finish(mut self) -> io::Result<(String, String)> {
         drop(self.input);
         self.child.wait()?;
--- a/examples/record_decisions/main.rs
+++ b/examples/record_decisions/main.rs
@@ -1,7 +1,8 @@
-//! Records a replay stream for `tests/replay.rs`: events for the decision module and the actions it gave.
+//! Records the input of `tests/replay.rs`: events for the decision module and the actions that the module returned.
 //!
-//! A small made-up world (engines, clients, service discovery) plays against `beamgap-simulator-host` on the
-//! simulator's text wire. The seed decides everything, so that the same program gives the same recording.
+//! A small simulation of engines, clients and service discovery exchanges events and actions with
+//! `beamgap-simulator-host` over the simulator's text protocol. All randomness comes from a seed, so that the same program
+//! always produces the same recording.
 //!
 //! ```text
 //! cargo build --release
@@ -17,7 +18,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Simulated length of each recording.
+/// Simulated duration of each recording, in milliseconds.
 const RECORDING_MS: f64 = 45_000.0;
 
 fn main() -> io::Result<()> {
--- a/examples/record_decisions/sites.rs
+++ b/examples/record_decisions/sites.rs
@@ -1,46 +1,46 @@
-//! Made-up deployments to record: one of each kind that the two users run, and one unlike both.
+//! Invented deployments to record: one like the deployment of each of the two users, and one that differs from both.
 
-/// A class of request, as the settings and the made-up clients need it.
+/// A class of requests, with the values that the settings and the simulated clients use.
 pub struct Class {
-    /// Name in the settings.
+    /// Name of the class in the settings.
     pub name: &'static str,
-    /// Share of the arrivals.
+    /// Fraction of all arriving requests that belong to the class.
     pub share: f64,
-    /// Mean work of a request, in milliseconds.
+    /// Base service time of a request on an idle engine, in milliseconds; a random factor varies it for each request.
     pub work_ms: f64,
-    /// Memory of a request, in MB.
+    /// Base memory that a request needs on an engine, in MB; a random factor varies it for each request.
     pub memory_mb: u32,
-    /// Longest time a client waits, in milliseconds.
+    /// Deadline of a request, in milliseconds after its arrival.
     pub deadline_ms: f64,
-    /// Whether requests carry a key.
+    /// Whether requests have a key. The classes with keys are those with `Repeat=token` in the settings.
     pub keyed: bool,
 }
 
 /// A deployment: its settings, its engines and its traffic.
 pub struct Site {
-    /// Name of the recording.
+    /// Name of the recording; the recorded files are named after it.
     pub name: &'static str,
-    /// Seed of everything random.
+    /// Seed of all randomness in the simulation.
     pub seed: u64,
-    /// Pairs of the `start` line, but for the number of the instance.
+    /// Settings of the `start` line as `Name=value` pairs, without the instance's own settings (`Me` and `Zone`).
     pub settings: String,
-    /// Classes of request.
+    /// Classes of the requests that clients send.
     pub classes: Vec<Class>,
-    /// Zones of the engines and instances.
+    /// Zones to which engines and front ends are assigned in turn.
     pub zones: &'static [&'static str],
-    /// Machine kinds of the engines.
+    /// Machine types to which engines are assigned in turn.
     pub kinds: &'static [&'static str],
-    /// Tenants, none where the settings have none.
+    /// Tenants of the requests; empty if the settings define no tenants.
     pub tenants: &'static [&'static str],
-    /// Engines in the pool.
+    /// Number of engines in the pool.
     pub engines: usize,
-    /// Arrivals a second, over all instances.
+    /// Requests that arrive per second, over all front ends.
     pub arrivals_per_s: f64,
-    /// Whether discovery answers only who asks.
+    /// Whether service discovery sends updates only to front ends that have subscribed.
     pub subscribes: bool,
 }
 
-/// Every site that is recorded.
+/// All deployments that are recorded.
 pub fn all() -> Vec<Site> {
     vec![counter_service(), order_book(), overcommitted_archive()]
 }
--- a/examples/record_decisions/world.rs
+++ b/examples/record_decisions/world.rs
@@ -1,4 +1,4 @@
-//! The made-up world: engines that serve, fail, drain and restart, clients that come and leave.
+//! The simulation: engines that serve, fail, drain and restart, and clients that send requests and may abandon them.
 
 use crate::host::Host;
 use crate::sites::Site;
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Spacing of batches, in milliseconds.
+/// Simulated time between two batches of events, in milliseconds.
 const ROUND_MS: f64 = 5.0;
-/// Front ends of the world.
+/// Number of front ends in the simulation.
 const INSTANCES: u32 = 2;
-/// Time at which the world begins, in milliseconds.
+/// Simulated clock at the start of the recording, in milliseconds.
 const START_MS: f64 = 8000.0;
-/// Spacing of faults, in milliseconds.
+/// Mean time between two injected faults, in milliseconds; the actual interval varies by up to half of this value.
 const FAULT_INTERVAL_MS: f64 = 900.0;
 
 struct Engine {
@@ -22,7 +22,7 @@
     kind: String,
     started_ms: Option<f64>,
     state: &'static str,
-    /// Until then it answers with errors or not at all.
+    /// Simulated time until which most requests to the engine fail or time out, in milliseconds.
     faulty_until: f64,
     in_flight: u32,
 }
@@ -44,7 +44,7 @@
     ListArrives { instance: u32, kind: &'static str },
 }
 
-/// The world of one site, driven by its seed.
+/// The simulation of one deployment, with randomness from the deployment's seed.
 pub struct World<'a> {
     site: &'a Site,
     random: ChaCha8Rng,
@@ -59,7 +59,7 @@
 }
 
 impl<'a> World<'a> {
-    /// A world before its first batch.
+    /// Creates the simulation in its state before the first batch of events.
     pub fn new(site: &'a Site) -> World<'a> {
         let engines = (0..site.engines)
             .map(|i| Engine {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Plays for so long against the program.
+    /// Runs the simulation against the program for `length_ms` of simulated time.
     pub fn play(&mut self, host: &mut Host, length_ms: f64) -> io::Result<()> {
         for instance in 0..INSTANCES {
             self.start_instance(instance);
@@ -136,7 +136,7 @@
     }
 
     fn arrivals(&mut self) {
-        // A burst of half as much again in the middle third of each quarter of a minute.
+        // A burst multiplies the arrival rate by 1.8 during the middle 5 seconds of every 15 seconds.
         let phase = (self.now_ms / 5000.0) as u64 % 3;
         let rate = self.site.arrivals_per_s * if phase == 1 { 1.8 } else { 1.0 };
         let mut left = rate * ROUND_MS / 1000.0;
@@ -151,32 +151,32 @@
     fn arrive(&mut self) {
         let mut pick: f64 = self.random.random();
         let mut class = 0;
-        for (i, of) in self.site.classes.iter().enumerate() {
+        for (i, candidate) in self.site.classes.iter().enumerate() {
             class = i;
-            pick -= of.share;
+            pick -= candidate.share;
             if pick < 0.0 {
                 break;
             }
         }
-        let of = &self.site.classes[class];
+        let spec = &self.site.classes[class];
         let instance = self.random.random_range(0..INSTANCES);
         let id: u128 = self.random.random();
         let hex = format!("{id:032x}");
         let id = format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..]);
         let spread: f64 = self.random.random_range(0.3..2.5);
-        let hint = of.work_ms * spread;
-        let memory = (f64::from(of.memory_mb) * spread) as u32;
+        let hint = spec.work_ms * spread;
+        let memory = (f64::from(spec.memory_mb) * spread) as u32;
         let tables = self.random.random_range(1..9);
-        let key = if of.keyed { format!("k{}", self.random.random_range(0..12)) } else { "-".to_owned() };
+        let key = if spec.keyed { format!("k{}", self.random.random_range(0..12)) } else { "-".to_owned() };
         let tenants = self.site.tenants;
         let tenant =
             if tenants.is_empty() { "-" } else { tenants[self.random.random_range(0..tenants.len())] };
         let options = if self.random.random_bool(0.9) { 1 } else { 0 }
             + if self.random.random_bool(0.05) { 2 } else { 0 };
-        let left = of.deadline_ms;
+        let left = spec.deadline_ms;
         self.batch.push(format!(
             "order {instance} {id} {hint:.1} {options} {tables} {key} {left:.1} {} {tenant} {memory}",
-            of.name
+            spec.name
         ));
         let request =
             Request { instance, class, attempts: 0, deadline_ms: self.now_ms + left, answered: false };
@@ -357,7 +357,7 @@
         );
     }
 
-    /// Ends an attempt that the program cancelled, a moment later.
+    /// Closes an attempt that the program cancelled, 3 ms after the cancel.
     fn cancelled(&mut self, id: &str, of: u32) {
         let found = self.due.iter().find_map(|(key, due)| match due {
             Due::Close { request, attempt, .. } if request == id && *attempt == of => Some(*key),
--- a/examples/xds_deploy.rs
+++ b/examples/xds_deploy.rs
@@ -1,5 +1,5 @@
-//! Measures rolling deploys: boxes drain, go and are replaced while proxies that are ruled over xDS send them work. See
-//! `docs/measurements/xds.md`.
+//! Measures rolling deploys: engines drain, stop and are replaced while proxies, configured over xDS, send requests to the
+//! engines. See `docs/measurements/xds.md`.
 //!
 //!     cargo run --release --example xds_deploy -- DRAINS [FLEETS]
 
@@ -15,6 +15,8 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
+/// Performance of each fake engine: 8 cores, 3 seconds of slow start from a capacity of 20%, and a crash when an
+/// engine is sent more than 3 times the work that it can do, measured over 500 ms.
 const POWER: Power =
     Power { cores: 8.0, start_share: 0.2, warm_ms: 3_000.0, fall_multiple: 3.0, fall_span_ms: 500.0 };
 
@@ -28,16 +30,16 @@
          "Contract":{{"DrainGrace":250,"StartCapacity":0.2,"WarmWithin":3000,"FallMultiple":3,"Fall":500}},
          "Report":{{"How":"off"}}}}}}"#
     );
-    let (sender, told) = mpsc::channel();
+    let (sender, address) = mpsc::channel();
     let thread = std::thread::spawn(move || {
-        let config = Config::read(text.into_bytes(), &|_| None).expect("a good configuration");
+        let config = Config::read(text.into_bytes(), &|_| None).expect("the configuration is valid");
         let mut node = Node::new(config, Clock::system()).expect("the node starts");
-        sender.send(node.xds_address().expect("xds is on")).expect("somebody waits");
+        sender.send(node.xds_address().expect("xds is on")).expect("the receiver exists");
         while !stop.load(Ordering::Relaxed) {
-            node.poll_once(Duration::from_millis(20)).expect("the loop goes on");
+            node.poll_once(Duration::from_millis(20)).expect("the event loop runs without errors");
         }
     });
-    (told.recv().expect("the node tells"), thread)
+    (address.recv().expect("the node reports its address"), thread)
 }
 
 fn fleet(number: u64, drains: usize) -> Report {
--- a/examples/xds_push.rs
+++ b/examples/xds_push.rs
@@ -1,5 +1,6 @@
-//! Measures pushes: from the bulletin's event to the last proxy that has been told, with many streams and boxes, in both
-//! variants of the protocol. See `docs/measurements/xds.md`.
+//! Measures xDS pushes: the time from an event of the service discovery (the fake bulletin) until the last proxy has
+//! received the change, for many streams and engines, with both variants of the protocol (state of the world and delta).
+//! See `docs/measurements/xds.md`.
 //!
 //!     cargo build --release && cargo run --release --example xds_push -- [STREAMS,..] [BOXES,..] [CHANGES]
 
@@ -13,13 +14,15 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
+/// Number of threads that run the client side of the streams.
 const CLIENT_THREADS: usize = 3;
+/// Number of streams that share one connection to the front end.
 const STREAMS_PER_CONN: usize = 10;
 
-/// What a stream got: when, of which type, how long.
-type Got = (Instant, Kind, usize);
+/// A response that a stream received: time of arrival, type of the resources, and size in bytes.
+type Received = (Instant, Kind, usize);
 
-fn program(bulletin: SocketAddr, xds: bool) -> (Child, Option<String>) {
+fn start_front_end(bulletin: SocketAddr, xds: bool) -> (Child, Option<String>) {
     let section = r#""xds":{"listen":"127.0.0.1:0","streams_most":4000},"#;
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","bulletin":"{bulletin}","known":{{"no":0,"items":[]}},{}
@@ -38,13 +41,14 @@
         .spawn()
         .expect("target/release/beamgap is built");
     let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let what = if xds { "listen: xds address=" } else { "listen: front" };
-    let told = lines.find_map(|line| {
+    let log_line = if xds { "listen: xds address=" } else { "listen: front" };
+    let xds_address = lines.find_map(|line| {
         let line = line.ok()?;
-        line.contains(what).then(|| line.rsplit_once("address=").map(|(_, at)| at.to_owned()))?
+        line.contains(log_line).then(|| line.rsplit_once("address=").map(|(_, at)| at.to_owned()))?
     });
-    std::thread::spawn(move || lines.for_each(drop)); // Whoever logs must not meet a closed pipe.
-    (child, told.filter(|_| xds))
+    // Reads the rest of the log, since the front end's writes to a closed pipe would fail.
+    std::thread::spawn(move || lines.for_each(drop));
+    (child, xds_address.filter(|_| xds))
 }
 
 fn status(pid: u32, key: &str) -> u64 {
@@ -53,7 +57,7 @@
     line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// Processor time of the service's thread in milliseconds, in steps of the system's tick.
+/// CPU time of the front end's xDS thread in milliseconds, with the resolution of the system's clock tick (10 ms).
 fn cpu_ms(pid: u32) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let mut ticks = 0;
@@ -77,27 +81,27 @@
     }
 }
 
-/// One stream that answers every response and tells what came.
-async fn follow(mut link: Link, variant: Variant, told: mpsc::Sender<Got>) {
+/// Acknowledges every response on one stream and reports each response to the channel.
+async fn run_stream(mut link: Link, variant: Variant, received: mpsc::Sender<Received>) {
     while let Ok(Some(got)) = link.next().await {
         let at = Instant::now();
         let Some(kind) = Kind::of(&got.url) else { continue };
         let names: &[&str] = match kind {
-            // The incremental form names only what comes to the subscription.
+            // In the delta variant a request lists only additions to the subscription, so an ACK lists no names.
             Kind::Eds if variant == Variant::World => &["query-boxes"],
             Kind::Rds if variant == Variant::World => &[ROUTES],
             _ => &[],
         };
         let answer = Ask { nonce: got.nonce, version: got.version, ..ask(kind, names) };
-        if !link.send(answer).await || told.send((at, kind, got.bytes)).is_err() {
+        if !link.send(answer).await || received.send((at, kind, got.bytes)).is_err() {
             return;
         }
     }
 }
 
-/// Opens streams on threads of their own; gives where what they get is told.
-fn open(address: &str, streams: usize, variant: Variant) -> mpsc::Receiver<Got> {
-    let (sender, told) = mpsc::channel();
+/// Opens the streams on threads of their own; returns a channel with the responses that the streams receive.
+fn open_streams(address: &str, streams: usize, variant: Variant) -> mpsc::Receiver<Received> {
+    let (sender, received) = mpsc::channel();
     for thread in 0..CLIENT_THREADS {
         let (address, sender) = (address.to_owned(), sender.clone());
         let mine = (0..streams).filter(move |i| i % CLIENT_THREADS == thread).collect::<Vec<_>>();
@@ -112,16 +116,20 @@
                         let mut first = vec![ask(Kind::Cds, &[]), ask(Kind::Eds, &["query-boxes"])];
                         first.push(ask(Kind::Rds, &[ROUTES]));
                         let link = Link::open(channel.clone(), &format!("p{i}"), variant, first).await;
-                        tasks.push(tokio::spawn(follow(link.expect("a stream"), variant, sender.clone())));
+                        tasks.push(tokio::spawn(run_stream(
+                            link.expect("a stream"),
+                            variant,
+                            sender.clone(),
+                        )));
                     }
                 }
                 for task in tasks {
-                    let _ = task.await; // Ends when the program is ended.
+                    let _ = task.await; // A stream ends when the front end is killed.
                 }
             });
         });
     }
-    told
+    received
 }
 
 fn run(streams: usize, boxes: usize, variant: Variant, changes: usize) {
@@ -138,48 +146,49 @@
         started: 0,
     };
     bulletin.tell(true, &(0..boxes).map(|i| entry(i, State::Ready)).collect::<Vec<_>>());
-    // The bulletin serves on a thread of its own, so that telling and waiting do not stand in each other's way.
+    // The fake service discovery runs on a thread of its own, so that waiting for responses on this thread does not delay
+    // the delivery of events.
     let (done, ended) = tokio::sync::oneshot::channel::<()>();
     let serving = std::thread::spawn(move || {
         runtime.block_on(async {
             let _ = ended.await;
         });
     });
-    let (mut child, xds) = program(address, true);
+    let (mut child, xds) = start_front_end(address, true);
     let xds = xds.expect("the service listens");
     std::thread::sleep(Duration::from_millis(400));
     let before = status(child.id(), "VmRSS:");
-    let told = open(&xds, streams, variant);
+    let received = open_streams(&xds, streams, variant);
     let mut lists = 0;
     while lists < streams {
         let (_, kind, _) =
-            told.recv_timeout(Duration::from_secs(60)).expect("every stream is told of the boxes");
+            received.recv_timeout(Duration::from_secs(60)).expect("every stream receives the engines");
         lists += usize::from(kind == Kind::Eds);
     }
     std::thread::sleep(Duration::from_millis(1_500));
-    while told.try_recv().is_ok() {}
+    while received.try_recv().is_ok() {}
     let after = status(child.id(), "VmRSS:");
     let (mut all, mut last, mut bytes) = (Vec::new(), Vec::new(), 0);
     let cpu = cpu_ms(child.id());
     for change in 0..changes {
         let i = change % boxes;
         let at = bulletin.tell(false, &[entry(i, State::Draining)]);
-        let (mut heard, mut latest) = (0, Duration::ZERO);
-        while heard < streams {
+        let (mut reached, mut latest) = (0, Duration::ZERO);
+        while reached < streams {
             let (when, kind, size) =
-                told.recv_timeout(Duration::from_secs(30)).expect("every stream is told");
+                received.recv_timeout(Duration::from_secs(30)).expect("every stream receives the change");
             bytes += size;
             if kind == Kind::Eds {
-                heard += 1;
+                reached += 1;
                 latest = latest.max(when - at);
                 all.push((when - at).as_secs_f64() * 1000.0);
             }
         }
         last.push(latest.as_secs_f64() * 1000.0);
         bulletin.tell(false, &[entry(i, State::Ready)]);
-        // Long enough for the way back, which waits for the ACKs, to be over.
+        // Waits until the push that returns the engine to service is complete; that push waits for the ACKs of this one.
         std::thread::sleep(Duration::from_millis(300 + streams as u64 * boxes as u64 / 5_000));
-        while let Ok((_, _, size)) = told.try_recv() {
+        while let Ok((_, _, size)) = received.try_recv() {
             bytes += size;
         }
     }
@@ -220,7 +229,7 @@
             }
         }
     }
-    let (mut child, _) = program(SocketAddr::from(([127, 0, 0, 1], 9)), false);
+    let (mut child, _) = start_front_end(SocketAddr::from(([127, 0, 0, 1], 9)), false);
     std::thread::sleep(Duration::from_millis(500));
     println!("xds off: {} KiB, {} threads", status(child.id(), "VmRSS:"), status(child.id(), "Threads:"));
     child.kill().expect("it still runs");
