--- a/fuzz/fuzz_targets/operator_file.rs
+++ b/fuzz/fuzz_targets/operator_file.rs
@@ -1,4 +1,5 @@
-//! Any text as an operator's file: it is read or refused with places, never a panic.
+//! Parses arbitrary text as an operator's configuration file. The parser must accept the text or return an error with the
+//! position in the file, and must never panic.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|text: &str| {
--- a/fuzz/fuzz_targets/xds_resource.rs
+++ b/fuzz/fuzz_targets/xds_resource.rs
@@ -1,4 +1,5 @@
-//! Any bytes as a resource, and any text as a version.
+//! Decodes arbitrary bytes as an xDS resource of each type, which must not panic. Parses arbitrary text as the version of
+//! a resource set, which lists draining and removed engines: the parser must return at most 64 engines.
 #![no_main]
 
 use beamgap_xds::client::held::read;
--- a/fuzz/fuzz_targets/xds_stream.rs
+++ b/fuzz/fuzz_targets/xds_stream.rs
@@ -1,4 +1,5 @@
-//! A course of requests on one stream, told by bytes: the plane answers or refuses, and what waits stays bounded.
+//! Sends a sequence of requests, derived from the input bytes, on one xDS stream. The control plane must answer or reject
+//! each request without a panic, and the size of its status must stay bounded, however many requests arrive.
 #![no_main]
 
 use beamgap_xds::core::picture::Terms;
@@ -12,8 +13,8 @@
     let Ok(stream) = plane.opened(0.0, variant, "") else { return };
     let mut now = 0.0;
     for chunk in bytes.chunks(6) {
-        let [what, kind, nonce, names @ ..] = chunk else { return };
-        match what % 4 {
+        let [operation, kind, nonce, names @ ..] = chunk else { return };
+        match operation % 4 {
             0 => {
                 plane.next(now, stream);
             }
@@ -26,7 +27,7 @@
                 let ask = Ask {
                     url: Kind::ALL[usize::from(kind % 4)].url().to_owned(),
                     nonce: if nonce % 3 == 0 { String::new() } else { (nonce % 20).to_string() },
-                    error: (what % 4 == 3).then(|| "no".to_owned()),
+                    error: (operation % 4 == 3).then(|| "no".to_owned()),
                     names: names.clone(),
                     leaves: names.into_iter().skip(1).collect(),
                     ..Ask::default()
