--- a/tests/common/boxes.rs
+++ b/tests/common/boxes.rs
@@ -1,5 +1,5 @@
-//! A small stand-in for boxes that speak MySQL, written from the public protocol. It logs what it runs, and does
-//! what a test says with the next execution.
+//! Minimal MySQL servers that act as engines in the tests of the MySQL front, written from the public protocol. They
+//! record every statement that they execute, and a test chooses how the next execution is answered.
 #![allow(dead_code)]
 
 use super::stage::{Peer, Stage};
@@ -18,21 +18,21 @@
 
 const NONCE: &[u8; 20] = b"abcdefghijklmnopqrst";
 
-/// What a box does with an execution.
+/// How an engine responds to the execution of a statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Next {
     Answer,
-    /// Says nothing until the connection is closed.
+    /// Sends no response, and leaves the connection open until the node closes it.
     Hold,
-    /// Closes the connection.
+    /// Closes the connection without a response.
     Drop,
-    /// Answers with an error.
+    /// Responds with an ERR packet with this error code.
     Error(u16),
-    /// Has forgotten what was prepared.
+    /// Discards the session's prepared statements first, so that the execution fails with "unknown statement".
     Forget,
 }
 
-/// Something that a box ran: where, the statement, and what was bound to it.
+/// One executed statement: the engine's index, the SQL text and the bytes of the bound parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
     pub house: usize,
@@ -66,7 +66,7 @@
     append_packet(out, number, &body);
 }
 
-/// A result of one text, as rows of text or in the binary form.
+/// Encodes a result set with one row and one text column, in the text or the binary protocol.
 fn result(text: &str, binary: bool) -> Vec<u8> {
     let mut out = Vec::new();
     append_packet(&mut out, 1, &[1]);
@@ -121,20 +121,20 @@
         Boxes::on(Stage::new(count, MYSQL))
     }
 
-    /// Boxes on a stage that has a MySQL front.
+    /// MySQL engines for a stage whose configuration has a MySQL front.
     pub fn on(stage: Stage) -> Boxes {
         Boxes { stage, sessions: HashMap::new(), runs: Vec::new(), kills: 0, next: Vec::new() }
     }
 
-    /// How to log in.
+    /// Options for a client's login at the MySQL front, with this password.
     pub fn login(&self, password: &str) -> OptsBuilder {
-        let port = self.stage.node.address(Front::Mysql).expect("the front listens").port();
+        let port = self.stage.node.address(Front::Mysql).expect("the MySQL front is listening").port();
         let opts = OptsBuilder::new().ip_or_hostname(Some("127.0.0.1")).tcp_port(port).prefer_socket(false);
         let opts = opts.user(Some("till")).pass(Some(password));
         opts.max_allowed_packet(Some(1 << 20))
     }
 
-    /// Lets the node and the boxes work off what there is.
+    /// Runs the node's event loop once, then answers all packets that the engines have received.
     pub fn turn(&mut self) {
         self.stage.turn();
         for house in 0..self.stage.houses.len() {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Works off what came on a connection; `false` closes it.
+    /// Answers the packets received on an engine's connection. Returns `false` if the engine closes the connection.
     fn serve(&mut self, house: usize, peer: &mut Peer) -> bool {
         let key = (house, peer.address());
         let mut session = self.sessions.remove(&key).unwrap_or_default();
@@ -169,14 +169,14 @@
     }
 
     fn command(&mut self, house: usize, session: &mut Session, body: &[u8]) -> Option<Vec<u8>> {
-        let one = |body: &[u8]| {
+        let single_packet = |body: &[u8]| {
             let mut out = Vec::new();
             append_packet(&mut out, 1, body);
             out
         };
         if !session.logged_in {
-            let right = scramble_native(NONCE, b"frost").unwrap();
-            session.logged_in = body.windows(20).any(|w| w == right);
+            let expected_scramble = scramble_native(NONCE, b"frost").unwrap();
+            session.logged_in = body.windows(20).any(|w| w == expected_scramble);
             let answer = if session.logged_in { ok() } else { error(1045, "28000", "denied") };
             let mut out = Vec::new();
             append_packet(&mut out, 2, &answer);
@@ -184,10 +184,10 @@
         }
         let text = String::from_utf8_lossy(&body[1..]).into_owned();
         match body[0] {
-            2 | 14 => Some(one(&ok())),
+            2 | 14 => Some(single_packet(&ok())),
             3 if text.starts_with("KILL QUERY 7") => {
                 self.kills += 1;
-                Some(one(&ok()))
+                Some(single_packet(&ok()))
             }
             3 => self.run(house, text, Vec::new(), false),
             22 => Some(session.prepare(text)),
@@ -198,7 +198,7 @@
                     session.prepared.clear();
                 }
                 let Some(text) = session.prepared.get(&id).cloned() else {
-                    return Some(one(&error(1243, "HY000", "unknown statement")));
+                    return Some(single_packet(&error(1243, "HY000", "unknown statement")));
                 };
                 let bound = [std::mem::take(&mut session.long), body[10..].to_vec()].concat();
                 self.run(house, text, bound, true)
@@ -226,27 +226,28 @@
         Some(out)
     }
 
-    /// Runs a client in a thread of its own, and all others here until it is done; `watch` looks on.
+    /// Runs a client on a separate thread, and the node and the engines on this thread until the client ends. `watch`
+    /// is called after every turn of the event loop.
     pub fn with_client<T: Send + 'static>(
         &mut self,
         client: impl FnOnce() -> T + Send + 'static,
         mut watch: impl FnMut(&mut Boxes),
     ) -> T {
         let thread = std::thread::spawn(client);
-        let from = std::time::Instant::now();
+        let started = std::time::Instant::now();
         while !thread.is_finished() {
-            assert!(from.elapsed().as_secs() < 20, "a client is left without an answer");
+            assert!(started.elapsed().as_secs() < 20, "the client got no answer within 20 s");
             self.turn();
             watch(self);
         }
-        thread.join().expect("the client ends well")
+        thread.join().expect("the client thread panicked")
     }
 
-    /// Lets all work until something holds.
+    /// Runs the node and the engines until the condition `done` is true. Panics after 20 s; `what` names the condition.
     pub fn until(&mut self, what: &str, done: impl Fn(&Boxes) -> bool) {
-        let from = std::time::Instant::now();
+        let started = std::time::Instant::now();
         while !done(self) {
-            assert!(from.elapsed().as_secs() < 20, "never came: {what}");
+            assert!(started.elapsed().as_secs() < 20, "timed out waiting for: {what}");
             self.turn();
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to build what the tests feed a gateway.
+//! Helpers that build the settings, engine lists, requests and events with which tests drive a `Gateway`.
 #![allow(dead_code)]
 
 use beamgap::*;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A light class and a heavy one, as on most sites; everything allowed.
+/// Settings with a light and a heavy request class, as in most installations. All optional features are enabled.
 pub fn settings() -> Settings {
     let light = ClassSettings::plain("light", ms(800), ms(4000));
     let mut heavy = ClassSettings::plain("heavy", ms(3000), ms(20_000));
@@ -50,7 +50,7 @@
     s
 }
 
-/// A gateway with a clock, driven event by event.
+/// A gateway with a simulated clock. Tests feed it one event at a time and check the returned actions.
 pub struct Bench {
     pub gateway: Gateway,
     pub now: Micros,
@@ -61,9 +61,9 @@
     pub fn new(settings: Settings, members: Vec<EngineEntry>) -> Bench {
         Bench::born(settings, 11, ms(1000), members)
     }
-    /// A gateway that comes up at a time of its own, with the list as it stands then.
+    /// Creates a gateway that starts at time `now` with `members` as its cached engine list.
     pub fn born(settings: Settings, seed: u64, now: Micros, members: Vec<EngineEntry>) -> Bench {
-        let gateway = Gateway::new(settings, seed).expect("good settings");
+        let gateway = Gateway::new(settings, seed).expect("the settings are valid");
         let mut bench = Bench { gateway, now, timers: Vec::new() };
         bench.tell(list(ListKind::Cached, members));
         bench
@@ -78,7 +78,7 @@
         }
         out
     }
-    /// Lets time pass; timers fire on the way.
+    /// Advances the simulated clock and fires the timers that fall due, in order of their times.
     pub fn pass(&mut self, millis: u64) -> Vec<Action> {
         let until = self.now.plus(ms(millis));
         let mut all = Vec::new();
@@ -126,7 +126,7 @@
     }
 }
 
-/// The engines sent to, in order.
+/// The engines to which requests were forwarded, in order of the actions.
 pub fn sent(actions: &[Action]) -> Vec<EngineId> {
     let to = |a: &Action| if let Action::Forward { engine, .. } = a { Some(engine.clone()) } else { None };
     actions.iter().filter_map(to).collect()
--- a/tests/common/peer.rs
+++ b/tests/common/peer.rs
@@ -1,8 +1,8 @@
-//! The test's side of a connection, and the names that scenarios give to requests.
+//! The test's end of a TCP connection, and the mapping between request names in scenarios and request ids.
 
 use super::*;
 
-/// A connection of the test's side, with what has come on it.
+/// The test's end of a TCP connection, with the received bytes that have not been parsed yet.
 pub struct Peer {
     pub stream: TcpStream,
     pub input: Vec<u8>,
@@ -12,7 +12,8 @@
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
         stream.set_nonblocking(true).unwrap();
-        // Under a clock that is set, the system's wait for an acknowledgement could be seconds.
+        // Without TCP_NODELAY the kernel can delay small writes by real milliseconds, which are seconds of the test's
+        // simulated clock.
         stream.set_nodelay(true).unwrap();
         Peer { stream, input: Vec::new(), closed: false }
     }
@@ -30,7 +31,8 @@
     pub fn push(&mut self, bytes: &[u8]) {
         self.push_while(bytes, || {});
     }
-    /// Writes all, letting the other side work where it must read first. What has been closed takes nothing.
+    /// Writes all bytes. Calls `work` whenever the send buffer is full, so that the other end can read. Bytes for a
+    /// closed connection are dropped.
     pub fn push_while(&mut self, mut bytes: &[u8], mut work: impl FnMut()) {
         while !bytes.is_empty() {
             match self.stream.write(bytes) {
@@ -40,7 +42,8 @@
             }
         }
     }
-    /// The next line, with its body if the last word is a length.
+    /// Parses the next line of the line protocol. The last word of a `want` line is the length of its body; in the
+    /// returned text, the body replaces that word.
     pub fn line(&mut self) -> Option<String> {
         let end = self.input.windows(2).position(|w| w == b"\r\n")?;
         let line = String::from_utf8(self.input[..end].to_vec()).unwrap();
@@ -55,7 +58,8 @@
         self.input.drain(..end + 4 + length);
         Some(whole)
     }
-    /// The next JSON-RPC message: `ID served TEXT`, `ID error CODE [backoff]`, or what else it holds.
+    /// Parses the next JSON-RPC message. Returns `ID served TEXT` for a served request, `ID error CODE [backoff]` for
+    /// an error, and the JSON text of any other message.
     pub fn message(&mut self) -> Option<String> {
         let end = self.input.windows(4).position(|w| w == b"\r\n\r\n")?;
         let head = String::from_utf8(self.input[..end].to_vec()).unwrap();
@@ -63,7 +67,7 @@
         let body = self.input.get(end + 4..end + 4 + length)?.to_vec();
         self.input.drain(..end + 4 + length);
         let text = String::from_utf8(body.clone()).unwrap();
-        let value = json::read(body).expect("an answer is JSON");
+        let value = json::read(body).expect("the message is valid JSON");
         let id = value.get("id").and_then(|id| id.as_u64()).map_or("null".into(), |id| id.to_string());
         if let Some(error) = value.get("error") {
             let backoff = error.get("data").and_then(|d| d.get("backoff")).and_then(json::number);
@@ -80,13 +84,14 @@
     }
 }
 
-/// The request id that stands for a name of the scenarios, such as `c1-2`: its letters as 16 hex digits.
+/// Converts a request name used in scenarios, such as `c1-2`, to a request id: the name's bytes in hexadecimal, padded
+/// with zeros to 16 digits.
 pub fn rid(name: &str) -> String {
     let digits: String = name.bytes().map(|b| format!("{b:02x}")).collect();
     format!("{digits:0<16}")
 }
 
-/// Puts names in the place of request ids, as the scenarios write them.
+/// Replaces the request ids in a line by the request names that scenarios use, such as `c1-2`.
 pub fn named(line: &str) -> String {
     let name = |word: &str| {
         let digits = word.len() == 16 && word.bytes().all(|b| b.is_ascii_hexdigit());
@@ -101,7 +106,7 @@
     line.split(' ').map(name).collect::<Vec<String>>().join(" ")
 }
 
-/// Whether a text is as the pattern says; `*` stands for anything.
+/// Whether a text matches a pattern, in which `*` matches any number of characters.
 pub fn fits(pattern: &str, text: &str) -> bool {
     match pattern.split_once('*') {
         None => pattern == text,
--- a/tests/common/stage.rs
+++ b/tests/common/stage.rs
@@ -1,8 +1,9 @@
-//! A stage for the node: scenarios in a small language, played on real sockets under a clock that stands.
+//! Test harness that runs a node on real sockets under a simulated clock, driven by scripted scenarios.
 //!
-//! One step a line, `PARTY VERB TEXT`. Parties: `c1`, `c2`.. clients of the platform's front; `w` the warehouse that
-//! spoke last (any, when something is expected); `list` the bulletin; `clock`. Verbs: `send`, `expect` (`*` stands
-//! for anything), `close`, `wait` (milliseconds, or `silent`: nothing has come).
+//! A scenario has one step per line, `PARTY VERB TEXT`. The parties are JSON-RPC clients (`c1`, `c2`, ...), engines
+//! (`w`), service discovery (`list`) and the `clock`. `w expect` reads from any engine; other steps of `w` use the
+//! connection of the last `w expect`. The verbs are `send`, `expect` (the pattern may contain the wildcard `*`),
+//! `close` and `wait`. `clock wait` advances the clock by milliseconds; `wait silent` checks that no message arrives.
 #![allow(dead_code)]
 
 pub mod peer;
@@ -20,9 +21,9 @@
 use std::time::{Duration, Instant};
 
 pub const START: f64 = 1_700_000_000_000.0;
-const PATIENCE: Duration = Duration::from_secs(20);
+const EXPECT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The settings of the tests: a safe class and a load, as on the site.
+/// Settings with one class whose requests may be retried (`lookup`) and one with side effects (`delivery-load`).
 pub const SETTINGS: &str = r#"{"Azs":["a"],"Balancers":1,"Me":0,"Zone":"a","MachineTypes":["std"],
  "Classes":[{"Name":"lookup","OnTime":500,"HardLimit":2500,"Repeat":"pure","Value":1},
   {"Name":"delivery-load","OnTime":3000,"HardLimit":25000,"Repeat":"side_effect","Value":30}],
@@ -43,7 +44,7 @@
     current: (usize, usize),
 }
 
-/// The configuration of a node that knows these engines and a bulletin.
+/// Returns a node's configuration with a cached list of these engines and the address of service discovery.
 pub fn config(engines: &[SocketAddr], bulletin: SocketAddr, more: &str) -> String {
     let target = |(i, at): (usize, &SocketAddr)| {
         format!(
@@ -60,49 +61,50 @@
     )
 }
 
-fn configured(houses: &[House], list: &House, more: &str) -> String {
+fn config_of(houses: &[House], list: &House, more: &str) -> String {
     let engines: Vec<SocketAddr> = houses.iter().map(House::address).collect();
     config(&engines, list.address(), more)
 }
 
 impl Stage {
-    /// The configuration of this stage's node.
+    /// Returns the configuration of this stage's node, with `more` as further JSON members.
     pub fn config(&self, more: &str) -> String {
-        configured(&self.houses, &self.list, more)
+        config_of(&self.houses, &self.list, more)
     }
 
-    /// A node with so many warehouses; `more` goes into its configuration.
+    /// Starts a node with this number of engines. `more` is inserted into the configuration as further JSON members.
     pub fn new(warehouses: usize, more: &str) -> Stage {
-        Stage::limited(warehouses, more, LIMITS)
+        Stage::with_default_settings(warehouses, more, LIMITS)
     }
 
-    /// A node with the platform's front under these limits.
+    /// Starts a node with the JSON-RPC front and these resource limits.
     pub fn with_limits(warehouses: usize, limits: &str) -> Stage {
-        Stage::limited(warehouses, r#""listen":"127.0.0.1:0","#, limits)
+        Stage::with_default_settings(warehouses, r#""listen":"127.0.0.1:0","#, limits)
     }
 
-    fn limited(warehouses: usize, more: &str, limits: &str) -> Stage {
+    fn with_default_settings(warehouses: usize, more: &str, limits: &str) -> Stage {
         Stage::with(warehouses, more, limits, SETTINGS)
     }
 
-    /// A node with all that a test may vary.
+    /// Starts a node with a chosen number of engines, configuration sections, resource limits and settings.
     pub fn with(warehouses: usize, more: &str, limits: &str, settings: &str) -> Stage {
         let houses: Vec<House> = (0..warehouses).map(|_| House::new()).collect();
         let list = House::new();
-        let text = configured(&houses, &list, more).replace(LIMITS, limits).replace(SETTINGS, settings);
+        let text = config_of(&houses, &list, more).replace(LIMITS, limits).replace(SETTINGS, settings);
         let secret = |name: &str| (name == "SECRET").then(|| "frost".to_owned());
-        let config = Config::read(text.into_bytes(), &secret).expect("a good configuration");
+        let config = Config::read(text.into_bytes(), &secret).expect("the configuration is valid");
         let clock = Clock::manual(START);
-        let node = Node::new(config, clock.clone()).expect("the node starts");
+        let node = Node::new(config, clock.clone()).expect("the node failed to start");
         Stage { node, clock, houses, list, clients: BTreeMap::new(), current: (0, 0) }
     }
 
-    /// A stage whose loads keep the order of their keys, with a rest of 300 ms.
+    /// Starts a node that runs loads with the same ordering key in order of arrival, with a key pause (`TurnGap`) of
+    /// 300 ms.
     pub fn in_order(warehouses: usize) -> Stage {
         Stage::in_order_with(warehouses, r#""listen":"127.0.0.1:0","#)
     }
 
-    /// The same with a configuration's further sections.
+    /// Starts a node as `in_order` does, with `more` as further JSON members of the configuration.
     pub fn in_order_with(warehouses: usize, more: &str) -> Stage {
         let order = r#""Repeat":"side_effect","ByArrival":true,"#;
         let settings = SETTINGS.replace(r#""Repeat":"side_effect","#, order);
@@ -110,7 +112,7 @@
         Stage::with(warehouses, more, LIMITS, &settings)
     }
 
-    /// Plays a scenario on a fresh stage.
+    /// Starts a node with the JSON-RPC front and runs a scenario on it.
     pub fn play(warehouses: usize, scenario: &str) -> Stage {
         let mut stage = Stage::new(warehouses, r#""listen":"127.0.0.1:0","#);
         stage.go(scenario);
@@ -124,20 +126,20 @@
             let (party, verb, text) = (word(), word(), word().replace("\\n", "\n").replace("\\t", "\t"));
             match (party, verb) {
                 ("clock", "wait") => self.pass(text.parse().unwrap()),
-                ("list", "send") => self.tell(&text),
+                ("list", "send") => self.send_state_change(&text),
                 ("w", "send") => self.reply(&text),
                 ("w", "close") => drop(self.houses[self.current.0].conns.remove(self.current.1)),
-                ("w", "expect") => self.expect(line, |stage| stage.heard_by_warehouse(&text, line)),
-                (client, "send") => self.ask(client, &text),
+                ("w", "expect") => self.expect(line, |stage| stage.engine_received(&text, line)),
+                (client, "send") => self.send_from_client(client, &text),
                 (client, "close") => drop(self.clients.remove(client).unwrap()),
-                (client, "expect") => self.expect(line, |stage| stage.heard_by_client(client, &text, line)),
-                (_, "wait") => self.silent(line),
-                _ => panic!("not a step: {line}"),
+                (client, "expect") => self.expect(line, |stage| stage.client_received(client, &text, line)),
+                (_, "wait") => self.expect_silence(line),
+                _ => panic!("invalid scenario step: {line}"),
             }
         }
     }
 
-    /// Lets the node and the parties work off what there is.
+    /// Runs the node's event loop once, then reads all bytes that arrived at engines, service discovery and clients.
     pub fn turn(&mut self) {
         self.node.poll_once(Duration::from_millis(1)).unwrap();
         self.houses.iter_mut().for_each(House::pull);
@@ -146,14 +148,14 @@
     }
 
     pub fn expect(&mut self, what: &str, mut done: impl FnMut(&mut Stage) -> bool) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + EXPECT_TIMEOUT;
         while !done(self) {
-            assert!(Instant::now() < until, "never came: {what}");
+            assert!(Instant::now() < until, "timed out waiting for: {what}");
             self.turn();
         }
     }
 
-    /// Moves the clock in steps, as timers would see it.
+    /// Advances the simulated clock in steps of 10 ms and runs the event loop after each step, so that timers fire.
     fn pass(&mut self, ms: f64) {
         let until = self.clock.now() + ms;
         while self.clock.now() < until {
@@ -162,7 +164,7 @@
         }
     }
 
-    fn silent(&mut self, line: &str) {
+    fn expect_silence(&mut self, line: &str) {
         (0..20).for_each(|_| self.turn());
         for peer in self.houses.iter_mut().flat_map(|h| &mut h.conns) {
             assert_eq!(peer.line(), None, "{line}");
@@ -172,9 +174,10 @@
         }
     }
 
-    fn ask(&mut self, client: &str, text: &str) {
+    fn send_from_client(&mut self, client: &str, text: &str) {
         let address = self.node.address(Front::JsonRpc);
-        let connect = || Peer::new(TcpStream::connect(address.expect("the front listens")).unwrap());
+        let connect =
+            || Peer::new(TcpStream::connect(address.expect("the JSON-RPC front is listening")).unwrap());
         let peer = self.clients.entry(client.to_owned()).or_insert_with(connect);
         let words: Vec<&str> = text.splitn(5, ' ').collect();
         let message = match words[..] {
@@ -183,7 +186,7 @@
                 let node = &mut self.node;
                 return peer.push_while(&bytes, || node.poll_once(Duration::from_millis(1)).unwrap());
             }
-            // A class may have a key behind it: `delivery-load@k1`.
+            // An ordering key may follow the class name after `@`, as in `delivery-load@k1`.
             ["ask", id, class, budget, statement] => {
                 let doc = BASE64_STANDARD.encode(statement);
                 let (class, key) = class.split_once('@').unwrap_or((class, ""));
@@ -202,7 +205,8 @@
         peer.push(format!("Content-Length: {}\r\n\r\n{message}", message.len()).as_bytes());
     }
 
-    /// One engine that has served request 1 of `c1`, so that a connection to it is idle.
+    /// Starts a node with one engine, which has served request 1 of client `c1`, so that the node has an idle
+    /// connection to the engine.
     pub fn served_once() -> Stage {
         Stage::play(
             1,
@@ -213,35 +217,35 @@
         )
     }
 
-    /// A client's side of its connection.
+    /// The test's end of the connection of the client with this name.
     pub fn client(&mut self, name: &str) -> &mut Peer {
-        self.clients.get_mut(name).expect("a client that has sent")
+        self.clients.get_mut(name).expect("the client has sent a request")
     }
 
-    /// The connection on which an engine was last told something, by engine and number.
+    /// The engine connection on which the last `w expect` read a line: the index of the engine and of its connection.
     pub fn current_connection(&self) -> (usize, usize) {
         self.current
     }
 
-    /// The connections to discovery, oldest first.
+    /// The node's connections to service discovery, oldest first.
     pub fn watches(&mut self) -> &mut Vec<Peer> {
         &mut self.list.conns
     }
 
-    /// One turn of the node, in which nobody else does anything.
+    /// Runs the node's event loop once. Clients, engines and service discovery read nothing meanwhile.
     pub fn one_turn(&mut self) {
-        self.node.poll_once(Duration::from_millis(20)).expect("the loop goes on");
+        self.node.poll_once(Duration::from_millis(20)).expect("the event loop failed");
     }
 
-    /// All that engines were sent, by line, names in the place of request ids.
+    /// Returns all lines that the engines received, with request ids replaced by the scenarios' request names.
     pub fn sent_to_engines(&mut self) -> Vec<String> {
         (0..10).for_each(|_| self.turn());
         let peers = self.houses.iter_mut().flat_map(|house| &mut house.conns);
         peers.flat_map(|peer| std::iter::from_fn(|| peer.line())).map(|line| named(&line)).collect()
     }
 
-    /// Has a client that reads nothing ask for whole results, numbered from `first`, until so much waits unwritten that
-    /// the front reads no further requests. How many were asked for.
+    /// Sends requests of a client that reads no answers, with ids from `first`, until the front stops reading requests
+    /// because too many bytes are queued for that client. Returns the number of requests sent.
     pub fn fill_with_results(&mut self, client: &str, first: usize) -> usize {
         const ROUND: usize = 20;
         let page = format!("{}\t\t\n", "y".repeat(2985)).repeat(2);
@@ -254,10 +258,10 @@
                 return (round + 1) * ROUND;
             }
         }
-        panic!("the system has taken all that was written");
+        panic!("the socket buffers held all results; the front never stopped reading requests");
     }
 
-    /// Engines answer what they were asked with eight such pages; how many requests that were.
+    /// Answers each request that the engines received with eight copies of `page`. Returns the number of requests.
     fn serve_results(&mut self, page: &str) -> usize {
         let mut served = 0;
         for _ in 0..10 {
@@ -266,7 +270,7 @@
             for peer in self.houses.iter_mut().flat_map(|house| &mut house.conns) {
                 let lines: Vec<String> = std::iter::from_fn(|| peer.line()).collect();
                 for want in lines.iter().filter(|line| line.starts_with("want ")) {
-                    let name = want.split(' ').nth(1).expect("a request has a name");
+                    let name = want.split(' ').nth(1).expect("a want line has a request id");
                     let line = |word: &str| format!("{name} {word} {}\r\n{page}\r\n", page.len());
                     let further: String = (1..8).map(|number| line(&format!("rows page={number}"))).collect();
                     peer.push(format!("{}{further}", line("served pages=8")).as_bytes());
@@ -277,13 +281,14 @@
         served
     }
 
-    /// Lets the node alone work: engines take no connection meanwhile.
+    /// Runs the node's event loop this many times. The engines accept no connections meanwhile.
     pub fn node_turns(&mut self, turns: usize) {
-        (0..turns).for_each(|_| self.node.poll_once(Duration::from_millis(1)).expect("the loop goes on"));
+        (0..turns)
+            .for_each(|_| self.node.poll_once(Duration::from_millis(1)).expect("the event loop failed"));
         self.houses.iter_mut().flat_map(|house| &mut house.conns).for_each(Peer::pull);
     }
 
-    /// Likewise while time passes.
+    /// Advances the clock in steps of 10 ms and runs the node only. The engines accept no connections meanwhile.
     pub fn pass_node(&mut self, ms: f64) {
         let until = self.clock.now() + ms;
         while self.clock.now() < until {
@@ -292,19 +297,19 @@
         }
     }
 
-    /// A client's next answer, if there is one.
+    /// Runs one turn and returns the client's next message, if a complete one has arrived.
     pub fn message(&mut self, client: &str) -> Option<String> {
         self.turn();
         self.clients.get_mut(client).and_then(Peer::message)
     }
 
-    /// Whether a client has another answer.
+    /// Whether a further message has arrived at the client. The message is consumed.
     pub fn answered(&mut self, client: &str) -> bool {
         self.clients.get_mut(client).is_some_and(|peer| peer.message().is_some())
     }
 
-    fn heard_by_client(&mut self, client: &str, pattern: &str, line: &str) -> bool {
-        let peer = self.clients.get_mut(client).expect("a client that has sent");
+    fn client_received(&mut self, client: &str, pattern: &str, line: &str) -> bool {
+        let peer = self.clients.get_mut(client).expect("the client has sent a request");
         if pattern == "closed" {
             return peer.closed;
         }
@@ -313,7 +318,7 @@
         true
     }
 
-    fn heard_by_warehouse(&mut self, pattern: &str, line: &str) -> bool {
+    fn engine_received(&mut self, pattern: &str, line: &str) -> bool {
         for (h, house) in self.houses.iter_mut().enumerate() {
             for (c, peer) in house.conns.iter_mut().enumerate() {
                 if let Some(got) = peer.line().as_deref().map(named) {
@@ -326,7 +331,7 @@
         false
     }
 
-    /// `ID WORD FIELDS BODY` from the warehouse that spoke last.
+    /// Sends the answer `ID WORD FIELDS BODY` from the engine of the last `w expect`, on the same connection.
     fn reply(&mut self, text: &str) {
         let words: Vec<&str> = text.splitn(4, ' ').collect();
         let body = words.get(3).unwrap_or(&"");
@@ -335,21 +340,24 @@
         self.houses[house].conns[conn].push(format!("{} {line}", rid(words[0])).as_bytes());
     }
 
-    /// Writes bytes of an answer to the request so named, spoilt or not, on a connection of the first warehouse.
+    /// Writes raw bytes, valid or malformed, as an answer to the named request on a connection of the first engine.
     pub fn push(&mut self, conn: usize, name: &str, bytes: &[u8]) {
         self.houses[0].conns[conn].push(&[rid(name).as_bytes(), b" ", bytes].concat());
     }
 
-    /// `NUMBER STATE [ADDRESS-OF]`: a change of the warehouse that spoke last, once the node has connected.
-    fn tell(&mut self, text: &str) {
-        self.expect("a connection to the bulletin", |stage| {
+    /// Sends the state change `NUMBER STATE [ID]` for the engine of the last `w expect` through service discovery, once
+    /// the node has connected to it.
+    fn send_state_change(&mut self, text: &str) {
+        self.expect("a connection to service discovery", |stage| {
             stage.list.conns.last().is_some_and(|peer| peer.input.len() >= 8)
         });
         let words: Vec<&str> = text.split(' ').collect();
         let (number, state): (u64, u8) = (words[0].parse().unwrap(), words[1].parse().unwrap());
         let house = self.current.0;
-        let SocketAddr::V4(at) = self.houses[house].address() else { panic!("loopback is v4") };
-        // A third word gives the news another id: the address has passed on.
+        let SocketAddr::V4(at) = self.houses[house].address() else {
+            panic!("the engine has no IPv4 address")
+        };
+        // An optional third word replaces the engine's id, for an address that now belongs to another engine.
         let id = words.get(2).map_or(house as u32, |id| id.parse().unwrap());
         let mut record = id.to_be_bytes().to_vec();
         record.extend(at.ip().octets());
@@ -362,18 +370,18 @@
         frame.push(2);
         frame.extend(record);
         self.list.conns.last_mut().unwrap().push(&frame);
-        let told = format!("list: no={number} ");
-        self.expect(&told, |stage| {
+        let log_line = format!("list: no={number} ");
+        self.expect(&log_line, |stage| {
             stage.turn();
-            stage.node.take_log().iter().any(|line| line.starts_with(&told))
+            stage.node.take_log().iter().any(|line| line.starts_with(&log_line))
         });
     }
 }
 
 impl Stage {
-    /// Tells of a change of this house, whoever spoke last.
+    /// Sends a state change for the engine with this index, regardless of the last `w expect`.
     pub fn tell_of(&mut self, house: usize, text: &str) {
         self.current.0 = house;
-        self.tell(text);
+        self.send_state_change(text);
     }
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! What balancers and proxies are told, and the node as a process.
+//! Health checks, agent checks and xDS over HTTP for load balancers and proxies, and signals to the node's process.
 
 #[path = "common/stage.rs"]
 mod stage;
@@ -13,7 +13,8 @@
 const CONTROL: &str =
     r#""listen":"127.0.0.1:0","control":{"http":"127.0.0.1:0","agent":"127.0.0.1:0","cluster":"boxes"},"#;
 
-/// Writes a text and gives all that comes until `end` or the close.
+/// Sends a text to a control address and returns the response up to the text `end`, or up to the close if `end` is
+/// empty.
 fn ask(stage: &mut Stage, kind: ControlProtocol, text: &str, end: &str) -> String {
     let address = stage.node.control_address(kind).unwrap();
     let mut peer = Peer::new(TcpStream::connect(address).unwrap());
@@ -26,7 +27,7 @@
             return got;
         }
     }
-    panic!("no answer to {text}");
+    panic!("no response to {text}");
 }
 
 fn get(stage: &mut Stage, path: &str) -> String {
@@ -38,7 +39,7 @@
     )
 }
 
-fn discover(stage: &mut Stage, body: &str) -> String {
+fn post_discovery(stage: &mut Stage, body: &str) -> String {
     let head = format!("POST /v3/discovery:endpoints HTTP/1.0\r\nContent-Length: {}\r\n\r\n", body.len());
     ask(stage, ControlProtocol::Http, &(head + body), "")
 }
@@ -65,7 +66,7 @@
     let two = "GET /health/live HTTP/1.1\r\n\r\nHEAD /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n";
     let got = ask(&mut stage, ControlProtocol::Http, two, "");
     assert_eq!((got.matches("HTTP/1.1 200").count(), got.matches("alive\n").count()), (2, 1));
-    assert!(got.ends_with("\r\n\r\n"), "a HEAD has no body");
+    assert!(got.ends_with("\r\n\r\n"), "the response to HEAD has a body");
     assert!(get(&mut stage, "/other").starts_with("HTTP/1.1 404 "));
     assert!(get(&mut stage, "/v3/discovery:endpoints").starts_with("HTTP/1.1 405 "));
     let long = format!("GET / HTTP/1.1\r\nX: {}", "a".repeat(9000));
@@ -84,7 +85,7 @@
 #[test]
 fn xds_tells_the_engines_as_the_module_sees_them() {
     let mut stage = Stage::new(2, CONTROL);
-    let first = discover(&mut stage, r#"{"resource_names":["boxes"]}"#);
+    let first = post_discovery(&mut stage, r#"{"resource_names":["boxes"]}"#);
     assert!(first.starts_with("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"));
     let healthy = |got: &str| got.matches(r#""health_status":"HEALTHY""#).count();
     assert_eq!((healthy(&first), first.matches(r#""locality":{"zone":"a"}"#).count()), (2, 1));
@@ -94,41 +95,41 @@
     assert!(first.contains(r#""load_balancing_weight":800"#));
     let version = first.split(r#""version_info":""#).nth(1).unwrap()[..16].to_owned();
     let again = format!(r#"{{"version_info":"{version}","resource_names":["boxes"]}}"#);
-    let same = discover(&mut stage, &again);
+    let same = post_discovery(&mut stage, &again);
     assert!(same.starts_with("HTTP/1.1 304 "), "{same}");
     stage.tell_of(1, "2 1");
-    let changed = discover(&mut stage, &again);
+    let changed = post_discovery(&mut stage, &again);
     assert!(!changed.contains(&version) && changed.contains(r#""health_status":"DRAINING""#));
     assert_eq!(healthy(&changed), 1);
-    assert!(discover(&mut stage, r#"{"resource_names":["others"]}"#).contains(r#""resources":[]"#));
-    assert!(discover(&mut stage, "{").starts_with("HTTP/1.1 400 "));
-    assert!(discover(&mut stage, r#"{"type_url":"x"}"#).starts_with("HTTP/1.1 404 "));
+    assert!(post_discovery(&mut stage, r#"{"resource_names":["others"]}"#).contains(r#""resources":[]"#));
+    assert!(post_discovery(&mut stage, "{").starts_with("HTTP/1.1 400 "));
+    assert!(post_discovery(&mut stage, r#"{"type_url":"x"}"#).starts_with("HTTP/1.1 404 "));
 }
 
-fn file(name: &str) -> std::path::PathBuf {
+fn config_path(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("beamgap-{name}-{}.json", std::process::id()))
 }
 
-/// Starts the program on a configuration, in a file of its own.
+/// Writes a configuration to a temporary file and starts the program with it.
 fn start(name: &str, text: &str) -> Child {
-    let path = file(name);
+    let path = config_path(name);
     std::fs::write(&path, text).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_beamgap"));
     command.env("NODE_CONFIG", &path).env_remove("NODE_LISTEN").stderr(Stdio::piped());
-    command.spawn().expect("the program starts")
+    command.spawn().expect("the program failed to start")
 }
 
-fn fails(name: &str, text: &str) -> String {
+fn stderr_of_failed_start(name: &str, text: &str) -> String {
     let output = start(name, text).wait_with_output().unwrap();
-    std::fs::remove_file(file(name)).unwrap();
-    assert!(!output.status.success(), "{name}: it should not start");
+    std::fs::remove_file(config_path(name)).unwrap();
+    assert!(!output.status.success(), "{name}: the program started with an invalid configuration");
     String::from_utf8(output.stderr).unwrap()
 }
 
 #[test]
 fn a_bad_configuration_is_one_line_that_names_the_key() {
-    let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let good = config(&[nowhere], nowhere, r#""listen":"127.0.0.1:0","#);
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let good = config(&[unused_address], unused_address, r#""listen":"127.0.0.1:0","#);
     for (name, bad, key) in [
         ("json", "{".to_owned(), "(file)"),
         ("settings", r#"{"listen":"127.0.0.1:0"}"#.to_owned(), "settings"),
@@ -145,8 +146,8 @@
         ),
         ("control", good.replace(r#""seed""#, r#""control":{"http":7},"seed""#), "control.http"),
     ] {
-        let told = fails(name, &bad);
-        assert!(told.contains(key) && told.lines().count() == 1, "{name}: {told}");
+        let stderr = stderr_of_failed_start(name, &bad);
+        assert!(stderr.contains(key) && stderr.lines().count() == 1, "{name}: {stderr}");
     }
 }
 
@@ -154,28 +155,31 @@
 fn the_operators_example_is_a_good_configuration() {
     let text = include_bytes!("../deploy/operator.example.json").to_vec();
     let config = Config::read(text.clone(), &|_| Some("secret".to_owned())).unwrap();
-    let mysql = config.mysql.expect("the MySQL front is on");
+    let mysql = config.mysql.expect("the MySQL front is configured");
     assert!(config.listen.is_none() && mysql.accounts.len() == 2 && mysql.rules.len() == 3);
-    let error = Config::read(text, &|_| None).err().expect("passwords come from the environment");
+    let error =
+        Config::read(text, &|_| None).err().expect("a password missing from the environment is an error");
     assert_eq!(error.key, "mysql.accounts[0].password_env");
 }
 
 #[test]
 fn a_sigterm_lets_the_program_answer_all_and_exit_well() {
-    // Guards a planned restart: what is open is finished, and who connects just after the signal is served too.
-    let warehouse = TcpListener::bind("127.0.0.1:0").unwrap();
-    let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let engines = [warehouse.local_addr().unwrap()];
-    let mut child = start("term", &config(&engines, nowhere, r#""listen":"127.0.0.1:0","#));
+    // Guards against lost requests in a planned restart: after SIGTERM the node still answers its open requests, and
+    // it also serves clients that connect just after the signal.
+    let engine_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let engines = [engine_listener.local_addr().unwrap()];
+    let mut child = start("term", &config(&engines, unused_address, r#""listen":"127.0.0.1:0","#));
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    let mut until = |what: &str| loop {
+    let mut wait_for_log_line = |what: &str| loop {
         let mut line = String::new();
-        assert_ne!(log.read_line(&mut line).unwrap(), 0, "it ended before: {what}");
+        assert_ne!(log.read_line(&mut line).unwrap(), 0, "the log ended before: {what}");
         if line.contains(what) {
             return line;
         }
     };
-    let address = until("listen: front=JsonRpc").trim().rsplit_once("address=").unwrap().1.to_owned();
+    let address =
+        wait_for_log_line("listen: front=JsonRpc").trim().rsplit_once("address=").unwrap().1.to_owned();
     let ask = |stream: &mut TcpStream, body: &str| {
         write!(stream, "Content-Length: {}\r\n\r\n{body}", body.len()).unwrap();
     };
@@ -192,51 +196,56 @@
         &mut client,
         r#"{"jsonrpc":"2.0","id":1,"method":"delivery-load","params":{"rid":"00000000000000ab","budget":25000,"doc":"eA=="}}"#,
     );
-    let (mut box_side, _) = warehouse.accept().unwrap();
+    let (mut engine_side, _) = engine_listener.accept().unwrap();
     let mut want = String::new();
-    BufReader::new(box_side.try_clone().unwrap()).read_line(&mut want).unwrap();
+    BufReader::new(engine_side.try_clone().unwrap()).read_line(&mut want).unwrap();
     assert!(want.starts_with("want 00000000000000ab profile=delivery-load,"), "{want}");
     let killed = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
     assert!(killed.success());
-    until("n0 ending: open=1");
+    wait_for_log_line("n0 ending: open=1");
     let mut late = TcpStream::connect(&address).unwrap();
     ask(&mut late, r#"{"jsonrpc":"2.0","id":1,"method":"alive"}"#);
     assert_eq!(answer(late), r#"{"jsonrpc":"2.0","id":1,"result":{"pass":true}}"#);
-    box_side.write_all(b"00000000000000ab served pages=1 6\r\na\tb\tc\n\r\n").unwrap();
+    engine_side.write_all(b"00000000000000ab served pages=1 6\r\na\tb\tc\n\r\n").unwrap();
     assert_eq!(answer(client), r#"{"jsonrpc":"2.0","id":1,"result":{"doc":"YQliCWMK"}}"#);
     assert!(child.wait().unwrap().success());
-    std::fs::remove_file(file("term")).unwrap();
+    std::fs::remove_file(config_path("term")).unwrap();
 }
 
 #[test]
 fn a_sighup_moves_the_bulletin_and_a_bad_file_changes_nothing() {
-    // Guards a new configuration under load: the program goes on, dials the new bulletin from the last number had,
-    // and names the key that is wrong and those that count at the start only.
+    // Guards against a reload on SIGHUP that stops the program or applies an invalid file. The program must connect to
+    // the new address of service discovery and resume after the last change number received. Its log must name an
+    // invalid key, and keys that have an effect at startup only.
     let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
     let text = config(&[], old.local_addr().unwrap(), r#""listen":"127.0.0.1:0","#);
     let mut child = start("hup", &text);
     let mut log = BufReader::new(child.stderr.take().unwrap()).lines();
-    let greeting = |bulletin: &TcpListener| {
+    let accept_subscription = |bulletin: &TcpListener| {
         let (mut stream, mut last) = (bulletin.accept().unwrap().0, [0; 8]);
         stream.read_exact(&mut last).unwrap();
         (stream, u64::from_be_bytes(last))
     };
-    let (mut dropped, last) = greeting(&old);
+    let (mut dropped, last) = accept_subscription(&old);
     assert_eq!(last, 1);
     let mut reload = |text: &str, lines: &[&str]| {
-        std::fs::write(file("hup"), text).unwrap();
+        std::fs::write(config_path("hup"), text).unwrap();
         assert!(Command::new("kill").args(["-HUP", &child.id().to_string()]).status().unwrap().success());
         for line in lines {
-            assert!(log.any(|told| told.unwrap().contains(line)), "it ended before: {line}");
+            assert!(log.any(|entry| entry.unwrap().contains(line)), "the log ended before: {line}");
         }
     };
     reload(&text.replace(r#""seed":"1f""#, r#""seed":"no""#), &["reload: config: seed is not 16 hex digits"]);
     let moved = text.replace(&old.local_addr().unwrap().to_string(), &new.local_addr().unwrap().to_string());
     reload(&moved.replace(r#""seed":"1f""#, r#""seed":"2f""#), &["reload: done", "reload: seed has changed"]);
-    assert_eq!(greeting(&new).1, 1);
-    assert_eq!(dropped.read(&mut [0; 8]).unwrap(), 0, "the old bulletin is let go");
-    assert!(child.try_wait().unwrap().is_none(), "the program goes on");
+    assert_eq!(accept_subscription(&new).1, 1);
+    assert_eq!(
+        dropped.read(&mut [0; 8]).unwrap(),
+        0,
+        "the connection to the old service discovery is still open"
+    );
+    assert!(child.try_wait().unwrap().is_none(), "the program exited");
     child.kill().unwrap();
     child.wait().unwrap();
-    std::fs::remove_file(file("hup")).unwrap();
+    std::fs::remove_file(config_path("hup")).unwrap();
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file and the command line.
+//! Configuration by the operator's file (HCL), and the program's command line.
 
 use beamgap::fleet::document::{diff, parse_and_validate, ValidationContext};
 use beamgap::node::config::Config;
@@ -29,7 +29,7 @@
     let cold = xds.terms.cold.unwrap();
     assert_eq!((cold.instances, cold.proxy_share, cold.request_work_ms), (2, 0.5, 200.0));
     assert_eq!((xds.terms.listeners[0].name.as_str(), xds.terms.ttl_ms), ("tills", 5_000.0));
-    assert_eq!(config.settings.gateways, 4, "the module keeps to what is not the proxies'");
+    assert_eq!(config.settings.gateways, 4, "the share of the proxies was not set aside");
     let plain = Config::read(PLATFORM.into(), &|_| None).unwrap();
     assert!(plain.xds.is_none() && plain.mysql.is_none() && plain.control.http.is_none());
     assert_eq!(plain.settings.gateways, 2);
@@ -53,26 +53,30 @@
         accounts: config.settings.tenants.iter().map(|t| t.name.clone()).collect(),
         zones: config.zones,
     };
-    let here = |longest: f64| ValidationContext {
+    let context_with_deadline = |longest: f64| ValidationContext {
         names: known.clone(),
         class_deadlines_ms: vec![longest; known.classes.len()],
     };
     let text = include_str!("../deploy/policy.hcl");
-    let whole = parse_and_validate("policy.hcl", text, &here(20_000.0)).unwrap();
+    let whole = parse_and_validate("policy.hcl", text, &context_with_deadline(20_000.0)).unwrap();
     assert_eq!(whole.budgets.iter().map(|b| b.name.as_str()).collect::<Vec<_>>(), ["munster", "reports"]);
-    let told = |text: &str, here: &ValidationContext| {
-        parse_and_validate("policy.hcl", text, here)
+    let validation_errors = |text: &str, context: &ValidationContext| {
+        parse_and_validate("policy.hcl", text, context)
             .unwrap_err()
             .iter()
             .map(ToString::to_string)
             .collect::<String>()
     };
-    let short = told(text, &here(40_000.0));
+    let short = validation_errors(text, &context_with_deadline(40_000.0));
     assert!(short.contains("reports\" longest") && short.contains("at least \"40000 ms\""), "{short}");
-    let strange = told(&text.replace("account = \"munster\"", "account = \"munsta\""), &here(20_000.0));
+    let strange = validation_errors(
+        &text.replace("account = \"munster\"", "account = \"munsta\""),
+        &context_with_deadline(20_000.0),
+    );
     assert!(strange.contains("did you mean `munster`?"), "{strange}");
     let other = text.replace("rate    = 400", "rate    = 500");
-    let changes = diff(&whole, &parse_and_validate("policy.hcl", &other, &here(20_000.0)).unwrap());
+    let changes =
+        diff(&whole, &parse_and_validate("policy.hcl", &other, &context_with_deadline(20_000.0)).unwrap());
     assert_eq!(changes.len(), 1, "{changes:?}");
     assert!(changes[0].to_string().contains("400 a second, 200 at once -> "), "{}", changes[0]);
     let policy = whole.parsed.policy;
@@ -81,7 +85,7 @@
         (1, 2, Some(2000))
     );
     assert!(Config::read(json.into(), &env).unwrap().fleet.is_none());
-    for (from, to, told) in [
+    for (from, to, expected) in [
         (
             "decider \"3\" {",
             "decider \"2\" {",
@@ -95,14 +99,14 @@
         ("switch_bound = \"1 s\"", "switch_bound = 1", "without a unit"),
         ("counter-fleet", "counter fleet!", "fleet.name is not 1 to 64 letters"),
     ] {
-        let told_now = both(&include_str!("../deploy/fleet.hcl").replace(from, to)).err().unwrap_or_default();
-        assert!(told_now.contains(told) && told_now.contains("fleet.hcl:"), "{to}: {told_now}");
+        let message = both(&include_str!("../deploy/fleet.hcl").replace(from, to)).err().unwrap_or_default();
+        assert!(message.contains(expected) && message.contains("fleet.hcl:"), "{to}: {message}");
     }
 }
 
 #[test]
 fn an_error_of_meaning_names_the_line_in_the_operators_file() {
-    for (operator, told) in [
+    for (operator, expected) in [
         ("xds {\n  listen = \"0.0.0.0:1\"\n}", "night.hcl:2:3: xds.listen is beyond loopback"),
         ("xds {\n  listen = \"127.0.0.1:0\"\n  proxy_share = \"20%\"\n}", "night.hcl:3:3: xds.proxy_share leaves proxies nothing on cold engines; write 0% or 34% and more"),
         ("xds {\n  listen = \"127.0.0.1:0\"\n  request_time = \"1 s\"\n}", "night.hcl:3:3: xds.request_ms is under the 1500 ms"),
@@ -113,8 +117,8 @@
         ("control {\n  htpt = \"127.0.0.1:0\"\n}", "night.hcl:2:3: control.htpt is not known; did you mean `http`?"),
         ("control {\n  http = 9090\n  agent = 7\n}", "night.hcl:3:11: control.agent is 7"),
     ] {
-        let error = read(operator).err().expect("it is wrong");
-        assert!(error.contains(told), "{error}\nnot {told}");
+        let error = read(operator).err().expect("the operator's file is invalid");
+        assert!(error.contains(expected), "{error}\ndoes not contain {expected}");
     }
     let both = PLATFORM.replacen('{', r#"{"control":{"cluster":"x"},"#, 1);
     let error = Config::read_both(both.into(), Some(("night.hcl", "control {\n}")), &|_| None).err().unwrap();
@@ -124,13 +128,13 @@
     );
 }
 
-struct Files(std::path::PathBuf);
+struct TempFiles(std::path::PathBuf);
 
-impl Files {
-    fn new(name: &str) -> Files {
+impl TempFiles {
+    fn new(name: &str) -> TempFiles {
         let folder = std::env::temp_dir().join(format!("beamgap-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        Files(folder)
+        TempFiles(folder)
     }
     fn put(&self, name: &str, text: &str) -> String {
         let path = self.0.join(name);
@@ -139,23 +143,23 @@
     }
 }
 
-impl Drop for Files {
+impl Drop for TempFiles {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).unwrap();
     }
 }
 
-fn beamgap(args: &[&str]) -> Output {
+fn run_beamgap(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_beamgap")).args(args).env_remove("NODE_CONFIG").output().unwrap()
 }
 
 #[test]
 fn check_tells_good_from_bad_by_its_exit_code() {
-    let files = Files::new("check");
+    let files = TempFiles::new("check");
     let config = files.put("config.json", PLATFORM);
     let good = files.put("good.hcl", "control {\n  cluster = \"x\"\n}\n");
     let wrong = files.put("wrong.hcl", "xds {\n  listen = \"0.0.0.0:1\"\n}\n");
-    for (args, code, told) in [
+    for (args, code, expected) in [
         (&["check", &good][..], 0, "good"),
         (&["check", &config], 0, "good"),
         (&["check", &good, "--config", &config], 0, "good"),
@@ -167,33 +171,33 @@
         (&["--version"], 0, "beamgap 0."),
         (&["xds", "watch", "127.0.0.1:9", "--responses", "1"], 1, "127.0.0.1:9: "),
     ] {
-        let output = beamgap(args);
+        let output = run_beamgap(args);
         let text = [output.stdout, output.stderr].concat();
         let text = String::from_utf8(text).unwrap();
         assert!(
-            output.status.code() == Some(code) && text.contains(told),
+            output.status.code() == Some(code) && text.contains(expected),
             "{args:?}: {:?} {text}",
             output.status
         );
     }
 }
 
-struct Running(Child, std::io::Lines<BufReader<std::process::ChildStderr>>);
+struct FrontEndProcess(Child, std::io::Lines<BufReader<std::process::ChildStderr>>);
 
-impl Running {
-    fn start(config: &str, args: &[&str]) -> Running {
+impl FrontEndProcess {
+    fn start(config: &str, args: &[&str]) -> FrontEndProcess {
         let mut command = Command::new(env!("CARGO_BIN_EXE_beamgap"));
         let mut child = command.args(args).env("NODE_CONFIG", config).stderr(Stdio::piped()).spawn().unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        Running(child, lines)
+        FrontEndProcess(child, lines)
     }
     fn until(&mut self, what: &str) -> String {
         let line = self.1.find(|line| line.as_ref().is_ok_and(|line| line.contains(what)));
-        line.unwrap_or_else(|| panic!("it ended before: {what}")).unwrap()
+        line.unwrap_or_else(|| panic!("the log ended before: {what}")).unwrap()
     }
 }
 
-impl Drop for Running {
+impl Drop for FrontEndProcess {
     fn drop(&mut self) {
         self.0.kill().unwrap();
         self.0.wait().unwrap();
@@ -202,15 +206,17 @@
 
 #[test]
 fn watch_prints_what_proxies_are_told_and_a_nack_shows_on_the_page_and_in_the_log() {
-    let files = Files::new("watch");
+    let files = TempFiles::new("watch");
     let known = r#""known":{"no":1,"items":[{"no":1,"roster":{"rev":1,"all":true,"targets":[
       {"uid":"s-00000001","endpoint":"127.0.0.1:7","az":"a","model":"std","state":"in_service","capacity_hint":1,"boot_ms":0}]}}]},"#;
     let config = files.put("config.json", &PLATFORM.replacen('{', &format!("{{{known}"), 1));
     let operator = "xds {\n  listen = \"127.0.0.1:0\"\n  listener \"tills\" {\n    address = \"127.0.0.1:8080\"\n  }\n}\n\
                     control {\n  http = \"127.0.0.1:0\"\n  cluster = \"boxes\"\n}\n";
     let operator = files.put("operator.hcl", operator);
-    let mut running =
-        Running::start(&config, &["--operator", &operator, "--log-format", "json", "--log", "info,list=off"]);
+    let mut running = FrontEndProcess::start(
+        &config,
+        &["--operator", &operator, "--log-format", "json", "--log", "info,list=off"],
+    );
     let address = |line: String| line.split("address=").nth(1).unwrap().split('"').next().unwrap().to_owned();
     let http = address(running.until("listen: control=Http"));
     let line = running.until("listen: xds");
@@ -222,20 +228,20 @@
     for delta in [false, true] {
         let mut args = vec!["xds", "watch", &xds, "--responses", "4"];
         args.extend(delta.then_some("--delta"));
-        let output = beamgap(&args);
+        let output = run_beamgap(&args);
         let text = String::from_utf8(output.stdout).unwrap();
         assert!(output.status.success(), "{text}");
-        for told in [
+        for expected in [
             "cds boxes ",
             "requests=unbounded",
             "s-00000001@127.0.0.1:7=healthy,800",
             "lds tills ",
             "boxes=800",
         ] {
-            assert!(text.contains(told), "{text}\nhas no {told}");
+            assert!(text.contains(expected), "{text}\ndoes not contain {expected}");
         }
         args.push("--json");
-        let text = String::from_utf8(beamgap(&args).stdout).unwrap();
+        let text = String::from_utf8(run_beamgap(&args).stdout).unwrap();
         assert!(
             text.lines()
                 .all(|line| line.starts_with('{') && line.contains("\"at_ms\":") && line.ends_with('}')),
@@ -258,7 +264,7 @@
     let line = running.until("xds: nack: ");
     assert!(line.contains("node=till-7 type=lds") && line.contains("error=no such filter"), "{line}");
     assert!(line.contains(r#""level":"WARN""#), "{line}");
-    // The page is made anew each second.
+    // The node renders the page once a second, so the test polls until the NACK appears.
     let page = (0..100).find_map(|_| {
         let mut stream = TcpStream::connect(&http).unwrap();
         stream.write_all(b"GET /xds/clients HTTP/1.0\r\n\r\n").unwrap();
@@ -267,7 +273,7 @@
         std::thread::sleep(std::time::Duration::from_millis(50));
         text.contains("no such filter").then_some(text)
     });
-    let page = page.expect("the page tells of the NACK");
+    let page = page.expect("the page does not show the NACK");
     assert!(page.contains(r#""node":"till-7""#) && page.contains(r#""variant":"sotw""#), "{page}");
     nacking.kill().unwrap();
     nacking.wait().unwrap();
