--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -1,4 +1,5 @@
-//! Backends by themselves: what has not been written when a box drains is taken back.
+//! Tests of the backends without a node: requests not yet written to an engine are returned when the engine drains,
+//! and are sent on another connection when their connection breaks.
 
 use beamgap::node::backend::line_protocol::LineProtocolBackend;
 use beamgap::node::backend::mysql::MysqlBackend;
@@ -16,27 +17,27 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-enum Pool {
+enum AnyBackend {
     Lines(LineProtocolBackend),
     Mysql(Box<MysqlBackend>),
 }
 
-impl Pool {
-    fn members(&mut self, listing: ListedEngine, context: &mut BackendContext) {
+impl AnyBackend {
+    fn update_engines(&mut self, listing: ListedEngine, context: &mut BackendContext) {
         match self {
-            Pool::Lines(pool) => pool.update_engines(ListKind::Changes, &[listing], context),
-            Pool::Mysql(pool) => pool.update_engines(ListKind::Changes, &[listing], context),
+            AnyBackend::Lines(backend) => backend.update_engines(ListKind::Changes, &[listing], context),
+            AnyBackend::Mysql(backend) => backend.update_engines(ListKind::Changes, &[listing], context),
         }
     }
     fn start(&mut self, start: AttemptStart, context: &mut BackendContext) {
         match self {
-            Pool::Lines(pool) => pool.start(start, context),
-            Pool::Mysql(pool) => pool.start(start, context),
+            AnyBackend::Lines(backend) => backend.start(start, context),
+            AnyBackend::Mysql(backend) => backend.start(start, context),
         }
     }
 }
 
-fn pools() -> [Pool; 2] {
+fn backends() -> [AnyBackend; 2] {
     let mysql = MysqlSettings {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         accounts: Vec::new(),
@@ -47,7 +48,10 @@
         max_engine_connections: 4,
     };
     let lines = LineProtocolBackend::new(vec![("load".to_owned(), true)], 250.0, 15_000.0, 100, 100);
-    [Pool::Lines(lines), Pool::Mysql(Box::new(MysqlBackend::new(mysql, 250.0, 15_000.0, 100, 1 << 20)))]
+    [
+        AnyBackend::Lines(lines),
+        AnyBackend::Mysql(Box::new(MysqlBackend::new(mysql, 250.0, 15_000.0, 100, 1 << 20))),
+    ]
 }
 
 fn listing(address: SocketAddr, state: EngineState) -> ListedEngine {
@@ -69,50 +73,52 @@
     }
 }
 
-fn outcomes(heard: &mut Vec<DispatcherEvent>) -> Vec<(u32, Outcome)> {
-    let outcome = |heard| match heard {
+fn outcomes(dispatcher_events: &mut Vec<DispatcherEvent>) -> Vec<(u32, Outcome)> {
+    let outcome = |event| match event {
         DispatcherEvent::AttemptEnded(ended) => Some((ended.attempt.request.slot, ended.outcome)),
         _ => None,
     };
-    heard.drain(..).filter_map(outcome).collect()
+    dispatcher_events.drain(..).filter_map(outcome).collect()
 }
 
 #[test]
 fn what_waits_behind_a_dial_is_taken_back_when_the_box_drains() {
-    // Guards the rule on drains: a dial may come up long after the news.
-    for mut pool in pools() {
+    // Guards against new work on a draining engine: a connection may be established long after the engine started
+    // draining, and requests queued for that connection must not be sent then.
+    for mut backend in backends() {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let poll = mio::Poll::new().unwrap();
-        let (mut timers, mut heard, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
+        let (mut timers, mut dispatcher_events, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
         let mut closing = ClosingConnections::default();
         let mut context = BackendContext {
             now: 0.0,
             registry: poll.registry(),
             timers: &mut timers,
             closing: &mut closing,
-            events: &mut heard,
+            events: &mut dispatcher_events,
             log: &mut log,
         };
-        pool.members(listing(address, EngineState::Serving), &mut context);
-        pool.start(start(1), &mut context);
+        backend.update_engines(listing(address, EngineState::Serving), &mut context);
+        backend.start(start(1), &mut context);
         assert_eq!(outcomes(context.events), []);
-        pool.members(listing(address, EngineState::Draining), &mut context);
-        pool.start(start(2), &mut context);
+        backend.update_engines(listing(address, EngineState::Draining), &mut context);
+        backend.start(start(2), &mut context);
         assert_eq!(outcomes(context.events), [(1, Outcome::Overloaded), (2, Outcome::Overloaded)]);
         let mut got = Vec::new();
         listener.accept().unwrap().0.read_to_end(&mut got).unwrap();
-        assert_eq!(got, b"", "not a byte of it was written");
+        assert_eq!(got, b"", "bytes of a returned request were written to the engine");
     }
 }
 
 #[test]
 fn what_is_unsent_when_its_connection_breaks_goes_by_another() {
-    // Guards against connections that are reset as soon as they stand: that says nothing of the warehouse.
-    let [mut pool, _] = pools();
+    // Guards against a request that fails because its connection is reset right after it was established. Such a reset
+    // does not show that the engine has failed, so the request must be sent on a new connection.
+    let [mut backend, _] = backends();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut poll = mio::Poll::new().unwrap();
-    let (mut timers, mut heard, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
+    let (mut timers, mut dispatcher_events, mut log) = (TimerQueue::default(), Vec::new(), Vec::new());
     let registry = poll.registry().try_clone().unwrap();
     let mut closing = ClosingConnections::default();
     let mut context = BackendContext {
@@ -120,25 +126,28 @@
         registry: &registry,
         timers: &mut timers,
         closing: &mut closing,
-        events: &mut heard,
+        events: &mut dispatcher_events,
         log: &mut log,
     };
-    pool.members(listing(listener.local_addr().unwrap(), EngineState::Serving), &mut context);
-    pool.start(start(1), &mut context);
+    backend.update_engines(listing(listener.local_addr().unwrap(), EngineState::Serving), &mut context);
+    backend.start(start(1), &mut context);
     drop(listener.accept().unwrap());
-    let Pool::Lines(pool) = &mut pool else { unreachable!() };
+    let AnyBackend::Lines(backend) = &mut backend else { unreachable!() };
     let mut events = mio::Events::with_capacity(8);
     listener.set_nonblocking(true).unwrap();
-    let mut next = None;
+    let mut next_connection = None;
     let mut got = [0; 5];
-    while !next.iter_mut().any(|(stream, _): &mut (std::net::TcpStream, _)| stream.read(&mut got).is_ok()) {
+    while !next_connection
+        .iter_mut()
+        .any(|(stream, _): &mut (std::net::TcpStream, _)| stream.read(&mut got).is_ok())
+    {
         poll.poll(&mut events, Some(std::time::Duration::from_millis(5))).unwrap();
         for owner in events.iter().filter_map(|event| SocketOwner::from_token(event.token())) {
             let SocketOwner::LineProtocol(key) = owner else { panic!("{owner:?}") };
-            pool.ready(key, &mut context);
+            backend.ready(key, &mut context);
         }
-        next = next.or_else(|| listener.accept().ok());
-        next.iter().for_each(|(stream, _)| stream.set_nonblocking(true).unwrap());
+        next_connection = next_connection.or_else(|| listener.accept().ok());
+        next_connection.iter().for_each(|(stream, _)| stream.set_nonblocking(true).unwrap());
     }
     assert_eq!((&got, outcomes(context.events)), (b"want ", vec![]));
 }
--- a/tests/key_pacing.rs
+++ b/tests/key_pacing.rs
@@ -1,4 +1,5 @@
-//! Requests of one key that had to wait at their client, which leaves a least interval between them.
+//! Deadlines of requests that queued at their client, which sends requests with the same ordering key at a minimum
+//! interval.
 
 #[path = "common/stage.rs"]
 mod stage;
@@ -9,14 +10,16 @@
 
 const BUDGET_MS: f64 = 1500.0;
 
-/// The longest waits of requests of one key that are sent at these times, on a connection that is not new.
+/// Returns, for requests with one key sent at these times on an existing connection, the longest time for which each
+/// may have queued at the client.
 fn longest_waits(times: &[f64]) -> Vec<f64> {
     let mut pacing = KeyPacing::default();
     let key: Arc<str> = Arc::from("k1");
     times.iter().map(|at| pacing.longest_wait(*at, &key, BUDGET_MS, false)).collect()
 }
 
-/// Sends loads of one key with such gaps, each served at once but the last, which its engine leaves unanswered.
+/// Sends loads with the same key at these gaps. The engine answers every load at once except the last, which it never
+/// answers.
 fn stage_with_silent_last_load(gaps_ms: &[f64]) -> Stage {
     let mut stage = Stage::in_order(1);
     for (index, gap) in gaps_ms.iter().enumerate() {
@@ -36,19 +39,22 @@
     stage
 }
 
-/// Guards against a load that waited at its client for its key being answered only after the client has given it up.
+/// Guards against an answer that arrives after the client has timed out. A load may already have queued at its client,
+/// behind loads with the same key, for a part of its budget.
 #[test]
 fn a_load_at_its_keys_least_interval_is_answered_before_its_client_gives_up() {
     let mut gaps = vec![250.0];
     gaps.resize(20, 60.0);
     let mut stage = stage_with_silent_last_load(&gaps);
-    // It may have waited 250 + 18 x 60 ms, so that its answer is due 1500 - 1330 + 450 ms after it was sent.
+    // The load may have queued at the client for 250 + 18 x 60 = 1330 ms, so the front must answer within
+    // 1500 - 1330 + 450 = 620 ms of the time it was sent.
     stage.go("clock wait 600");
-    assert!(!stage.answered("c1"), "answered before it is due");
+    assert!(!stage.answered("c1"), "the load was answered before its reduced deadline");
     stage.go("clock wait 40\nc1 expect 20 error -32012");
 }
 
-/// Guards against a shorter deadline where nothing shows a wait at the client.
+/// Guards against a shortened deadline for a load whose gaps of 100 ms, above the minimum interval, show no queue at
+/// the client.
 #[test]
 fn a_load_of_a_key_that_is_not_pressed_has_its_whole_budget() {
     let mut stage = stage_with_silent_last_load(&[100.0; 20]);
@@ -57,7 +63,8 @@
     stage.go("clock wait 30\nc1 expect 20 error -32012");
 }
 
-/// Guards against a shorter deadline in a run too short for its clients to have given up.
+/// Guards against a shortened deadline in a run of loads at the minimum interval that is too short for a load to have
+/// timed out at the client.
 #[test]
 fn a_load_in_a_short_run_has_its_whole_budget() {
     let mut gaps = vec![250.0];
--- a/tests/mysql.rs
+++ b/tests/mysql.rs
@@ -1,4 +1,4 @@
-//! The MySQL front on loopback: a real client library before it, stand-in boxes behind it.
+//! Tests of the MySQL front over loopback sockets, with a real MySQL client library and simulated engines.
 
 #[path = "common/boxes.rs"]
 mod boxes;
@@ -13,10 +13,10 @@
 use stage::Peer;
 use std::net::TcpStream;
 
-fn code(error: Error) -> (u16, String, String) {
+fn error_parts(error: Error) -> (u16, String, String) {
     match error {
         Error::MySqlError(e) => (e.code, e.state, e.message),
-        other => panic!("not an error of the wire: {other}"),
+        other => panic!("not an ERR packet from the server: {other}"),
     }
 }
 
@@ -43,14 +43,14 @@
     assert_eq!((texts.len(), texts[3]), (4, "insert into s_3.t values (?)"));
     assert!(
         boxes.runs[1].bound.ends_with(b"\x03abc") && boxes.runs[2].bound[0] == 1,
-        "values and nulls pass on"
+        "bound values or NULLs did not reach the engine"
     );
 }
 
 #[test]
 fn a_prepared_statement_goes_on_while_its_boxes_drain_one_after_another() {
-    // Guards the session's statement against the box that knew it: every request has one answer, every load ran
-    // once, and a box has nothing new from the moment that it drains.
+    // Guards against a prepared statement that stops working when the engine on which it was prepared drains. Every
+    // request must get one answer, every load must run once, and a draining engine must receive no new work.
     const ROUNDS: usize = 60;
     let mut boxes = Boxes::new(4);
     let opts = boxes.login("frost");
@@ -74,7 +74,7 @@
             if drained.len() < 3 && boxes.runs.len() >= 15 * (drained.len() + 1) {
                 let house = boxes.runs.last().unwrap().house;
                 boxes.stage.tell_of(house, &format!("{} 1", drained.len() + 2));
-                boxes.turn(); // What was sent before the news is run now, and does not count.
+                boxes.turn(); // Runs what the node sent before it learned of the drain; those runs are allowed.
                 drained.push((house, boxes.runs.len()));
             }
         },
@@ -83,14 +83,15 @@
     for (house, at) in drained {
         assert!(
             boxes.runs[at..].iter().all(|run| run.house != house),
-            "box {house} was sent work while it drained"
+            "engine {house} received work while draining"
         );
     }
 }
 
 #[test]
 fn several_clients_at_once_have_one_answer_each_while_boxes_drain() {
-    // As above, with work out on the boxes that drain: what is sent ends there, what is not goes elsewhere.
+    // Guards against lost or repeated requests when engines drain with several requests in flight. Requests already
+    // sent must end on the draining engine, and unsent ones must go to another engine.
     const CLIENTS: usize = 4;
     const ROUNDS: usize = 30;
     let mut boxes = Boxes::new(4);
@@ -141,7 +142,7 @@
         move || {
             let mut conn = Conn::new(opts).unwrap();
             let load = conn.query_drop("insert into s_3.t values (1)").unwrap_err();
-            (code(load), conn.query::<String, _>("select name from s_3.t").unwrap())
+            (error_parts(load), conn.query::<String, _>("select name from s_3.t").unwrap())
         },
         |_| {},
     );
@@ -176,12 +177,12 @@
         move || {
             let mut conn = Conn::new(opts).unwrap();
             let own = conn.query_drop("select name from s_3.none").unwrap_err();
-            (code(own), conn.query_drop("insert into s_3.t values (1)").unwrap_err())
+            (error_parts(own), conn.query_drop("insert into s_3.t values (1)").unwrap_err())
         },
         |_| {},
     );
     assert_eq!((own.0, own.2.as_str()), (1146, "the box's own words"));
-    assert_eq!((code(trouble).0, boxes.runs.len()), (1105, 2));
+    assert_eq!((error_parts(trouble).0, boxes.runs.len()), (1105, 2));
 }
 
 #[test]
@@ -193,8 +194,8 @@
         move || {
             let mut conn = Conn::new(opts).unwrap();
             let refused = ["begin", "set names utf8", "select @a", "lock tables t read"];
-            let codes = refused.map(|sql| code(conn.query_drop(sql).unwrap_err()));
-            (codes, code(Conn::new(wrong).err().unwrap()))
+            let codes = refused.map(|sql| error_parts(conn.query_drop(sql).unwrap_err()));
+            (codes, error_parts(Conn::new(wrong).err().unwrap()))
         },
         |_| {},
     );
@@ -208,33 +209,35 @@
     boxes.stage.tell_of(0, "2 2");
     let opts = boxes.login("frost");
     let refused = boxes.with_client(
-        move || code(Conn::new(opts).unwrap().query_drop("select name from s_3.t").unwrap_err()),
+        move || error_parts(Conn::new(opts).unwrap().query_drop("select name from s_3.t").unwrap_err()),
         |boxes| boxes.stage.clock.set(boxes.stage.clock.now() + 1.0),
     );
     assert_eq!((refused.0, refused.1.as_str()), (1040, "08004"));
     assert!(refused.2.contains("come back in "), "{}", refused.2);
 }
 
-/// A client that writes its packets itself, to leave when it likes.
-struct Raw(Peer);
+/// A MySQL client that writes raw packets, so that a test can send malformed packets or disconnect at any time.
+struct RawClient(Peer);
 
-impl Raw {
-    fn login(boxes: &mut Boxes) -> Raw {
+impl RawClient {
+    fn login(boxes: &mut Boxes) -> RawClient {
         let address = boxes.stage.node.address(Front::Mysql).unwrap();
-        let mut raw = Raw(Peer::new(TcpStream::connect(address).unwrap()));
+        let mut raw = RawClient(Peer::new(TcpStream::connect(address).unwrap()));
         let greeting = raw.next(boxes);
-        // Behind the version: the number, eight bytes of the nonce, 19 of capabilities and such, the other twelve.
+        // In the handshake packet, the server version is followed by a connection id of 4 bytes, 8 bytes of the nonce,
+        // 19 bytes of capabilities and other fields, and the other 12 bytes of the nonce.
         let at = 1 + greeting[1..].iter().position(|b| *b == 0).unwrap() + 1 + 4;
         let nonce = [&greeting[at..at + 8], &greeting[at + 27..at + 39]].concat();
         let scramble = mysql_common::scramble::scramble_native(&nonce, b"frost").unwrap();
-        let mut body = 0x0008_8200u32.to_le_bytes().to_vec(); // Protocol 4.1, secure connection, plugins.
+        // The client's capability flags: protocol 4.1, secure connection and plugin authentication.
+        let mut body = 0x0008_8200u32.to_le_bytes().to_vec();
         body.extend([0, 0, 16, 0, 45]);
         body.extend([0; 23]);
         body.extend(b"till\0\x14");
         body.extend(scramble);
         body.extend(b"mysql_native_password\0");
         raw.send(1, &body);
-        assert_eq!(raw.next(boxes)[0], 0, "logged in");
+        assert_eq!(raw.next(boxes)[0], 0, "the login failed");
         raw
     }
     fn send(&mut self, number: u8, body: &[u8]) {
@@ -252,7 +255,7 @@
             }
             boxes.turn();
         }
-        panic!("no answer came");
+        panic!("no packet arrived from the front");
     }
 }
 
@@ -260,12 +263,12 @@
 fn a_client_that_leaves_mid_result_has_its_load_killed_and_never_run_twice() {
     let mut boxes = Boxes::new(2);
     boxes.next = vec![Next::Hold];
-    let mut raw = Raw::login(&mut boxes);
+    let mut raw = RawClient::login(&mut boxes);
     raw.send(0, b"\x03insert into s_3.t values (1)");
     boxes.until("the load runs", |boxes| boxes.runs.len() == 1);
     drop(raw);
     boxes.until("the kill", |boxes| boxes.kills == 1);
-    boxes.until("the end", |boxes| boxes.stage.node.open_requests() == 0);
+    boxes.until("the end of the request", |boxes| boxes.stage.node.open_requests() == 0);
     assert_eq!(boxes.runs.len(), 1);
 }
 
@@ -273,7 +276,7 @@
 fn a_load_without_an_answer_is_timed_out_once_and_killed() {
     let mut boxes = Boxes::new(1);
     boxes.next = vec![Next::Hold];
-    let mut raw = Raw::login(&mut boxes);
+    let mut raw = RawClient::login(&mut boxes);
     raw.send(0, b"\x03insert into s_3.t values (1)");
     boxes.until("the load runs", |boxes| boxes.runs.len() == 1);
     boxes.stage.clock.set(boxes.stage.clock.now() + 25_001.0);
@@ -285,19 +288,19 @@
 #[test]
 fn long_values_reset_and_close_belong_to_the_sessions_statement() {
     let mut boxes = Boxes::new(1);
-    let mut raw = Raw::login(&mut boxes);
+    let mut raw = RawClient::login(&mut boxes);
     raw.send(0, b"\x16insert into s_3.t values (?)");
     assert_eq!(raw.next(&mut boxes)[..7], [0, 1, 0, 0, 0, 0, 0]);
-    raw.next(&mut boxes); // The parameter,
-    raw.next(&mut boxes); // and the end of the list.
+    raw.next(&mut boxes); // Column definition of the statement's parameter.
+    raw.next(&mut boxes); // EOF packet that ends the parameter definitions.
     let execute = b"\x17\x01\0\0\0\0\x01\0\0\0\0\x01\xfd\0";
     raw.send(0, b"\x18\x01\0\0\0\0\0gone");
     raw.send(0, b"\x1a\x01\0\0\0");
-    assert_eq!(raw.next(&mut boxes)[0], 0, "reset");
+    assert_eq!(raw.next(&mut boxes)[0], 0, "resetting the statement failed");
     raw.send(0, b"\x18\x01\0\0\0\0\0long ");
     raw.send(0, b"\x18\x01\0\0\0\0\0value");
     raw.send(0, execute);
-    assert_eq!(raw.next(&mut boxes)[0], 0, "executed");
+    assert_eq!(raw.next(&mut boxes)[0], 0, "executing the statement failed");
     assert!(boxes.runs[0].bound.starts_with(b"long value"));
     raw.send(0, b"\x19\x01\0\0\0");
     raw.send(0, execute);
@@ -309,23 +312,23 @@
     let mut boxes = Boxes::new(1);
     for command in 0..=255u8 {
         for length in [0usize, 1, 4, 5, 9, 10, 12] {
-            let mut raw = Raw::login(&mut boxes);
+            let mut raw = RawClient::login(&mut boxes);
             raw.send(0, b"\x16insert into s_3.t values (?, ?)");
             raw.next(&mut boxes);
             raw.send(0, &[&[command], &vec![1u8; length][..]].concat());
             boxes.turn();
         }
     }
-    // And before the login: every cut of a login.
+    // A login packet that is truncated at any byte must not stop the node either.
     let login =
         b"\x00\x82\x08\x00\x00\x00\x10\x00\x2d                       till\0\x14abcdefghijklmnopqrstplugin\0";
     for cut in 0..login.len() {
         let address = boxes.stage.node.address(Front::Mysql).unwrap();
-        let mut raw = Raw(Peer::new(TcpStream::connect(address).unwrap()));
+        let mut raw = RawClient(Peer::new(TcpStream::connect(address).unwrap()));
         raw.send(1, &login[..cut]);
         boxes.turn();
     }
-    let mut raw = Raw::login(&mut boxes);
+    let mut raw = RawClient::login(&mut boxes);
     raw.send(0, b"\x0e");
-    assert_eq!(raw.next(&mut boxes)[0], 0, "still there");
+    assert_eq!(raw.next(&mut boxes)[0], 0, "the node no longer answers a ping");
 }
--- a/tests/mysql_packets.rs
+++ b/tests/mysql_packets.rs
@@ -1,4 +1,4 @@
-//! Packets of the MySQL wire: framing, numbers, and where a response ends.
+//! Packets of the MySQL protocol: framing, sequence numbers, and detection of the end of a response.
 
 use beamgap::node::mysql_packets::{
     append_packet, eof, error, ok, parse_packet, renumber,
--- a/tests/mysql_statements.rs
+++ b/tests/mysql_statements.rs
@@ -1,4 +1,5 @@
-//! What the MySQL front reads off a statement: parameters, whether it can move between engines, whether it only reads.
+//! Analysis of SQL statements by the MySQL front: number of parameters, dependence on session state, and whether a
+//! statement is read-only.
 
 use beamgap::node::front::mysql::statement::{
     check_session_independent, count_parameters, is_read_only, words,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings with a figure that is absent, zero or absurd: refused with its key, or harmless.
+//! Settings in which one value is missing, zero or absurd. The configuration must either be rejected with the key of
+//! that value, or leave a gateway that answers all requests.
 
 mod common;
 #[path = "common/stage.rs"]
@@ -12,35 +13,37 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// All figures of the settings by their path.
-fn leaves(value: &OwnedValue, path: &[String], all: &mut Vec<Vec<String>>) {
+/// Collects the paths of all values that are neither objects nor lists of objects.
+fn collect_leaf_paths(value: &OwnedValue, path: &[String], all: &mut Vec<Vec<String>>) {
     if let Some(object) = value.as_object() {
-        object
-            .iter()
-            .for_each(|(key, value)| leaves(value, &[path, std::slice::from_ref(key)].concat(), all));
+        object.iter().for_each(|(key, value)| {
+            collect_leaf_paths(value, &[path, std::slice::from_ref(key)].concat(), all)
+        });
     } else if let Some(list) = value.as_array().filter(|list| list.iter().any(|v| v.as_object().is_some())) {
-        list.iter().enumerate().for_each(|(i, value)| leaves(value, &[path, &[i.to_string()]].concat(), all));
+        list.iter()
+            .enumerate()
+            .for_each(|(i, value)| collect_leaf_paths(value, &[path, &[i.to_string()]].concat(), all));
     } else {
         all.push(path.to_vec());
     }
 }
 
-/// The value with one figure replaced, or taken out.
-fn changed(value: &OwnedValue, path: &[String], to: Option<&OwnedValue>) -> OwnedValue {
-    let (key, rest) = path.split_first().expect("a path");
+/// Returns a copy of `value` in which the value at `path` is replaced, or removed if `to` is `None`.
+fn with_value_at(value: &OwnedValue, path: &[String], to: Option<&OwnedValue>) -> OwnedValue {
+    let (key, rest) = path.split_first().expect("the path is not empty");
     let mut value = value.clone();
     if let OwnedValue::Object(object) = &mut value {
         match (rest.is_empty(), to) {
             (true, None) => drop(object.remove(key)),
             (true, Some(to)) => drop(object.insert(key.clone(), to.clone())),
             _ => {
-                let inner = changed(&object[key], rest, to);
+                let inner = with_value_at(&object[key], rest, to);
                 object.insert(key.clone(), inner);
             }
         }
     } else if let OwnedValue::Array(list) = &mut value {
-        let i: usize = key.parse().expect("a place");
-        list[i] = changed(&list[i], rest, to);
+        let i: usize = key.parse().expect("a list index");
+        list[i] = with_value_at(&list[i], rest, to);
     }
     value
 }
@@ -51,19 +54,21 @@
     let text = stage::config(&engines, engines[0], r#""listen":"127.0.0.1:0","#);
     let root = json::read(text.into_bytes()).expect("JSON");
     let mut all = Vec::new();
-    leaves(&root["settings"], &["settings".to_owned()], &mut all);
+    collect_leaf_paths(&root["settings"], &["settings".to_owned()], &mut all);
     assert!(all.len() >= 30, "{all:?}");
-    let odd = ["0", "-1", "1e300", "1e-300", "\"x\"", "null", "true", "[]", "{}", "[0]", "[-1,1e300]"];
-    let odd: Vec<OwnedValue> = odd.iter().map(|t| json::read(t.as_bytes().to_vec()).expect("JSON")).collect();
+    let replacements =
+        ["0", "-1", "1e300", "1e-300", "\"x\"", "null", "true", "[]", "{}", "[0]", "[-1,1e300]"];
+    let replacements: Vec<OwnedValue> =
+        replacements.iter().map(|t| json::read(t.as_bytes().to_vec()).expect("JSON")).collect();
     let (mut refused, mut served) = (0, 0);
     for path in &all {
-        for to in [None].into_iter().chain(odd.iter().map(Some)) {
-            let told = format!("{}: {to:?}", path.join("."));
-            let text = changed(&root, path, to).encode();
+        for to in [None].into_iter().chain(replacements.iter().map(Some)) {
+            let case = format!("{}: {to:?}", path.join("."));
+            let text = with_value_at(&root, path, to).encode();
             let config = match Config::read(text.into_bytes(), &|_| None) {
                 Ok(config) => config,
                 Err(e) => {
-                    assert!(e.key.starts_with("settings"), "{told}: {e}");
+                    assert!(e.key.starts_with("settings"), "{case}: {e}");
                     refused += 1;
                     continue;
                 }
@@ -85,13 +90,13 @@
                         }
                         _ => None,
                     });
-                    let over = |a: &Action| match a {
+                    let ended_request = |a: &Action| match a {
                         Action::Reject { request, .. } | Action::Fail { request } => {
                             Some(request.0.to_string())
                         }
                         _ => None,
                     };
-                    done.iter().filter_map(over).for_each(|id| open.retain(|o| *o != id));
+                    done.iter().filter_map(ended_request).for_each(|id| open.retain(|o| *o != id));
                     let Some((id, at)) = to else { break };
                     let outcome =
                         [Outcome::Error, Outcome::Overloaded, Outcome::Served][(i as usize + attempt) % 3];
@@ -100,14 +105,15 @@
                 }
             }
             let late = b.pass(3000);
-            let over = |a: &Action| match a {
+            let ended_request = |a: &Action| match a {
                 Action::Reject { request, .. } | Action::Fail { request } => Some(request.0.to_string()),
                 _ => None,
             };
-            late.iter().filter_map(over).for_each(|id| open.retain(|o| *o != id));
-            // What is out still has its client's time; what waits in the module has had its answer by then.
+            late.iter().filter_map(ended_request).for_each(|id| open.retain(|o| *o != id));
+            // Requests forwarded in this last step may still be in flight. Requests queued in the gateway must have
+            // been rejected or failed by now, since their deadlines have passed.
             let out = late.iter().filter(|a| matches!(a, Action::Forward { .. })).count();
-            assert!(open.len() <= out, "{told}: {open:?} never had an answer");
+            assert!(open.len() <= out, "{case}: requests without an answer: {open:?}");
         }
     }
     assert!(refused >= 20 && served >= 100, "{refused} refused, {served} served");
