--- a/crates/fault-harness/src/soak/at_rest.rs
+++ b/crates/fault-harness/src/soak/at_rest.rs
@@ -1,24 +1,25 @@
-//! What a process holds when nothing is asked of it.
+//! Checks that front end processes release their descriptors and memory after the traffic has ended.
 
 use super::front_end::FrontEnd;
 use crate::{lock, now};
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Descriptors and memory over those of a process at rest that one may still hold after the traffic.
-const SPARE_DESCRIPTORS: usize = 8;
-const SPARE_MEMORY_KIB: u64 = 8 * 1024;
-/// Time after the traffic in which connections and memory must be back at rest, in milliseconds.
-const REST_WITHIN_MS: f64 = 8000.0;
+/// File descriptors that a process may have open after the traffic beyond those of an idle process.
+const MAX_EXCESS_DESCRIPTORS: usize = 8;
+/// Memory in KiB that a process may use after the traffic beyond that of an idle process.
+const MAX_EXCESS_MEMORY_KIB: u64 = 8 * 1024;
+/// Time limit for the descriptor count to return to its idle level after the traffic, in milliseconds.
+const REST_TIMEOUT_MS: f64 = 8000.0;
 
-/// A process at rest: its descriptors, and its memory in KiB.
+/// Resource use of a process: its number of open file descriptors and its memory in KiB.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Footprint {
     descriptors: usize,
     memory_kib: u64,
 }
 
-/// What a front end's process holds now.
+/// Measures the current resource use of a front end's process.
 pub fn footprint(front_end: &Mutex<FrontEnd>) -> Footprint {
     let mut front_end = lock(front_end);
     let process = front_end.process();
@@ -27,21 +28,23 @@
     Footprint { descriptors, memory_kib: process.used().map_or(0, |(_, memory_kib)| memory_kib) }
 }
 
-/// After the traffic each process runs, and holds no more than one at rest.
+/// Adds a violation to `broken` for each front end whose process has exited, or whose resource use after the
+/// traffic exceeds that of an idle process (`at_rest`) by more than the allowed excess.
 pub fn check_rest(front_ends: &[Mutex<FrontEnd>], at_rest: Footprint, broken: &mut Vec<String>) {
-    let until = now() + REST_WITHIN_MS;
-    for (place, front_end) in front_ends.iter().enumerate() {
+    let deadline = now() + REST_TIMEOUT_MS;
+    for (index, front_end) in front_ends.iter().enumerate() {
         if !lock(front_end).process().runs() {
-            broken.push(format!("n{place}: has ended unasked"));
+            broken.push(format!("n{index}: has ended unasked"));
             continue;
         }
-        let is_at_rest = |held: Footprint| held.descriptors <= at_rest.descriptors + SPARE_DESCRIPTORS;
-        while !is_at_rest(footprint(front_end)) && now() < until {
+        let is_at_rest =
+            |current: Footprint| current.descriptors <= at_rest.descriptors + MAX_EXCESS_DESCRIPTORS;
+        while !is_at_rest(footprint(front_end)) && now() < deadline {
             std::thread::sleep(Duration::from_millis(20));
         }
-        let held = footprint(front_end);
-        if !is_at_rest(held) || held.memory_kib > at_rest.memory_kib + SPARE_MEMORY_KIB {
-            broken.push(format!("n{place}: holds {held:?} after the traffic, {at_rest:?} at rest"));
+        let current = footprint(front_end);
+        if !is_at_rest(current) || current.memory_kib > at_rest.memory_kib + MAX_EXCESS_MEMORY_KIB {
+            broken.push(format!("n{index}: holds {current:?} after the traffic, {at_rest:?} at rest"));
         }
     }
 }
--- a/crates/fault-harness/src/soak/book.rs
+++ b/crates/fault-harness/src/soak/book.rs
@@ -1,88 +1,91 @@
-//! What clients wrote and read, as they saw it.
+//! Record of the requests that the soak's clients sent and of the responses that they received.
 
 use crate::lock;
 use beamgap_fakes::rules::{Asked, Said};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-/// A process of a front end: which front end, and the how manyth of its processes.
+/// Identifies one process of a front end. Each restart of the front end starts a new process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// The front end.
+    /// Index of the front end.
     pub front_end: usize,
-    /// Counted from 1.
+    /// Number of the process in the sequence of this front end's processes, starting at 1.
     pub number: u64,
 }
 
-/// Why a client needs no answer to a request any more.
+/// Why the front end no longer has to answer a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Excuse {
-    /// It has cancelled it, or closed its connection.
+    /// The client cancelled the request or closed the connection.
     ClientLeft,
-    /// Its front end was killed without warning.
+    /// The front end's process was killed while the request was open.
     Killed,
-    /// It crossed the close of a connection on which nothing was open.
+    /// The client sent the request while the front end was closing the connection, or could not write the whole
+    /// request.
     CrossedClose,
-    /// It was the first on a new connection, which was closed unread while a crowd held the descriptors.
+    /// The front end closed a new connection without reading its first request, because idle connections used up
+    /// its descriptors.
     ShutUnread,
 }
 
-/// A request as its client wrote it.
+/// A request as recorded by its client.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// As the rules see it.
+    /// The request in the form that the rule checker reads.
     pub asked: Asked,
-    /// Who was asked.
+    /// The front end process that the request was sent to.
     pub incarnation: Incarnation,
-    /// Why no answer is owed, if that is so.
+    /// Why the request needs no response; `None` while a response is required.
     pub excuse: Option<Excuse>,
-    /// When its connection ended without an answer that was owed.
+    /// When the connection ended, or the client stopped waiting, without a required response.
     pub lost: Option<f64>,
 }
 
 #[derive(Debug, Default)]
-struct Pages {
+struct Entries {
     records: Vec<Record>,
-    places: HashMap<String, usize>,
-    said: Vec<(f64, String, Said)>,
+    index_by_id: HashMap<String, usize>,
+    responses: Vec<(f64, String, Said)>,
     refused_connections: Vec<(Incarnation, f64)>,
 }
 
-/// The record of all clients.
+/// Requests and responses of all clients, shared by their threads.
 #[derive(Clone, Debug, Default)]
-pub struct Book(Arc<Mutex<Pages>>);
+pub struct Book(Arc<Mutex<Entries>>);
 
 impl Book {
-    /// A request is about to be written; its last byte may be read before the write returns.
+    /// Records a request before the client writes it, because the front end may answer before the write returns.
     pub fn asked(&self, record: Record) {
-        let mut pages = lock(&self.0);
-        let place = pages.records.len();
-        pages.places.insert(record.asked.id.clone(), place);
-        pages.records.push(record);
+        let mut entries = lock(&self.0);
+        let index = entries.records.len();
+        entries.index_by_id.insert(record.asked.id.clone(), index);
+        entries.records.push(record);
     }
 
-    /// The last byte of a request was written at `at`.
+    /// Records that the last byte of a request was written at `at`, and moves its deadline by the time since the
+    /// request was recorded.
     pub fn written(&self, id: &str, at: f64) {
-        self.change(id, |record| {
+        self.update(id, |record| {
             record.asked.until += at - record.asked.at;
             record.asked.at = at;
         });
     }
 
-    /// When the last byte of a request was written.
+    /// Returns when the last byte of a request was written; 0 for an unknown request.
     pub fn written_at(&self, id: &str) -> f64 {
-        let pages = lock(&self.0);
-        pages.places.get(id).map_or(0.0, |place| pages.records[*place].asked.at)
+        let entries = lock(&self.0);
+        entries.index_by_id.get(id).map_or(0.0, |index| entries.records[*index].asked.at)
     }
 
-    /// An answer was read.
+    /// Records a response that a client received at `at`.
     pub fn answered(&self, at: f64, id: &str, said: Said) {
-        lock(&self.0).said.push((at, id.to_owned(), said));
+        lock(&self.0).responses.push((at, id.to_owned(), said));
     }
 
-    /// No answer is owed from `at` on.
+    /// Records that the request needs no response from `at` on. The first reason for a request stays.
     pub fn excuse(&self, id: &str, at: f64, excuse: Excuse) {
-        self.change(id, |record| {
+        self.update(id, |record| {
             if record.excuse.is_none() {
                 record.excuse = Some(excuse);
                 record.asked.gone = Some(at);
@@ -90,31 +93,31 @@
         });
     }
 
-    /// The connection ended without the answer.
+    /// Records that a required response never arrived: at `at` the connection ended or the client stopped waiting.
     pub fn lost(&self, id: &str, at: f64) {
-        self.change(id, |record| record.lost = Some(at));
+        self.update(id, |record| record.lost = Some(at));
     }
 
-    /// A new connection was refused at a time at which the front end must take them.
+    /// Records that a new connection was refused at a time when the front end must accept connections.
     pub fn connection_refused(&self, incarnation: Incarnation, at: f64) {
         lock(&self.0).refused_connections.push((incarnation, at));
     }
 
-    /// New connections that were refused.
+    /// Returns the recorded refusals of new connections.
     pub fn refused_connections(&self) -> Vec<(Incarnation, f64)> {
         lock(&self.0).refused_connections.clone()
     }
 
-    /// All that was written and read.
+    /// Returns all recorded requests and all responses.
     pub fn all(&self) -> (Vec<Record>, Vec<(f64, String, Said)>) {
-        let pages = lock(&self.0);
-        (pages.records.clone(), pages.said.clone())
+        let entries = lock(&self.0);
+        (entries.records.clone(), entries.responses.clone())
     }
 
-    fn change(&self, id: &str, change: impl FnOnce(&mut Record)) {
-        let mut pages = lock(&self.0);
-        if let Some(place) = pages.places.get(id).copied() {
-            change(&mut pages.records[place]);
+    fn update(&self, id: &str, apply: impl FnOnce(&mut Record)) {
+        let mut entries = lock(&self.0);
+        if let Some(index) = entries.index_by_id.get(id).copied() {
+            apply(&mut entries.records[index]);
         }
     }
 }
--- a/crates/fault-harness/src/soak/client.rs
+++ b/crates/fault-harness/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients of the soak: each keeps a connection to its front end, writes requests at its own pace whatever the answers do,
-//! and writes down what it wrote and read.
+//! Clients of the soak. Each client sends requests over a connection to its front end at a rate that does not depend
+//! on the responses (open loop), and records its requests and the responses.
 
 use super::book::{Book, Excuse, Incarnation, Record};
 use super::plan::Plan;
@@ -15,72 +15,76 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Least interval between two loads of one key, and behind one on a new connection, in milliseconds.
+/// Minimum interval between two load requests with the same ordering key on one connection, in milliseconds.
 const KEY_INTERVAL_MS: f64 = 60.0;
+/// Minimum interval between the first and the second load request on a new connection, in milliseconds.
 const NEW_CONNECTION_INTERVAL_MS: f64 = 250.0;
-/// Time before a close that a client sees in which a request crosses it, in milliseconds.
+/// A request written at most this many milliseconds before the client notices that the front end closed the
+/// connection needs no response, because the front end may have closed before the request arrived.
 const CROSSING_MS: f64 = 50.0;
-/// Requests that may be open on a connection.
+/// Maximum number of open requests per connection; a request due above this limit is not sent.
 const MAX_OPEN: usize = 30;
-/// Share of requests that are cancelled, and of those that are left by closing the connection.
-const CANCELLED_SHARE: f64 = 0.03;
-const LEFT_SHARE: f64 = 0.002;
-/// Time to connect, and pause before a client tries again.
+/// Fraction of requests that the client cancels.
+const CANCELLED_FRACTION: f64 = 0.03;
+/// Probability that the client closes the connection after a request that it did not cancel.
+const DISCONNECT_PROBABILITY: f64 = 0.002;
+/// Timeout for connecting to a front end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause before the next connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(15);
-/// Code of a refusal.
+/// JSON-RPC error code of the response to a refused request.
 const REFUSED: i64 = -32011;
-/// Time in which owed answers still come once a client has stopped asking, in milliseconds.
-const LAST_ANSWERS_MS: f64 = 600.0;
+/// How long a client that sends no more requests waits for responses beyond the longest deadline, in milliseconds.
+const FINAL_RESPONSES_MS: f64 = 600.0;
 
-/// Where the clients of a front end connect.
+/// Address and process that the clients of a front end connect to.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    /// Its address.
+    /// Listening address of the front end.
     pub address: SocketAddr,
-    /// Its process.
+    /// Process that listens at the address.
     pub incarnation: Incarnation,
 }
 
-/// What the clients of one front end share.
+/// State that all clients of one front end share.
 #[derive(Clone, Default)]
 pub struct Door {
-    /// Where new connections go; none while it takes none.
+    /// Where to open new connections; `None` while the front end accepts none.
     pub target: Arc<Mutex<Option<Target>>>,
-    /// The processes that were killed without warning, and when.
+    /// Processes that were killed without a drain, with the time of the kill.
     pub killed: Arc<Mutex<BTreeMap<Incarnation, f64>>>,
 }
 
-/// What a client asks for.
+/// Kind of traffic that a client sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// Look-ups and reports.
+    /// Look-up and report queries on a long-lived connection.
     Queries,
-    /// The same, each on a new connection.
+    /// Look-up and report queries, each on a new connection.
     Visits,
-    /// Loads of one key.
+    /// Load requests that all have the same ordering key.
     Loads,
 }
 
-/// A client.
+/// A client of the soak; its `run` method is the body of a thread.
 pub struct SoakClient {
-    /// Its number, unlike all others'.
+    /// Unique number of the client.
     pub number: u64,
-    /// What it asks for.
+    /// Kind of requests that the client sends.
     pub kind: Kind,
-    /// Mean time between two requests, in milliseconds.
+    /// Mean interval between two requests, in milliseconds.
     pub interval: f64,
-    /// Its front end.
+    /// Connection target, shared with the other clients of the same front end.
     pub door: Door,
-    /// The run.
+    /// Parameters of the run, such as its seed and its deadlines.
     pub plan: Arc<Plan>,
-    /// What it writes down.
+    /// Where the client records its requests and the responses.
     pub book: Book,
-    /// Set when no more is asked.
+    /// Set when all clients must stop sending requests.
     pub is_over: Arc<AtomicBool>,
 }
 
-/// A connection that is in use.
+/// An open connection; `open` maps the JSON-RPC id of each unanswered request to its request id.
 struct Connection {
     stream: TcpStream,
     target: Target,
@@ -91,7 +95,7 @@
 }
 
 impl SoakClient {
-    /// Runs until no more is asked and nothing is owed.
+    /// Sends requests until `is_over` is set, then waits for the outstanding responses.
     pub fn run(self) {
         let mut draw = Draw::new(self.plan.seed << 16 ^ self.number);
         let mut count = 0;
@@ -144,19 +148,21 @@
                 now()
             })
         };
-        let left = self.ask(&mut connection, draw, count);
+        let left = self.send_requests(&mut connection, draw, count);
         if left.is_none() {
             self.wait_for_answers(&connection);
         }
         let is_closed = connection.ended.load(Relaxed);
-        let _ = connection.stream.shutdown(Shutdown::Both); // It may have ended by itself.
+        // Shutdown fails if the front end has already closed the connection; that error is harmless.
+        let _ = connection.stream.shutdown(Shutdown::Both);
         let ended_at = reader.join().unwrap_or_else(|_| now());
-        self.settle(&connection, left, is_closed.then_some(ended_at));
+        self.classify_unanswered(&connection, left, is_closed.then_some(ended_at));
         Ok(())
     }
 
-    /// Asks until the connection ends, or all is over; when this client left by itself, if it did.
-    fn ask(&self, connection: &mut Connection, draw: &mut Draw, count: &mut u64) -> Option<f64> {
+    /// Sends requests until the connection ends or the run is over. Returns the time at which this client decided to
+    /// abandon its open requests by closing the connection; `None` if the client did not.
+    fn send_requests(&self, connection: &mut Connection, draw: &mut Draw, count: &mut u64) -> Option<f64> {
         let mut due = now();
         while !self.is_over.load(Relaxed) && !connection.ended.load(Relaxed) {
             let wait = due - now();
@@ -172,10 +178,10 @@
             connection.requests += 1;
             let id = connection.requests;
             let Ok(name) = self.write_request(connection, id, *count, draw) else { return None };
-            if draw.unit() < CANCELLED_SHARE {
+            if draw.unit() < CANCELLED_FRACTION {
                 std::thread::sleep(Duration::from_millis(draw.below(40)));
                 self.cancel(connection, id, &name);
-            } else if draw.unit() < LEFT_SHARE {
+            } else if draw.unit() < DISCONNECT_PROBABILITY {
                 return Some(now());
             }
             if self.kind == Kind::Visits {
@@ -230,7 +236,7 @@
         lock(&connection.open).insert(id, name.clone());
         let written = self.write(connection, message.as_bytes(), draw);
         if written.is_err() {
-            // It never came whole: nothing is owed, whatever became of the connection.
+            // A front end that never received the whole request does not have to respond.
             lock(&connection.open).remove(&id);
             self.book.excuse(&name, now(), Excuse::CrossedClose);
         } else {
@@ -239,7 +245,7 @@
         written.map(|()| name)
     }
 
-    /// Writes a message; a slow writer in pieces.
+    /// Writes a message. If the plan has slow writers, a quarter of the messages is written in pieces with pauses.
     fn write(&self, connection: &mut Connection, message: &[u8], draw: &mut Draw) -> std::io::Result<()> {
         if !self.plan.has_slow_writers || draw.below(4) > 0 {
             return connection.stream.write_all(message);
@@ -262,17 +268,18 @@
         }
     }
 
-    /// All is over, or the connection has ended: what is owed still comes.
+    /// Waits until all open requests are answered, the connection ends, or the time limit passes.
     fn wait_for_answers(&self, connection: &Connection) {
-        let until = now() + self.plan.longest_deadline() + LAST_ANSWERS_MS;
-        while !connection.ended.load(Relaxed) && !lock(&connection.open).is_empty() && now() < until {
+        let wait_deadline = now() + self.plan.longest_deadline() + FINAL_RESPONSES_MS;
+        while !connection.ended.load(Relaxed) && !lock(&connection.open).is_empty() && now() < wait_deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The connection is over: what became of each request that has no answer. `closed_at` is when the front end closed
-    /// it, if it did; else this client has waited for all answers in vain.
-    fn settle(&self, connection: &Connection, left: Option<f64>, closed_at: Option<f64>) {
+    /// Classifies each unanswered request after the connection has ended as excused or lost. `left` is the time at
+    /// which this client closed the connection, and `closed_at` the time at which the front end closed it. If both
+    /// are `None`, the responses did not arrive in time and the requests are lost.
+    fn classify_unanswered(&self, connection: &Connection, left: Option<f64>, closed_at: Option<f64>) {
         let killed = lock(&self.door.killed).get(&connection.target.incarnation).copied();
         let may_be_unread = self.plan.has_crowd && connection.answers.load(Relaxed) == 0;
         for (id, name) in std::mem::take(&mut *lock(&connection.open)) {
@@ -293,7 +300,7 @@
     }
 }
 
-/// Reads answers until the connection ends.
+/// Records responses until the connection ends.
 fn read_answers(
     stream: TcpStream,
     open: &Mutex<BTreeMap<u64, String>>,
@@ -312,7 +319,7 @@
             Some(_) => Said::Failed,
         };
         answers.fetch_add(1, Relaxed);
-        // A second answer under a number is one too many, and noted too.
+        // A second response to the same request is recorded too, so that the rule checker can report the duplicate.
         if let Some(name) = lock(open).remove(&id) {
             names.insert(id, name);
         }
--- a/crates/fault-harness/src/soak/crowd.rs
+++ b/crates/fault-harness/src/soak/crowd.rs
@@ -1,4 +1,5 @@
-//! Clients that do no work: idle and half-open connections that take the descriptors left to clients.
+//! Opens idle connections and connections with an incomplete message, to use up the file descriptors that a front
+//! end has for clients.
 
 use super::client::Door;
 use crate::lock;
@@ -7,12 +8,13 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Duration;
 
-/// Connections that a crowd keeps to one front end: all that it has for clients, and some.
+/// Number of connections opened to one front end: slightly more than its limit of client connections.
 const CONNECTIONS: usize = 140;
-/// Interval between two connects.
+/// Interval between two connection attempts.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(8);
 
-/// Keeps connections to a front end until all is over. Every third stands in the middle of a message.
+/// Opens connections to a front end, and replaces closed connections, until `is_over` is set. Every third connection
+/// sends only the beginning of a message.
 pub fn run(door: &Door, is_over: &AtomicBool) {
     let mut connections: Vec<TcpStream> = Vec::new();
     let mut number = 0;
@@ -28,8 +30,8 @@
         };
         number += 1;
         if number % 3 == 0 {
+            // The front end may have closed the connection already; the next `is_open` check detects that.
             let _ = stream.write_all(b"Content-Length: 200\r\n\r\n{\"jsonrpc\"");
-            // It may be closed already.
         }
         if stream.set_nonblocking(true).is_ok() {
             connections.push(stream);
--- a/crates/fault-harness/src/soak/discovery.rs
+++ b/crates/fault-harness/src/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! Service discovery with faults: one address for each front end (and a second, to which a reload moves it), so that
-//! it is known which of them was told what, and when.
+//! Service discovery with injected faults. Each front end has an address of its own (and a second one that a reload
+//! switches to), so that the server knows when each front end received each event.
 
 use crate::{lock, now};
 use beamgap_fakes::bulletin::{frame, Entry, State as EngineState};
@@ -9,17 +9,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Interval at which a watch is looked at.
+/// Polling interval of the accept loop and of each watch connection.
 const STEP: Duration = Duration::from_millis(4);
-/// Interval of empty frames, in milliseconds.
+/// Interval between empty frames (heartbeats) on a watch connection, in milliseconds.
 const HEARTBEAT_MS: f64 = 1000.0;
-/// Time for which a watch must stand after an event before that counts as told, in milliseconds.
+/// Time for which a watch connection must stay open after an event was written before the event counts as received,
+/// in milliseconds.
 const TOLD_AFTER_MS: f64 = 100.0;
-/// Delay of events while they come late, in milliseconds.
+/// Delay of each event while the fault "late events" is active, in milliseconds.
 const LATE_MS: f64 = 1000.0;
-/// Kinds of frames.
+/// Frame kind: heartbeat without entries.
 const EMPTY_FRAME: u8 = 0;
+/// Frame kind: the whole engine list.
 const WHOLE_LIST: u8 = 1;
+/// Frame kind: the changed entries only.
 const CHANGES: u8 = 2;
 
 #[derive(Clone, Debug)]
@@ -34,7 +37,7 @@
     entries: BTreeMap<u32, Entry>,
     silent_until: f64,
     late_until: f64,
-    /// By front end and number of the event, when it was told.
+    /// When each event was received, by front end and number of the event.
     told: BTreeMap<(usize, usize), f64>,
     is_stopped: bool,
 }
@@ -45,12 +48,12 @@
     }
 }
 
-/// Service discovery of all front ends.
+/// Service discovery server for all front ends, shared by its threads.
 #[derive(Clone, Debug, Default)]
 pub struct Discovery(Arc<Mutex<State>>);
 
 impl Discovery {
-    /// Serves a front end at a new address.
+    /// Starts to serve watches of one front end at a new loopback address, and returns the address.
     pub fn serve(&self, front_end: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -70,7 +73,7 @@
         Ok(address)
     }
 
-    /// Adds an event: the whole list or changes. Gives its number.
+    /// Publishes an event with the whole engine list or with the changed entries only, and returns its number.
     pub fn tell(&self, changed: &[Entry], whole: bool) -> usize {
         let mut state = lock(&self.0);
         for entry in changed {
@@ -81,29 +84,30 @@
         let kind = if whole { WHOLE_LIST } else { CHANGES };
         let now = now();
         let visible_at = if now < state.late_until { now + LATE_MS } else { now };
-        // Events keep their order, however late one of them is.
+        // Events are delivered in order, so an event is delayed at least until the event before it is visible.
         let visible_at = state.events.last().map_or(visible_at, |last| visible_at.max(last.visible_at));
         state.events.push(Event { visible_at, bytes: frame(number as u64, kind, &listed) });
         number
     }
 
-    /// Lets all watches fall silent for a while.
+    /// Injects a fault: all watches send neither events nor heartbeats for `ms` milliseconds.
     pub fn silence(&self, ms: f64) {
         lock(&self.0).silent_until = now() + ms;
     }
 
-    /// Lets events come late for a while.
+    /// Injects a fault: events published in the next `ms` milliseconds are delivered late.
     pub fn delay(&self, ms: f64) {
         lock(&self.0).late_until = now() + ms;
     }
 
-    /// The number of the last event, and all entries as they stand: what a front end's configuration knows.
+    /// Returns the number of the last event and the current engine list, to be written into a front end's
+    /// configuration.
     pub fn known(&self) -> (usize, Vec<Entry>) {
         let state = lock(&self.0);
         (state.events.len(), state.listed())
     }
 
-    /// A front end was told all events up to `number` by its configuration.
+    /// Records that a front end received all events up to `number` at `at` through its configuration.
     pub fn told_by_configuration(&self, front_end: usize, number: usize, at: f64) {
         let mut state = lock(&self.0);
         for event in 1..=number {
@@ -111,12 +115,12 @@
         }
     }
 
-    /// When a front end was told of an event.
+    /// Returns when a front end received an event; `None` if the event was not received yet.
     pub fn told(&self, front_end: usize, event: usize) -> Option<f64> {
         lock(&self.0).told.get(&(front_end, event)).copied()
     }
 
-    /// Ends all watches.
+    /// Stops all listeners and watches.
     pub fn stop(&self) {
         lock(&self.0).is_stopped = true;
     }
@@ -144,11 +148,11 @@
                     return None;
                 }
                 pending.retain(|(event, at)| {
-                    let stands = now - at >= TOLD_AFTER_MS;
-                    if stands {
+                    let is_received = now - at >= TOLD_AFTER_MS;
+                    if is_received {
                         state.told.entry((front_end, *event)).or_insert(*at);
                     }
-                    !stands
+                    !is_received
                 });
                 if now < state.silent_until {
                     continue;
--- a/crates/fault-harness/src/soak/engine.rs
+++ b/crates/fault-harness/src/soak/engine.rs
@@ -1,4 +1,5 @@
-//! An engine on a socket: the fake of the platform's wire, driven by a thread, with faults.
+//! Fake engine behind a TCP listener: a thread drives the protocol state machine from the fakes crate and injects
+//! faults.
 
 use super::plan::EngineFault;
 use crate::{lock, now};
@@ -11,30 +12,30 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Interval at which sockets are looked at.
+/// Interval at which the engine's thread polls its sockets.
 const STEP: Duration = Duration::from_millis(1);
-/// Length of the queue of a listener that takes connections as they come.
+/// Length of the listen queue of an engine that accepts connections normally.
 const LONG_QUEUE: i32 = 128;
-/// Time in which a connection to its own listener comes up, if there is a place.
+/// Connect timeout of the engine's connection to its own listener, which fills the listen queue.
 const FILL_TIMEOUT: Duration = Duration::from_millis(20);
-/// Time for which a stuttering engine works between two pauses, and length of these pauses, in milliseconds.
+/// Durations of the working phase and of the following pause of an engine with the stutter fault, in milliseconds.
 const STUTTER_MS: (f64, f64) = (80.0, 320.0);
 
-/// What an engine has been told to do.
+/// Faults that are active on an engine, set by the test and read by the engine's thread.
 #[derive(Debug, Default)]
-struct Orders {
+struct FaultState {
     hangs_until: f64,
     stutters_until: f64,
-    refuses_dials_until: f64,
+    delays_connects_until: f64,
     resets: bool,
     down_until: Option<f64>,
     is_stopped: bool,
 }
 
-impl Orders {
-    fn stands_still(&self, now: f64) -> bool {
-        let (works, pauses) = STUTTER_MS;
-        now < self.hangs_until || (now < self.stutters_until && now % (works + pauses) > works)
+impl FaultState {
+    fn is_paused(&self, now: f64) -> bool {
+        let (work_ms, pause_ms) = STUTTER_MS;
+        now < self.hangs_until || (now < self.stutters_until && now % (work_ms + pause_ms) > work_ms)
     }
 }
 
@@ -45,27 +46,27 @@
     output: Vec<u8>,
 }
 
-/// An engine that runs on a thread of its own.
+/// A fake engine that runs on its own thread.
 pub struct SoakEngine {
-    /// Its number in the list.
+    /// Number of the engine in the engine list.
     pub number: u32,
-    /// Where it listens, also after a restart.
+    /// Listening address, which stays the same after a restart.
     pub address: SocketAddr,
-    orders: Arc<Mutex<Orders>>,
+    faults: Arc<Mutex<FaultState>>,
     acts: Arc<Mutex<Vec<Act>>>,
-    /// What came that is none of the wire's.
+    /// Errors for input that violates the engine protocol.
     errors: Arc<Mutex<Vec<String>>>,
     is_down: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl SoakEngine {
-    /// Starts an engine.
+    /// Starts an engine on a free loopback port.
     pub fn start(number: u32, dialect: Dialect, seed: u64) -> std::io::Result<SoakEngine> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let orders: Arc<Mutex<Orders>> = Arc::default();
+        let faults: Arc<Mutex<FaultState>> = Arc::default();
         let acts: Arc<Mutex<Vec<Act>>> = Arc::default();
         let errors: Arc<Mutex<Vec<String>>> = Arc::default();
         let is_down = Arc::new(AtomicBool::new(false));
@@ -77,43 +78,44 @@
             connected: 0,
             short_queue: false,
             queue_filler: None,
-            orders: orders.clone(),
+            faults: faults.clone(),
             acts: acts.clone(),
             errors: errors.clone(),
             is_down: is_down.clone(),
         };
         let thread =
             std::thread::Builder::new().name(format!("engine-{number}")).spawn(move || driver.run())?;
-        Ok(SoakEngine { number, address, orders, acts, errors, is_down, thread: Some(thread) })
+        Ok(SoakEngine { number, address, faults, acts, errors, is_down, thread: Some(thread) })
     }
 
-    /// Begins a fault. What is listed of the engine is not changed here.
+    /// Injects a fault. The caller updates the engine's entry in service discovery.
     pub fn begin(&self, fault: EngineFault) {
         let now = now();
-        let mut orders = lock(&self.orders);
+        let mut faults = lock(&self.faults);
         match fault {
             EngineFault::Drain { .. } => {}
-            EngineFault::Hang { ms } => orders.hangs_until = now + ms,
-            EngineFault::Reset => orders.resets = true,
-            EngineFault::Stutter { ms } => orders.stutters_until = now + ms,
+            EngineFault::Hang { ms } => faults.hangs_until = now + ms,
+            EngineFault::Reset => faults.resets = true,
+            EngineFault::Stutter { ms } => faults.stutters_until = now + ms,
             EngineFault::RestartCold { down } => {
-                orders.down_until = Some(now + down);
+                faults.down_until = Some(now + down);
                 self.is_down.store(true, Relaxed);
             }
-            EngineFault::LateDials { ms } => orders.refuses_dials_until = now + ms,
+            EngineFault::LateDials { ms } => faults.delays_connects_until = now + ms,
         }
     }
 
-    /// Whether it is down for a restart.
+    /// Returns whether the engine is down because of a restart fault.
     pub fn is_down(&self) -> bool {
         self.is_down.load(Relaxed)
     }
 
-    /// Ends it; all that came to it and what became of it, and what was none of the wire's.
+    /// Stops the engine. Returns the history of all received attempts and the protocol errors.
     pub fn stop(mut self) -> (Vec<Act>, Vec<String>) {
-        lock(&self.orders).is_stopped = true;
+        lock(&self.faults).is_stopped = true;
         if let Some(thread) = self.thread.take() {
-            let _ = thread.join(); // A driver that panicked has left what it noted.
+            // If the thread panicked, the history recorded until then is still returned.
+            let _ = thread.join();
         }
         (lock(&self.acts).clone(), lock(&self.errors).clone())
     }
@@ -126,9 +128,9 @@
     connections: Vec<Connection>,
     connected: u64,
     short_queue: bool,
-    /// Takes the one place of the shortest queue.
+    /// Connection that occupies the only slot of the shortened listen queue.
     queue_filler: Option<TcpStream>,
-    orders: Arc<Mutex<Orders>>,
+    faults: Arc<Mutex<FaultState>>,
     acts: Arc<Mutex<Vec<Act>>>,
     errors: Arc<Mutex<Vec<String>>>,
     is_down: Arc<AtomicBool>,
@@ -139,17 +141,18 @@
         loop {
             std::thread::sleep(STEP);
             let now = now();
-            let (resets, goes_down, refuses_dials, stands_still) = {
-                let mut orders = lock(&self.orders);
-                if orders.is_stopped {
+            let (resets, goes_down, delays_connects, is_paused) = {
+                let mut faults = lock(&self.faults);
+                if faults.is_stopped {
                     return;
                 }
-                let resets = std::mem::take(&mut orders.resets);
-                let goes_down = orders.down_until.is_some_and(|until| now < until);
-                (resets, goes_down, now < orders.refuses_dials_until, orders.stands_still(now))
+                let resets = std::mem::take(&mut faults.resets);
+                let goes_down = faults.down_until.is_some_and(|until| now < until);
+                (resets, goes_down, now < faults.delays_connects_until, faults.is_paused(now))
             };
-            // First the queue, then the resets: who dials anew at once is not to be in the queue already.
-            self.limit_queue(refuses_dials);
+            // The queue is shortened before the resets, so that a client that reconnects at once after a reset does
+            // not enter the queue.
+            self.limit_queue(delays_connects);
             if resets || goes_down {
                 self.reset_all(now);
             }
@@ -158,11 +161,12 @@
             } else if self.listener.is_none() && !self.listen_again() {
                 continue;
             }
-            if !refuses_dials {
+            if !delays_connects {
                 self.accept();
             }
-            // Before anything is read, which is of now: what stands still does no work for the time that has passed.
-            if !stands_still {
+            // Work runs before the read, because the read advances the engine's clock without doing work. A paused
+            // engine skips the work, so its queries make no progress for the time of the pause.
+            if !is_paused {
                 self.work(now);
             }
             self.read();
@@ -170,7 +174,7 @@
         }
     }
 
-    /// The address is taken again after a restart; false while the system does not give it.
+    /// Binds the same address again after a restart. Returns false while the system still refuses the address.
     fn listen_again(&mut self) -> bool {
         let Ok(listener) = TcpListener::bind(self.address) else { return false };
         if listener.set_nonblocking(true).is_err() {
@@ -178,23 +182,24 @@
         }
         self.listener = Some(listener);
         self.short_queue = false;
-        lock(&self.orders).down_until = None;
+        lock(&self.faults).down_until = None;
         self.is_down.store(false, Relaxed);
         true
     }
 
-    /// With the shortest queue, and a connection of its own in it, dials do not come up before the system tries them
-    /// again.
+    /// Delays new connections, or ends the delay. With the shortest listen queue, filled by the engine's own
+    /// connection, a client's connect does not succeed until the client's system sends its SYN again.
     fn limit_queue(&mut self, short: bool) {
         if self.short_queue == short {
             return;
         }
         let Some(listener) = &self.listener else { return };
         let length = if short { 0 } else { LONG_QUEUE };
-        let _ = rustix::net::listen(listener, length); // A listener that has just gone needs none.
+        // An error is ignored: the queue length of a closed listener does not matter.
+        let _ = rustix::net::listen(listener, length);
         self.short_queue = short;
         self.queue_filler = None;
-        // Whoever has dialled in this moment has come up: it is taken, so that nothing lies unread.
+        // A client that connected just now is accepted, so that its data is read and the queue slot becomes free.
         while short && self.queue_filler.is_none() {
             self.accept();
             self.queue_filler = TcpStream::connect_timeout(&self.address, FILL_TIMEOUT).ok();
@@ -213,12 +218,14 @@
 
     fn reset_all(&mut self, now: f64) {
         for connection in std::mem::take(&mut self.connections) {
-            let _ = set_socket_linger(&connection.stream, Some(Duration::ZERO)); // Else its end is an orderly one.
+            // With a zero linger time, closing the socket sends RST instead of FIN.
+            let _ = set_socket_linger(&connection.stream, Some(Duration::ZERO));
             self.machine.closed(now, connection.number);
         }
     }
 
-    /// Reads what has come. An engine that stands still is a machine whose network goes on.
+    /// Reads and processes the input of all connections. A hung or stuttering engine reads too: only its work stops,
+    /// as on a machine whose network stack still runs.
     fn read(&mut self) {
         let mut buffer = [0; 16 * 1024];
         let mut ended = Vec::new();
@@ -235,7 +242,8 @@
                 }
                 break;
             }
-            // Behind the read, so that nothing counts as come before it has: what it follows has ended by then.
+            // The clock is read after the input. Otherwise an attempt could be recorded with a time before the event
+            // that caused the attempt, such as the end of an earlier attempt.
             let now = now();
             match self.machine.take(now, connection.number, &mut connection.input) {
                 Ok(answer) => connection.output.extend(answer),
--- a/crates/fault-harness/src/soak/front_end.rs
+++ b/crates/fault-harness/src/soak/front_end.rs
@@ -1,4 +1,5 @@
-//! A front end of the soak: its configuration, its processes one after the other, and what is asked of their ends.
+//! A front end under test: writes its configuration, starts and restarts its process, and checks that each process
+//! exits in time after SIGTERM.
 
 use super::book::Incarnation;
 use super::client::{Door, Target};
@@ -15,14 +16,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time in which a restarted front end must be ready, in milliseconds.
+/// Time limit for a started process to become ready, in milliseconds.
 const READY_MS: f64 = 10_000.0;
-/// Time for which new connections come after SIGTERM, in milliseconds: at least, and by lot beyond.
+/// How long clients still open new connections after SIGTERM, in milliseconds: the minimum, and the maximum of a
+/// random addition.
 const NEW_CONNECTIONS_MS: (f64, f64) = (200.0, 200.0);
-/// Descriptors of a front end, and those of one that meets a crowd.
+/// Limit of sockets in a front end's configuration: without and with a crowd of idle connections.
 const SOCKETS: (u32, u32) = (1024, 256);
 
-/// A front end, whichever of its processes runs.
+/// A front end, represented by a sequence of processes with the same name and configuration file.
 pub struct FrontEnd {
     number: usize,
     plan: Arc<Plan>,
@@ -32,16 +34,16 @@
     config: PathBuf,
     process: Process,
     incarnation: Incarnation,
-    /// Where its clients connect.
+    /// State shared with the clients: where to connect, and which processes were killed.
     pub door: Door,
-    /// What went against the rules.
+    /// Violations found while the processes were started, reloaded or stopped.
     pub violations: Vec<String>,
-    /// Signals that it was sent.
+    /// Number of signals sent so far.
     pub signals: usize,
 }
 
 impl FrontEnd {
-    /// Starts a front end.
+    /// Starts a front end, and waits until it is ready.
     pub fn start(
         number: usize,
         plan: &Arc<Plan>,
@@ -72,12 +74,12 @@
         Ok(front_end)
     }
 
-    /// Its process, to look at.
+    /// Returns the current process for inspection.
     pub fn process(&mut self) -> &mut Process {
         &mut self.process
     }
 
-    /// Writes the configuration and starts the next process; new connections go there once it is ready.
+    /// Writes the configuration, starts the next process, and directs new client connections to it once it is ready.
     fn start_process(&mut self) -> Result<(), String> {
         let started_at = now();
         let known = self.write_config()?;
@@ -95,7 +97,7 @@
         Ok(())
     }
 
-    /// Kills it without warning, and starts it again.
+    /// Kills the process without a drain, and starts the next one.
     pub fn kill(&mut self) {
         lock(&self.door.killed).insert(self.incarnation, now());
         *lock(&self.door.target) = None;
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Sends signals. Where SIGTERM is one of them, the process is to end by itself before it may be killed, and is
-    /// started again.
+    /// Sends a series of signals. If the series contains SIGTERM, the process must exit before the time at which the
+    /// platform may kill it; then the next process is started.
     pub fn signal(&mut self, series: &[(f64, PlannedSignal)], draw: &mut Draw) {
         let first_at = now();
         let mut terminated_at = None;
@@ -126,8 +128,8 @@
             }
         }
         let Some(terminated_at) = terminated_at else { return };
-        let (least, more) = NEW_CONNECTIONS_MS;
-        sleep_until(terminated_at + least + more * draw.unit());
+        let (min_ms, random_ms) = NEW_CONNECTIONS_MS;
+        sleep_until(terminated_at + min_ms + random_ms * draw.unit());
         *lock(&self.door.target) = None;
         let kill_at = terminated_at + self.plan.kill_after();
         while self.process.runs() && now() < kill_at {
@@ -150,10 +152,11 @@
         }
     }
 
-    /// Writes the configuration with what is listed now, in one step; gives the number of the last event.
+    /// Writes the configuration with the current engine list, and replaces the old file atomically. Returns the
+    /// number of the last event in the list.
     fn write_config(&self) -> Result<usize, String> {
         let (last, entries) = self.discovery.known();
-        let targets: Vec<String> = entries.iter().map(target).collect();
+        let targets: Vec<String> = entries.iter().map(engine_target).collect();
         let sockets = if self.plan.has_crowd { SOCKETS.1 } else { SOCKETS.0 };
         let text = format!(
             r#"{{"name":"n{0}","seed":"{0:x}f","listen":"127.0.0.1:0","bulletin":"{1}",
@@ -171,7 +174,7 @@
     }
 }
 
-fn target(entry: &Entry) -> String {
+fn engine_target(entry: &Entry) -> String {
     let state = match entry.state {
         State::Ready => "in_service",
         State::Draining => "terminating",
@@ -188,7 +191,7 @@
     std::thread::sleep(Duration::from_secs_f64(wait / 1000.0));
 }
 
-/// Whether a front end says that it is alive.
+/// Returns whether a front end answers the `alive` request with a pass.
 fn is_alive(address: SocketAddr) -> bool {
     let body = r#"{"jsonrpc":"2.0","id":1,"method":"alive"}"#;
     let ask = || -> std::io::Result<String> {
--- a/crates/fault-harness/src/soak/lateness.rs
+++ b/crates/fault-harness/src/soak/lateness.rs
@@ -1,18 +1,19 @@
-//! How late the soak itself was: on a busy machine its threads see what came some time after it did.
+//! Measures the scheduling lateness of the soak's own threads. On a busy machine the threads observe events late, and
+//! time limits must allow for that.
 
 use crate::{lock, now};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Interval at which lateness is measured.
+/// Sleep time of the measuring thread; a sample is the excess over this time.
 const INTERVAL: Duration = Duration::from_millis(2);
-/// Lateness that is not kept, in milliseconds.
+/// Lateness up to this limit is normal and is not recorded, in milliseconds.
 const USUAL_MS: f64 = 3.0;
-/// Time around an observation in which lateness counts for it, in milliseconds.
+/// Lateness samples at most this long before or after an observation apply to the observation, in milliseconds.
 const AROUND_MS: f64 = 100.0;
 
-/// A time at which a thread should have run, and how much later it did, in milliseconds.
+/// Time at which the measuring thread should have woken up, and how much later the thread ran, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     due: f64,
@@ -27,29 +28,29 @@
 }
 
 impl Lateness {
-    /// Starts to measure.
+    /// Starts the measuring thread.
     pub fn start() -> Lateness {
         let lateness = Lateness::default();
-        let of = lateness.clone();
+        let measured = lateness.clone();
         std::thread::spawn(move || {
-            while !of.is_over.load(Relaxed) {
+            while !measured.is_over.load(Relaxed) {
                 let due = now() + INTERVAL.as_secs_f64() * 1000.0;
                 std::thread::sleep(INTERVAL);
                 let late = now() - due;
                 if late > USUAL_MS {
-                    lock(&of.samples).push(Sample { due, late });
+                    lock(&measured.samples).push(Sample { due, late });
                 }
             }
         });
         lateness
     }
 
-    /// Ends the thread.
+    /// Stops the measuring thread.
     pub fn stop(&self) {
         self.is_over.store(true, Relaxed);
     }
 
-    /// How late something that was seen at `at` may have been seen, in milliseconds.
+    /// Returns the maximum delay with which an event recorded at `at` may have been observed, in milliseconds.
     pub fn around(&self, at: f64) -> f64 {
         let samples = lock(&self.samples);
         let near = samples
@@ -58,7 +59,7 @@
         near.map(|sample| sample.late).fold(0.0, f64::max)
     }
 
-    /// The worst of the run, in milliseconds.
+    /// Returns the maximum lateness of the run, in milliseconds.
     pub fn worst(&self) -> f64 {
         lock(&self.samples).iter().map(|sample| sample.late).fold(0.0, f64::max)
     }
--- a/crates/fault-harness/src/soak/mod.rs
+++ b/crates/fault-harness/src/soak/mod.rs
@@ -1,7 +1,7 @@
-//! A soak of the front end: real processes under traffic, with restarts, reloads, kills and faults of engines and of
-//! discovery drawn from a seed, judged from outside by the platform's rules.
+//! Soak test of the front end: real processes under traffic. Restarts, reloads, kills and faults of engines and of
+//! service discovery are drawn from a seed, and the platform's rules are checked on externally visible behavior.
 //!
-//! [`play`] plays one seed. [`plan`] says what a seed does, [`verdict`] what must hold.
+//! [`play`] runs one seed, [`plan`] derives the faults of a run from its seed, and [`verdict`] checks the rules.
 
 pub mod at_rest;
 pub mod book;
@@ -22,37 +22,41 @@
 
 use plan::Plan;
 
-/// Place of the class of look-ups.
+/// Index of the look-up class, whose requests may run twice.
 pub const LOOKUP: usize = 0;
-/// Place of the class of reports.
+/// Index of the report class, whose requests may run twice.
 pub const REPORT: usize = 1;
-/// Place of the class of loads, which must not run twice and keep the order of their keys.
+/// Index of the load class, whose requests must not run twice and run in order for each ordering key.
 pub const LOAD: usize = 2;
 
-/// Deadline of look-ups, in milliseconds; the others are the plan's.
+/// Deadline of look-up requests, in milliseconds. The plan sets the deadlines of the other classes.
 const LOOKUP_DEADLINE_MS: f64 = 1200.0;
-/// Mean work of a request, in milliseconds, which clients tell too.
+/// Mean work of a request in milliseconds of CPU time. Clients send this value as the estimate of each request.
 pub const WORK_MS: f64 = 40.0;
-/// Cores of an engine.
+/// Number of cores of each engine.
 pub const CORES: f64 = 2.0;
-/// Time after a drain is told in which new work still comes, in milliseconds.
+/// Grace period after the notice of an engine's drain in which front ends may still send requests to the engine, in
+/// milliseconds.
 pub const DRAIN_GRACE_MS: f64 = 250.0;
-/// Time for which a key rests after an end that is not sure, in milliseconds.
+/// Time for which an ordering key stays blocked after an attempt that may still be running at its engine, in
+/// milliseconds.
 pub const KEY_REST_MS: f64 = 150.0;
-/// Retry budget: attempts that are free, attempts for each request, and the span in milliseconds.
+/// Retry budget: number of retries that are always allowed, additional retries per request, and the length of the
+/// sliding window in milliseconds.
 pub const RETRY_BUDGET: (f64, f64, f64) = (2.0, 0.2, 4000.0);
-/// Attempts of one request.
+/// Maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: usize = 4;
-/// Share of its capacity with which an engine starts.
+/// Fraction of its capacity that an engine has right after its start.
 pub const START_SHARE: f64 = 0.2;
-/// Time in which an engine warms up, in milliseconds.
+/// Time in which an engine's capacity rises from its initial to its full value, in milliseconds.
 pub const WARM_WITHIN_MS: f64 = 6000.0;
-/// Times its present capacity over which an engine falls, and for how long, in milliseconds.
+/// A warming engine fails if the work sent to it within [`FALL_SPAN_MS`] exceeds its current capacity times this
+/// factor.
 pub const FALL_MULTIPLE: f64 = 1.5;
-/// See [`FALL_MULTIPLE`].
+/// Window over which the work sent to a warming engine is compared with [`FALL_MULTIPLE`], in milliseconds.
 pub const FALL_SPAN_MS: f64 = 1500.0;
 
-/// Name and deadline of a class.
+/// Returns the method name and the deadline in milliseconds of a request class.
 pub fn class(plan: &Plan, class: usize) -> (&'static str, f64) {
     match class {
         LOOKUP => ("lookup", LOOKUP_DEADLINE_MS),
@@ -61,7 +65,7 @@
     }
 }
 
-/// The platform's settings of a front end.
+/// Returns the platform settings of front end number `me` as JSON.
 fn settings(plan: &Plan, me: usize) -> String {
     let (balancers, reports, loads) = (plan.front_ends, plan.report_deadline, plan.load_deadline);
     let dial_timeout = plan.dial_timeout;
--- a/crates/fault-harness/src/soak/run.rs
+++ b/crates/fault-harness/src/soak/run.rs
@@ -1,4 +1,5 @@
-//! Plays one seed of the soak.
+//! Runs the soak for one seed: starts engines, front ends and clients, injects the planned faults, and collects the
+//! observations.
 
 use super::at_rest::{check_rest, footprint};
 use super::book::Book;
@@ -22,25 +23,27 @@
 use std::thread::{Scope, ScopedJoinHandle};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Part of all engines' capacity that clients ask for.
-const LOAD: f64 = 0.65;
-/// Most requests a second that are asked of one front end.
+/// Fraction of the capacity of all engines that the clients request.
+const TARGET_LOAD: f64 = 0.65;
+/// Maximum number of requests per second that clients send to one front end.
 const MAX_RATE: f64 = 140.0;
-/// Mean time between two loads of a key, in milliseconds.
+/// Mean interval between two load requests with the same ordering key, in milliseconds.
 const LOAD_INTERVAL_MS: f64 = 160.0;
-/// Mean time between two visits, each on a new connection, in milliseconds.
+/// Mean interval between two requests that each use a new connection, in milliseconds.
 const VISIT_INTERVAL_MS: f64 = 60.0;
-/// Clients of a front end that ask queries, and keys of loads.
+/// Number of clients per front end that send queries on long-lived connections.
 const QUERY_CLIENTS: u64 = 3;
+/// Number of ordering keys of load requests per front end; each key has a client of its own.
 const KEYS: u64 = 2;
-/// Time for which dials to an engine come up late around its drain, and time from the reset of its connections to the
-/// drain, in milliseconds.
+/// Time for which new connections to an engine are delayed when its connections are reset before its drain, in
+/// milliseconds.
 const LATE_DIALS_MS: f64 = 900.0;
+/// Time between the reset of an engine's connections and its drain, in milliseconds.
 const DRAIN_AFTER_RESET_MS: f64 = 120.0;
-/// Refused connections that a report shows.
+/// Maximum number of refused client connections that are reported as violations.
 const REFUSALS_SHOWN: usize = 5;
 
-/// Plays a seed with `length` milliseconds of traffic; an error is a run that could not be set up.
+/// Runs the soak for one seed with `length` milliseconds of traffic. Returns an error if the run could not be set up.
 pub fn play(binary: &Path, folder: &Path, seed: u64, length: f64) -> Result<Summary, String> {
     let plan = Arc::new(Plan::draw(seed, length));
     let discovery = Discovery::default();
@@ -53,21 +56,28 @@
     let front_ends: Vec<Mutex<FrontEnd>> = (0..plan.front_ends)
         .map(|number| FrontEnd::start(number, &plan, &discovery, binary, folder).map(Mutex::new))
         .collect::<Result<_, _>>()?;
-    std::thread::sleep(Duration::from_millis(300)); // A process at rest has its watch on discovery.
+    // The footprint of an idle process must include its watch connection to service discovery.
+    std::thread::sleep(Duration::from_millis(300));
     let at_rest = footprint(&front_ends[0]);
     let lateness = Lateness::start();
-    let busy = if plan.has_load { start_busy_processes() } else { Vec::new() };
+    let busy_processes = if plan.has_load { start_busy_processes() } else { Vec::new() };
     let (book, is_over) = (Book::default(), Arc::new(AtomicBool::new(false)));
     let (drains, starts) = (Mutex::default(), Mutex::default());
     std::thread::scope(|scope| {
         let clients = start_clients(scope, &plan, &front_ends, &book, &is_over);
-        let world =
-            World { plan: &plan, discovery: &discovery, engines: &engines, drains: &drains, starts: &starts };
-        world.play_faults(scope, &front_ends);
+        let injector = FaultInjector {
+            plan: &plan,
+            discovery: &discovery,
+            engines: &engines,
+            drains: &drains,
+            starts: &starts,
+        };
+        injector.inject_faults(scope, &front_ends);
         is_over.store(true, Relaxed);
-        clients.into_iter().for_each(|client| drop(client.join())); // Its book is what it leaves.
+        // The result of a client thread is ignored: all its observations are in the shared record.
+        clients.into_iter().for_each(|client| drop(client.join()));
     });
-    busy.into_iter().for_each(end_process);
+    busy_processes.into_iter().for_each(end_process);
     let mut broken = Vec::new();
     check_rest(&front_ends, at_rest, &mut broken);
     let signals = front_ends.iter().map(|front_end| lock(front_end).signals).sum();
@@ -79,9 +89,9 @@
     lateness.stop();
     let (mut acts, mut errors) = (Vec::new(), Vec::new());
     for engine in engines {
-        let (of_engine, mut wrong) = engine.stop();
-        acts.push(of_engine);
-        errors.append(&mut wrong);
+        let (engine_acts, mut engine_errors) = engine.stop();
+        acts.push(engine_acts);
+        errors.append(&mut engine_errors);
     }
     broken
         .extend(errors.into_iter().map(|line| format!("an engine was sent what is not of its wire: {line}")));
@@ -116,7 +126,7 @@
     Entry { id: engine.number, address: engine.address, state, started }
 }
 
-struct World<'a> {
+struct FaultInjector<'a> {
     plan: &'a Arc<Plan>,
     discovery: &'a Discovery,
     engines: &'a [SoakEngine],
@@ -124,16 +134,16 @@
     starts: &'a Mutex<Vec<Change>>,
 }
 
-impl<'a> World<'a> {
-    /// Plays the plan's faults at their times, and waits for the end of the traffic.
-    fn play_faults<'s>(&self, scope: &'s Scope<'s, '_>, front_ends: &'s [Mutex<FrontEnd>])
+impl<'a> FaultInjector<'a> {
+    /// Injects the plan's faults at their times, and waits for the end of the traffic.
+    fn inject_faults<'s>(&self, scope: &'s Scope<'s, '_>, front_ends: &'s [Mutex<FrontEnd>])
     where
         'a: 's,
     {
-        let began = now();
+        let traffic_start = now();
         let mut restarts = Vec::new();
         for (number, (at, fault)) in self.plan.faults.iter().enumerate() {
-            sleep_until(began + at);
+            sleep_until(traffic_start + at);
             match fault.clone() {
                 Fault::Engine(engine, fault) => self.engine_fault(scope, engine, fault),
                 Fault::Discovery(DiscoveryFault::Silent(ms)) => self.discovery.silence(ms),
@@ -149,8 +159,9 @@
                 }
             }
         }
-        sleep_until(began + self.plan.length);
-        restarts.into_iter().for_each(|restart| drop(restart.join())); // What went wrong is in its violations.
+        sleep_until(traffic_start + self.plan.length);
+        // The result of a restart thread is ignored: its errors are in the front end's violations.
+        restarts.into_iter().for_each(|restart| drop(restart.join()));
     }
 
     fn engine_fault<'s>(&self, scope: &'s Scope<'s, '_>, number: usize, fault: EngineFault)
@@ -159,7 +170,7 @@
     {
         let engine = &self.engines[number];
         let (discovery, drains, starts) = (self.discovery, self.drains, self.starts);
-        let told_off = move |state: State| {
+        let announce_removal = move |state: State| {
             let at = now();
             let event = discovery.tell(&[entry(engine, state, 0)], false);
             lock(drains).push(Change { engine: number, event, at });
@@ -173,13 +184,13 @@
                         engine.begin(EngineFault::Reset);
                         sleep_until(now() + DRAIN_AFTER_RESET_MS);
                     }
-                    told_off(State::Draining);
+                    announce_removal(State::Draining);
                     sleep_until(now() + gone_after);
                     discovery.tell(&[entry(engine, State::Gone, 0)], false);
                 });
             }
             EngineFault::RestartCold { .. } => {
-                told_off(State::Gone);
+                announce_removal(State::Gone);
                 scope.spawn(move || {
                     while engine.is_down() {
                         std::thread::sleep(Duration::from_millis(1));
@@ -202,11 +213,11 @@
     is_over: &Arc<AtomicBool>,
 ) -> Vec<ScopedJoinHandle<'s, ()>> {
     let capacity = plan.engines as f64 * CORES * 1000.0 / WORK_MS;
-    let rate = (LOAD * capacity / plan.front_ends as f64).min(MAX_RATE);
+    let rate = (TARGET_LOAD * capacity / plan.front_ends as f64).min(MAX_RATE);
     let loads = KEYS as f64 * 1000.0 / LOAD_INTERVAL_MS;
     let query_interval = QUERY_CLIENTS as f64 * 1000.0 / (rate - loads).max(5.0);
     let mut threads = Vec::new();
-    for (place, front_end) in front_ends.iter().enumerate() {
+    for (index, front_end) in front_ends.iter().enumerate() {
         let door = lock(front_end).door.clone();
         for client in 0..QUERY_CLIENTS + KEYS + 1 {
             let (kind, interval) = match client {
@@ -215,7 +226,7 @@
                 _ => (Kind::Loads, LOAD_INTERVAL_MS),
             };
             let client = SoakClient {
-                number: place as u64 * 64 + client,
+                number: index as u64 * 64 + client,
                 kind,
                 interval,
                 door: door.clone(),
--- a/crates/fault-harness/src/soak/summary.rs
+++ b/crates/fault-harness/src/soak/summary.rs
@@ -1,4 +1,4 @@
-//! What a run was, and the events of the requests that broke a rule.
+//! Summary of a run, with the last events of the requests that violated a rule.
 
 use super::book::Excuse;
 use super::plan::Plan;
@@ -7,46 +7,48 @@
 use beamgap_fakes::warehouse::Act;
 use std::collections::BTreeSet;
 
-/// Events of a request that a report of a failure shows, and requests that it shows.
-const ACTS_SHOWN: usize = 12;
-const IDS_SHOWN: usize = 6;
-/// Length of a request's id.
+/// Maximum number of events that the summary of a failed run lists for each request.
+const MAX_EVENTS_SHOWN: usize = 12;
+/// Maximum number of requests whose events the summary of a failed run lists.
+const MAX_REQUESTS_SHOWN: usize = 6;
+/// Length of a request id in hexadecimal digits.
 const ID_LENGTH: usize = 16;
 
-/// What a run was, and what it broke.
+/// Figures and violations of one run.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// The plan.
+    /// Parameters and faults of the run.
     pub plan: Plan,
-    /// Requests written.
+    /// Number of requests that clients wrote.
     pub requests: usize,
-    /// Of these, those served.
+    /// Number of responses with a result.
     pub served: usize,
-    /// Those to which no answer was owed, as they crossed a close, or were shut unread before a crowd.
+    /// Number of requests that needed no response because they crossed the close of their connection, or because the
+    /// front end closed the connection unread when idle connections used up its descriptors.
     pub crossed: usize,
-    /// Those that front ends were killed over.
+    /// Number of requests that were open when their front end was killed.
     pub killed: usize,
-    /// Signals sent.
+    /// Number of signals sent to front ends.
     pub signals: usize,
-    /// How late the soak itself was at worst, in milliseconds.
+    /// Maximum scheduling lateness of the soak's own threads, in milliseconds.
     pub worst_lateness: f64,
-    /// Broken rules, in words.
+    /// Descriptions of the violated rules.
     pub violations: Vec<String>,
-    /// The last events of the requests concerned.
+    /// The last events of the requests that the violations name.
     pub events: Vec<String>,
 }
 
-/// Sums a run up.
+/// Builds the summary of a run from its observations and its violations.
 pub(super) fn summary(plan: &Plan, seen: &Seen, signals: usize, violations: Vec<String>) -> Summary {
     let excused = |excuses: &[Excuse]| {
         seen.records.iter().filter(|r| r.excuse.is_some_and(|excuse| excuses.contains(&excuse))).count()
     };
     let is_id = |word: &&str| word.len() == ID_LENGTH && word.bytes().all(|byte| byte.is_ascii_hexdigit());
     let words = violations.iter().flat_map(|text| text.split([' ', ':', ',']));
-    let concerned: BTreeSet<&str> = words.filter(is_id).take(IDS_SHOWN).collect();
+    let named_ids: BTreeSet<&str> = words.filter(is_id).take(MAX_REQUESTS_SHOWN).collect();
     let mut events = Vec::new();
-    for id in concerned {
-        events.extend(story(seen, id));
+    for id in named_ids {
+        events.extend(request_events(seen, id));
     }
     Summary {
         plan: plan.clone(),
@@ -61,8 +63,8 @@
     }
 }
 
-/// What became of a request, in order of time.
-fn story(seen: &Seen, id: &str) -> Vec<String> {
+/// Returns the last events of a request in chronological order.
+fn request_events(seen: &Seen, id: &str) -> Vec<String> {
     let mut events: Vec<(f64, String)> = Vec::new();
     for record in seen.records.iter().filter(|record| record.asked.id == id) {
         events.push((record.asked.at, format!("{record:?}")));
@@ -75,5 +77,11 @@
         events.extend(of_request.map(|act| (act.at, format!("{id} engine {engine} {:?}", act.what))));
     }
     events.sort_by(|a, b| a.0.total_cmp(&b.0));
-    events.into_iter().rev().take(ACTS_SHOWN).rev().map(|(at, text)| format!("{at:.1} {text}")).collect()
+    events
+        .into_iter()
+        .rev()
+        .take(MAX_EVENTS_SHOWN)
+        .rev()
+        .map(|(at, text)| format!("{at:.1} {text}"))
+        .collect()
 }
--- a/crates/fault-harness/src/soak/verdict.rs
+++ b/crates/fault-harness/src/soak/verdict.rs
@@ -1,5 +1,5 @@
-//! Judges a run from outside, by the platform's rules: from what clients wrote and read, from what came to engines, and
-//! from what discovery told, never by a front end's own log.
+//! Checks a run against the platform's rules. The input is what clients sent and received, what engines received, and
+//! what service discovery sent. A front end's own log is not used.
 
 use super::book::{Excuse, Incarnation, Record};
 use super::discovery::Discovery;
@@ -8,54 +8,57 @@
 use beamgap_fakes::warehouse::{Act, What};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Each time limit of the rules is so much longer on sockets, in milliseconds.
-const SLACK_MS: f64 = 50.0;
-/// Time after the client's time in which an answer still counts, in milliseconds.
+/// Tolerance added to each time limit of the rules for the delays of sockets and threads, in milliseconds.
+const TOLERANCE_MS: f64 = 50.0;
+/// Time after the client's deadline in which a response is still accepted, in milliseconds.
 const LATE_ANSWER_GRACE_MS: f64 = 500.0;
-/// Time after which nothing is begun for a client that has left, in milliseconds: if it was in flight, and if it waited.
-const AFTER_LEAVING_MS: (f64, f64) = (100.0, 300.0);
-/// Events count as told after so long, whether they arrived or not, in milliseconds.
-const DEEMED_TOLD_MS: f64 = 7000.0;
-/// Engines below which the bound on a cold engine has a wider allowance for chance.
+/// How long after the client cancelled or disconnected an attempt of its request may still start, in milliseconds. The
+/// first limit is for a request with an earlier attempt, the second for a request that was still queued.
+const MAX_SEND_AFTER_CANCEL_MS: (f64, f64) = (100.0, 300.0);
+/// Time after which a front end is deemed to know a discovery event even if the event was not received, in
+/// milliseconds.
+const DEEMED_RECEIVED_MS: f64 = 7000.0;
+/// Expected number of requests below which the limit for a cold engine has a wider allowance for random variation.
 const FEW_REQUESTS: f64 = 30.0;
-/// Part of what came to a cold engine that must be from front ends that had been told of its start.
-const TOLD_SHARE: f64 = 2.0 / 3.0;
+/// An overload of a cold engine is a violation only if more than this fraction of the requests came from front ends
+/// that knew of the engine's start.
+const MIN_INFORMED_FRACTION: f64 = 2.0 / 3.0;
 
-/// A change of the list that bounds what an engine may be sent.
+/// A change of the engine list that limits which requests may be sent to an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
-    /// The engine, counted from 0.
+    /// Index of the engine, starting at 0.
     pub engine: usize,
-    /// Number of the event.
+    /// Number of the service discovery event that announces the change.
     pub event: usize,
-    /// When it was told at the earliest.
+    /// Earliest time at which a front end can have received the event.
     pub at: f64,
 }
 
-/// All that was seen of a run.
+/// All observations of a run.
 pub struct Seen {
-    /// Requests.
+    /// Requests that clients wrote.
     pub records: Vec<Record>,
-    /// Answers.
+    /// Responses that clients received: time, request id and result.
     pub said: Vec<(f64, String, Said)>,
-    /// By engine, what came to it.
+    /// History of attempts of each engine, by index of the engine.
     pub acts: Vec<Vec<Act>>,
-    /// Engines that began to drain, or went.
+    /// Engines that began to drain or went down.
     pub drains: Vec<Change>,
-    /// Engines that came back cold; `at` is their start.
+    /// Engines that restarted cold; `at` is the time of the restart.
     pub starts: Vec<Change>,
-    /// What discovery told.
+    /// Service discovery, which recorded when each front end received each event.
     pub discovery: Discovery,
-    /// How late all this was seen.
+    /// Scheduling lateness of the threads that made the observations.
     pub lateness: Lateness,
 }
 
-/// Every break of a rule, in words.
+/// Returns a description of each violation of a rule.
 pub fn violations(seen: &Seen) -> Vec<String> {
     let mut found = Vec::new();
     lost_requests(seen, &mut found);
     platform_rules(seen, &mut found);
-    sent_after_leaving(seen, &mut found);
+    sent_after_cancel(seen, &mut found);
     sent_after_drain(seen, &mut found);
     cold_engines(seen, &mut found);
     found
@@ -79,13 +82,13 @@
     found.extend(forwarded.iter().map(|id| format!("{id}: lost: forwarded, but its connection was closed")));
 }
 
-/// The rules of the fakes' checker, for each process by itself.
+/// Runs the rule checker of the fakes crate separately for each front end process.
 fn platform_rules(seen: &Seen, found: &mut Vec<String>) {
     let mut by_process: BTreeMap<Incarnation, Vec<Asked>> = BTreeMap::new();
     let mut process_of: HashMap<&str, Incarnation> = HashMap::new();
     for record in &seen.records {
         let mut asked = record.asked.clone();
-        // Its loss is told already.
+        // `lost_requests` already reports a lost request, so the rule checker must not expect a response.
         asked.gone = asked.gone.or(record.lost);
         by_process.entry(record.incarnation).or_default().push(asked);
         process_of.insert(&record.asked.id, record.incarnation);
@@ -93,8 +96,9 @@
     let mut said_by_process: BTreeMap<Incarnation, Vec<(f64, String, Said)>> = BTreeMap::new();
     for (at, id, said) in &seen.said {
         if let Some(process) = process_of.get(id.as_str()) {
-            // A client reads its answer up to the slack after it was given, and later where the soak was late.
-            let given = at - SLACK_MS - seen.lateness.around(*at);
+            // A client may read a response later than the front end sent it, by the tolerance plus the lateness of
+            // the soak's threads. The earliest possible time is checked.
+            let given = at - TOLERANCE_MS - seen.lateness.around(*at);
             said_by_process.entry(*process).or_default().push((given, id.clone(), *said));
         }
     }
@@ -107,7 +111,7 @@
     let rules = Rules {
         safe: vec![true, true, false],
         ordered: vec![false, false, true],
-        rest_ms: super::KEY_REST_MS - SLACK_MS,
+        rest_ms: super::KEY_REST_MS - TOLERANCE_MS,
         ration: Some((super::RETRY_BUDGET.0, super::RETRY_BUDGET.1, super::RETRY_BUDGET.2)),
         most: Some(super::MAX_ATTEMPTS),
         grace_ms: LATE_ANSWER_GRACE_MS,
@@ -119,7 +123,8 @@
     }
 }
 
-/// An attempt that its front end gave up, or whose connection ended, was over up to the slack before its engine saw it.
+/// Returns all engine events, with the end of a cancelled, timed-out or disconnected attempt moved to the earliest
+/// time at which the front end can have ended the attempt; the engine observes such an end late.
 fn with_early_ends(seen: &Seen) -> Vec<Act> {
     let mut all = Vec::new();
     for engine in &seen.acts {
@@ -130,7 +135,7 @@
                 What::Came => drop(came.insert(&act.id, act.at)),
                 What::Broke | What::CalledOff | What::TimedOut => {
                     let since = came.get(act.id.as_str()).copied().unwrap_or(act.at);
-                    act_at = (act.at - SLACK_MS - seen.lateness.around(act.at)).max(since);
+                    act_at = (act.at - TOLERANCE_MS - seen.lateness.around(act.at)).max(since);
                 }
                 What::Served | What::Failed | What::TurnedAway => {}
             }
@@ -140,7 +145,7 @@
     all
 }
 
-fn sent_after_leaving(seen: &Seen, found: &mut Vec<String>) {
+fn sent_after_cancel(seen: &Seen, found: &mut Vec<String>) {
     let mut first_came: HashMap<&str, f64> = HashMap::new();
     for act in seen.acts.iter().flatten().filter(|act| act.what == What::Came) {
         let first = first_came.entry(&act.id).or_insert(act.at);
@@ -155,7 +160,8 @@
     for act in seen.acts.iter().flatten().filter(|act| act.what == What::Came) {
         let Some(gone) = left.get(act.id.as_str()) else { continue };
         let waited = first_came[act.id.as_str()] >= *gone;
-        let allowed = if waited { AFTER_LEAVING_MS.1 } else { AFTER_LEAVING_MS.0 } + SLACK_MS;
+        let allowed =
+            if waited { MAX_SEND_AFTER_CANCEL_MS.1 } else { MAX_SEND_AFTER_CANCEL_MS.0 } + TOLERANCE_MS;
         if act.at - seen.lateness.around(act.at) > gone + allowed {
             found.push(format!("{}: sent {:.0} ms after its client had left", act.id, act.at - gone));
         }
@@ -174,7 +180,7 @@
         for act in seen.acts[drain.engine].iter().filter(|act| act.what == What::Came && act.at < back) {
             let Some(front_end) = front_end_of.get(act.id.as_str()) else { continue };
             let told = seen.discovery.told(*front_end, drain.event).unwrap_or(f64::INFINITY);
-            let until = told.min(drain.at + DEEMED_TOLD_MS) + super::DRAIN_GRACE_MS + SLACK_MS;
+            let until = told.min(drain.at + DEEMED_RECEIVED_MS) + super::DRAIN_GRACE_MS + TOLERANCE_MS;
             if act.at - seen.lateness.around(act.at) > until {
                 let late = act.at - until;
                 found.push(format!("{}: sent to a draining engine {late:.0} ms past its grace", act.id));
@@ -192,7 +198,7 @@
             .filter_map(|act| {
                 let front_end = front_end_of.get(act.id.as_str())?;
                 let told = seen.discovery.told(*front_end, start.event).unwrap_or(f64::INFINITY);
-                Some((act.at, act.at >= told.min(start.at + DEEMED_TOLD_MS)))
+                Some((act.at, act.at >= told.min(start.at + DEEMED_RECEIVED_MS)))
             })
             .collect();
         for (from, _) in &came {
@@ -204,7 +210,7 @@
                 told += f64::from(u8::from(*was_told));
             }
             let bound = cold_bound(age);
-            if age < super::WARM_WITHIN_MS && count > bound && told > TOLD_SHARE * count {
+            if age < super::WARM_WITHIN_MS && count > bound && told > MIN_INFORMED_FRACTION * count {
                 let engine = start.engine;
                 found.push(format!(
                     "engine {engine}: fell: {count} requests in {} ms, {age:.0} ms after its start, {bound:.0} allowed",
@@ -216,7 +222,8 @@
     }
 }
 
-/// Requests of mean work after which an engine of this age falls.
+/// Returns how many requests of mean work an engine may receive within the window `age` milliseconds after its start,
+/// with an allowance for random variation.
 fn cold_bound(age: f64) -> f64 {
     let warmth = super::START_SHARE + (1.0 - super::START_SHARE) * (age / super::WARM_WITHIN_MS).min(1.0);
     let allowed = super::FALL_MULTIPLE * warmth * super::CORES * super::FALL_SPAN_MS / super::WORK_MS;
