--- a/crates/fakes/src/boxes.rs
+++ b/crates/fakes/src/boxes.rs
@@ -1,5 +1,6 @@
-//! A stand-in box: takes `run ID WORK` lines, shares its cores among what it runs, and answers `done ID`. It warms up
-//! after its start, and notes what it was sent, so that rules are checked at the box and not by anybody's book.
+//! Fake engine: accepts `run ID WORK` lines, shares its cores among the running requests, and answers `done ID`.
+//! After its start the engine's capacity rises gradually. The engine records the requests that it received, so that
+//! tests check rules at the engine and do not depend on the sender's own records.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,34 +10,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
+/// Interval at which the engine advances its running requests.
 const STEP: Duration = Duration::from_millis(4);
 
-/// What a box can do.
+/// Capacity of a fake engine, and the overload at which a warming engine fails.
 #[derive(Clone, Copy, Debug)]
 pub struct Power {
-    /// Its cores when warm.
+    /// Number of cores when warm.
     pub cores: f64,
-    /// The share of them at its start.
+    /// Fraction of the cores that is available at the start.
     pub start_share: f64,
-    /// Warm after this, in milliseconds; 0: from the start.
+    /// Time from the start until all cores are available, in milliseconds; 0 means from the start.
     pub warm_ms: f64,
-    /// Sent more than this many times what it can do ...
+    /// A warming engine fails if the work sent to it within `fall_span_ms` exceeds its current capacity times this
+    /// factor.
     pub fall_multiple: f64,
-    /// ... within this many milliseconds, it falls over.
+    /// Window over which the work sent to a warming engine is summed, in milliseconds.
     pub fall_span_ms: f64,
 }
 
-/// A request that came to a box.
+/// A request that an engine received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Came {
-    /// Its id.
+    /// Request id.
     pub id: u64,
-    /// When.
+    /// Time at which the engine received the request.
     pub at: Instant,
 }
 
 #[derive(Default)]
-struct Notes {
+struct Observations {
     came: Vec<Came>,
     recent: VecDeque<(Instant, f64)>,
     worst: f64,
@@ -44,57 +47,58 @@
     fell: bool,
 }
 
-/// A running box.
+/// A running fake engine.
 pub struct Box {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// When it started.
+    /// Time at which the engine started.
     pub started: Instant,
-    notes: Arc<Mutex<Notes>>,
+    observations: Arc<Mutex<Observations>>,
     task: tokio::task::JoinHandle<()>,
 }
 
 struct Job {
     id: u64,
-    left: f64,
+    remaining_work: f64,
     answer: mpsc::UnboundedSender<String>,
 }
 
 impl Box {
-    /// Starts a box at an address; port 0 takes any.
+    /// Starts an engine at an address; port 0 selects a free port.
     pub async fn start(address: SocketAddr, power: Power) -> std::io::Result<Box> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let (started, notes) = (Instant::now(), Arc::new(Mutex::new(Notes::default())));
-        let task = tokio::spawn(serve(listener, power, started, notes.clone()));
-        Ok(Box { address, started, notes, task })
+        let (started, observations) = (Instant::now(), Arc::new(Mutex::new(Observations::default())));
+        let task = tokio::spawn(serve(listener, power, started, observations.clone()));
+        Ok(Box { address, started, observations, task })
     }
 
-    fn notes(&self) -> std::sync::MutexGuard<'_, Notes> {
-        self.notes.lock().unwrap_or_else(PoisonError::into_inner)
+    fn observations(&self) -> std::sync::MutexGuard<'_, Observations> {
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What came, in order.
+    /// Returns the received requests in order of arrival.
     pub fn came(&self) -> Vec<Came> {
-        self.notes().came.clone()
+        self.observations().came.clone()
     }
 
-    /// The most that it was sent within the span while it warmed, as a share of what brings it down.
+    /// Returns the maximum load within the window while the engine warmed up, as a fraction of the load at which the
+    /// engine fails.
     pub fn worst(&self) -> f64 {
-        self.notes().worst
+        self.observations().worst
     }
 
-    /// Whether it has fallen over.
+    /// Returns whether the engine was overloaded while warming up.
     pub fn fell(&self) -> bool {
-        self.notes().fell
+        self.observations().fell
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
-        self.notes().running
+        self.observations().running
     }
 
-    /// Ends it, with all its connections.
+    /// Stops the engine and closes all its connections.
     pub fn stop(&self) {
         self.task.abort();
     }
@@ -107,15 +111,20 @@
 }
 
 impl Power {
-    fn warmth(&self, age: Duration) -> f64 {
+    fn available_fraction(&self, age: Duration) -> f64 {
         let warm = age.as_secs_f64() * 1000.0 / self.warm_ms.max(1e-9);
         self.start_share + (1.0 - self.start_share) * warm.min(1.0)
     }
 }
 
-async fn serve(listener: TcpListener, power: Power, started: Instant, notes: Arc<Mutex<Notes>>) {
-    let (jobs, mut wanted) = mpsc::unbounded_channel::<Job>();
-    let mut conns = tokio::task::JoinSet::new();
+async fn serve(
+    listener: TcpListener,
+    power: Power,
+    started: Instant,
+    observations: Arc<Mutex<Observations>>,
+) {
+    let (jobs, mut new_jobs) = mpsc::unbounded_channel::<Job>();
+    let mut connections = tokio::task::JoinSet::new();
     let mut running: HashMap<u64, Job> = HashMap::new();
     let mut step = tokio::time::interval(STEP);
     let mut last = Instant::now();
@@ -123,40 +132,41 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    conns.spawn(converse(stream, jobs.clone(), power, started, notes.clone()));
+                    connections.spawn(serve_connection(stream, jobs.clone(), power, started, observations.clone()));
                 }
             }
-            Some(job) = wanted.recv() => {
+            Some(job) = new_jobs.recv() => {
                 running.insert(job.id, job);
             }
             _ = step.tick() => {
                 let now = Instant::now();
                 let passed = (now - last).as_secs_f64() * 1000.0;
                 last = now;
-                let cores = power.cores * power.warmth(now - started);
-                let each = passed * (cores / running.len().max(1) as f64).min(1.0);
+                let cores = power.cores * power.available_fraction(now - started);
+                let progress = passed * (cores / running.len().max(1) as f64).min(1.0);
                 running.retain(|id, job| {
-                    job.left -= each;
-                    if job.left <= 0.0 {
-                        // Whoever asked may be gone; then nobody is to be told.
+                    job.remaining_work -= progress;
+                    if job.remaining_work <= 0.0 {
+                        // The send fails if the client has disconnected; the result is then discarded.
                         let _ = job.answer.send(format!("done {id}\n"));
                     }
-                    job.left > 0.0
+                    job.remaining_work > 0.0
                 });
-                notes.lock().unwrap_or_else(PoisonError::into_inner).running = running.len();
+                observations.lock().unwrap_or_else(PoisonError::into_inner).running = running.len();
             }
         }
     }
 }
 
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     jobs: mpsc::UnboundedSender<Job>,
     power: Power,
     started: Instant,
-    notes: Arc<Mutex<Notes>>,
+    observations: Arc<Mutex<Observations>>,
 ) {
-    let _ = stream.set_nodelay(true); // Where it can't be set, answers only come later.
+    // Without TCP_NODELAY answers are only delayed, so an error is ignored.
+    let _ = stream.set_nodelay(true);
     let (read, mut write) = stream.into_split();
     let (answer, mut answers) = mpsc::unbounded_channel::<String>();
     let mut lines = BufReader::new(read).lines();
@@ -167,11 +177,11 @@
                 let mut words = line.split(' ').skip(1);
                 let (Some(Ok(id)), Some(Ok(work))) = (words.next().map(str::parse), words.next().map(str::parse)) else { return };
                 {
-                    let mut notes = notes.lock().unwrap_or_else(PoisonError::into_inner);
-                    notes.take(id, work, power, started);
-                    notes.running += 1;
+                    let mut observations = observations.lock().unwrap_or_else(PoisonError::into_inner);
+                    observations.record_request(id, work, power, started);
+                    observations.running += 1;
                 }
-                if jobs.send(Job { id, left: work, answer: answer.clone() }).is_err() {
+                if jobs.send(Job { id, remaining_work: work, answer: answer.clone() }).is_err() {
                     return;
                 }
             }
@@ -184,8 +194,8 @@
     }
 }
 
-impl Notes {
-    fn take(&mut self, id: u64, work: f64, power: Power, started: Instant) {
+impl Observations {
+    fn record_request(&mut self, id: u64, work: f64, power: Power, started: Instant) {
         let now = Instant::now();
         self.came.push(Came { id, at: now });
         self.recent.push_back((now, work));
@@ -196,9 +206,10 @@
         let age = now - started;
         if age.as_secs_f64() * 1000.0 < power.warm_ms {
             let sent: f64 = self.recent.iter().map(|(_, work)| work).sum();
-            let bears = power.fall_multiple * power.cores * power.warmth(age) * power.fall_span_ms;
-            self.worst = self.worst.max(sent / bears);
-            self.fell |= sent > bears;
+            let limit =
+                power.fall_multiple * power.cores * power.available_fraction(age) * power.fall_span_ms;
+            self.worst = self.worst.max(sent / limit);
+            self.fell |= sent > limit;
         }
     }
 }
--- a/crates/fakes/src/bulletin.rs
+++ b/crates/fakes/src/bulletin.rs
@@ -1,4 +1,5 @@
-//! A stand-in bulletin: numbered events about boxes, in frames, to whoever asks from a number on.
+//! Fake service discovery: sends numbered events about engines in binary frames. A client sends the number of the
+//! last event that it knows, and receives all later events.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,55 +8,56 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The state of a box.
+/// State of an engine in service discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It takes work.
+    /// The engine accepts requests.
     Ready = 0,
-    /// It finishes what it has.
+    /// The engine finishes its running requests and must get no new ones.
     Draining = 1,
-    /// It is no more.
+    /// The engine no longer exists.
     Gone = 2,
 }
 
-/// What an event says of one box.
+/// Part of an event that describes one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Its number.
+    /// Number of the engine.
     pub id: u32,
-    /// Where it listens.
+    /// Listening address of the engine.
     pub address: SocketAddr,
-    /// Its state.
+    /// State of the engine.
     pub state: State,
-    /// When it started, in Unix milliseconds; 0: long ago.
+    /// Start time of the engine in Unix milliseconds; 0 means long ago, so the engine is warm.
     pub started: u64,
 }
 
-/// The bulletin.
+/// A running service discovery server.
 pub struct Bulletin {
-    /// Where it listens.
+    /// Listening address of the server.
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<Vec<u8>>>>,
     count: watch::Sender<usize>,
 }
 
 impl Bulletin {
-    /// Starts a bulletin whose first event is yet to come.
+    /// Starts a server without events on a free loopback port.
     pub async fn start() -> std::io::Result<Bulletin> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let events: Arc<Mutex<Vec<Vec<u8>>>> = Arc::default();
-        let (count, counted) = watch::channel(0);
-        let kept = events.clone();
+        let (count, count_changes) = watch::channel(0);
+        let shared_events = events.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(tell(stream, kept.clone(), counted.clone()));
+                tokio::spawn(send_events(stream, shared_events.clone(), count_changes.clone()));
             }
         });
         Ok(Bulletin { address, events, count })
     }
 
-    /// Adds an event: the whole list, or changes. Gives the time at which it was told.
+    /// Publishes an event with the whole engine list (`whole`) or with changed entries only. Returns the time of
+    /// publication.
     pub fn tell(&self, whole: bool, entries: &[Entry]) -> Instant {
         let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         let number = events.len() as u64 + 1;
@@ -66,7 +68,8 @@
     }
 }
 
-/// The bytes of a frame: kind 0 is empty, 1 the whole list, 2 changes.
+/// Encodes a frame. Kind 0 is a heartbeat without entries, kind 1 the whole engine list, and kind 2 a list of
+/// changes.
 pub fn frame(number: u64, kind: u8, entries: &[Entry]) -> Vec<u8> {
     let mut body = number.to_be_bytes().to_vec();
     body.push(kind);
@@ -84,27 +87,32 @@
     frame
 }
 
-async fn tell(mut stream: TcpStream, events: Arc<Mutex<Vec<Vec<u8>>>>, mut counted: watch::Receiver<usize>) {
-    let _ = stream.set_nodelay(true); // Where it can't be set, news only comes later.
+async fn send_events(
+    mut stream: TcpStream,
+    events: Arc<Mutex<Vec<Vec<u8>>>>,
+    mut count_changes: watch::Receiver<usize>,
+) {
+    // Without TCP_NODELAY events are only delayed, so an error is ignored.
+    let _ = stream.set_nodelay(true);
     let mut last = [0; 8];
     if stream.read_exact(&mut last).await.is_err() {
         return;
     }
-    let mut told = u64::from_be_bytes(last) as usize;
+    let mut sent = u64::from_be_bytes(last) as usize;
     loop {
         let new: Vec<u8> = {
             let events = events.lock().unwrap_or_else(PoisonError::into_inner);
-            let new = events.get(told..).unwrap_or_default().concat();
-            told = events.len();
+            let new = events.get(sent..).unwrap_or_default().concat();
+            sent = events.len();
             new
         };
         if stream.write_all(&new).await.is_err() {
             return;
         }
         tokio::select! {
-            changed = counted.changed() => if changed.is_err() { return },
+            changed = count_changes.changed() => if changed.is_err() { return },
             () = tokio::time::sleep(Duration::from_secs(1)) => {
-                if stream.write_all(&frame(told as u64, 0, &[])).await.is_err() {
+                if stream.write_all(&frame(sent as u64, 0, &[])).await.is_err() {
                     return;
                 }
             }
--- a/crates/fakes/src/draw.rs
+++ b/crates/fakes/src/draw.rs
@@ -1,16 +1,16 @@
-//! Draws from a seed: SplitMix64, so that a run's choices are told by its seed alone.
+//! Seeded pseudo-random generator (SplitMix64), so that the seed alone determines all random choices of a run.
 
-/// A row of draws.
+/// A stream of pseudo-random numbers.
 #[derive(Clone, Debug)]
 pub struct Draw(u64);
 
 impl Draw {
-    /// From a seed.
+    /// Creates the stream of a seed.
     pub fn new(seed: u64) -> Draw {
         Draw(seed)
     }
 
-    /// The next 64 bits.
+    /// Returns the next 64 random bits.
     pub fn bits(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -18,17 +18,17 @@
         z ^ (z >> 31)
     }
 
-    /// From 0 to 1.
+    /// Returns a uniform random number from 0 (inclusive) to 1 (exclusive).
     pub fn unit(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A number below `most`.
+    /// Returns a uniform random integer below `most`; 0 if `most` is 0.
     pub fn below(&mut self, most: u64) -> u64 {
         (self.unit() * most as f64) as u64
     }
 
-    /// Exponential, with this mean.
+    /// Returns an exponentially distributed random number with the given mean.
     pub fn waits(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of stand-in boxes behind a bulletin, with proxies that send them work: rolling deploys, and what the boxes
-//! saw of them.
+//! Fake engines with service discovery, and proxies that send requests to the engines: performs rolling deploys of
+//! the engines and reports which requests the engines received.
 
 use crate::boxes::{Box, Power};
 use crate::bulletin::{Bulletin, Entry, State};
@@ -10,49 +10,52 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How a box is replaced.
+/// Parameters of a rolling deploy of engines.
 #[derive(Clone, Copy, Debug)]
 pub struct Roll {
-    /// Boxes replaced one after the other.
+    /// Number of engines that are replaced one after the other.
     pub drains: usize,
-    /// From one drain to the next.
+    /// Interval between the starts of two drains.
     pub every: Duration,
-    /// From a drain to the box's end, if it has nothing to do by then.
+    /// Minimum time between the start of a drain and the stop of the engine. The stop is delayed further while
+    /// requests are running.
     pub gone_after: Duration,
 }
 
-/// What was seen at the boxes and the proxies.
+/// Observations of the engines and the proxies.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// For each drain, how long after the front end was told the last new request came; zero where none did.
+    /// For each drain, the time from its announcement until the engine received its last new request; zero if no
+    /// request arrived.
     pub drains: Vec<Duration>,
-    /// The most that a warming box was sent, as a share of what brings it down.
+    /// Maximum load of a warming engine, as a fraction of the load at which the engine fails.
     pub worst: f64,
-    /// Requests that came to boxes while they warmed.
+    /// Number of requests that engines received while warming up.
     pub while_warming: u64,
-    /// Boxes that fell over.
+    /// Number of engines that were overloaded while warming up.
     pub fell: usize,
-    /// Requests sent by proxies.
+    /// Number of requests that proxies sent.
     pub sent: u64,
-    /// Requests answered.
+    /// Number of answered requests.
     pub answered: u64,
-    /// Requests refused at proxies: a bound was reached, nothing was held to send to, the box took no connection.
+    /// Number of requests refused at proxies, by reason: the cluster's request limit was reached, no healthy endpoint
+    /// was known, the engine refused the connection.
     pub refused: [u64; 3],
-    /// Answers that nobody waited for.
+    /// Number of answers without a matching open request.
     pub stray: u64,
-    /// Requests that came to more than one box, or twice to one.
+    /// Number of requests that reached the engines more than once.
     pub doubled: u64,
-    /// Streams that the proxies opened.
+    /// Number of xDS streams that the proxies opened.
     pub streams: u64,
 }
 
 impl Report {
-    /// Requests that got no answer.
+    /// Returns the number of requests without an answer.
     pub fn lost(&self) -> u64 {
         self.sent - self.answered
     }
 
-    /// The drain times from the least to the most.
+    /// Returns the drain times in ascending order.
     pub fn sorted(&self) -> Vec<Duration> {
         let mut drains = self.drains.clone();
         drains.sort();
@@ -65,9 +68,9 @@
     running: Box,
 }
 
-/// The fleet.
+/// A set of fake engines with service discovery and proxies.
 pub struct Fleet {
-    /// Which boxes there are.
+    /// Service discovery, which announces the engines.
     pub bulletin: Bulletin,
     power: Power,
     members: Vec<Member>,
@@ -79,7 +82,7 @@
 }
 
 impl Fleet {
-    /// So many warm boxes, told by a bulletin.
+    /// Starts warm engines and announces them through service discovery.
     pub async fn start(boxes: usize, power: Power) -> std::io::Result<Fleet> {
         let bulletin = Bulletin::start().await?;
         let mut members = Vec::new();
@@ -95,7 +98,7 @@
         Ok(Fleet { bulletin, power, members, past, drains, next, tallies, proxies })
     }
 
-    /// Starts a proxy that works until `until`.
+    /// Starts a proxy that sends requests until `until`.
     pub fn proxy(&mut self, script: Script, until: Instant) -> Arc<Tally> {
         let tally = Arc::new(Tally::default());
         self.tallies.push(tally.clone());
@@ -103,7 +106,8 @@
         tally
     }
 
-    /// Replaces boxes one after the other; every second successor takes the address of the one before.
+    /// Replaces engines one after the other. Every second new engine listens on the address of the engine that it
+    /// replaces.
     pub async fn roll(&mut self, roll: Roll) -> std::io::Result<()> {
         for i in 0..roll.drains {
             let start = Instant::now();
@@ -113,7 +117,7 @@
         Ok(())
     }
 
-    /// Replaces one box.
+    /// Drains and stops one engine and starts a new one, on the same address if `same` is set.
     pub async fn replace(&mut self, place: usize, same: bool, gone_after: Duration) -> std::io::Result<()> {
         let member = &self.members[place];
         let entry =
@@ -130,7 +134,7 @@
         let running = loop {
             match Box::start(at, self.power).await {
                 Ok(running) => break running,
-                // The connections of the one before are on their way out.
+                // The address may stay in use while connections of the stopped engine are closing.
                 Err(_) if Instant::now() < patience + Duration::from_secs(2) => {
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
@@ -147,10 +151,11 @@
         Ok(())
     }
 
-    /// Waits for the proxies' ends and tells what was seen.
+    /// Waits until all proxies have stopped, and returns the observations.
     pub async fn finish(mut self) -> Report {
         for proxy in self.proxies.drain(..) {
-            let _ = proxy.await; // A proxy that panicked shows in the tallies.
+            // The error of a panicked proxy is ignored: the counters show its missing answers.
+            let _ = proxy.await;
         }
         let mut report = Report::default();
         let mut ids: HashMap<u64, u32> = HashMap::new();
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A stand-in proxy: holds what it is told over xDS as a proxy would, sends requests to boxes by it, and reports its
-//! load. Scripts make it late, forgetful, stubborn or still.
+//! Fake proxy: an xDS client that sends requests to engines according to its current resources, and reports its load.
+//! A [`Script`] makes the proxy apply resources late, reconnect, reject responses, or never acknowledge them.
 
 use crate::draw::Draw;
 use beamgap_xds::client::held::Told;
@@ -20,87 +20,88 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// What a proxy does.
+/// Behavior of a proxy.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Its name.
+    /// Node id of the proxy in xDS requests.
     pub node: String,
-    /// The services, tried in turn.
+    /// Addresses of the xDS servers, used in turn.
     pub services: Vec<String>,
-    /// The variant of the protocol.
+    /// Variant of the xDS protocol (state of the world or delta).
     pub variant: Variant,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub per_second: f64,
-    /// The mean work of a request in milliseconds.
+    /// Mean work of a request in milliseconds.
     pub work_ms: f64,
-    /// What is told takes effect so much later.
+    /// Delay between the receipt of an xDS response and its application.
     pub late: Duration,
-    /// It never answers a response.
+    /// Whether the proxy never answers a response, neither with an ACK nor with a NACK.
     pub never_acks: bool,
-    /// Every so many responses, one is refused.
+    /// With `Some(n)`, the proxy rejects every n-th response with a NACK; with `None`, no response is rejected.
     pub refuses: Option<u64>,
-    /// It drops its stream this often, and goes to the next service.
+    /// Interval after which the proxy closes its xDS stream and connects to the next server.
     pub reconnects: Option<Duration>,
-    /// Whether it reports its load.
+    /// Whether the proxy reports its load.
     pub reports: bool,
-    /// The seed of its draws.
+    /// Seed of the proxy's random choices.
     pub seed: u64,
 }
 
-/// What a proxy has done.
+/// Counters of a proxy.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: AtomicU64,
-    /// Requests answered.
+    /// Number of requests answered.
     pub answered: AtomicU64,
-    /// Requests answered twice, or never asked.
+    /// Number of answers without an open request: the request was answered before or never sent.
     pub stray: AtomicU64,
-    /// Requests refused at the proxy, as a cluster's bound was reached.
+    /// Number of requests refused at the proxy because the cluster's request limit was reached.
     pub full: AtomicU64,
-    /// Requests refused at the proxy, as it held no route, no cluster or no healthy endpoint for them.
+    /// Number of requests refused at the proxy because no route, no cluster or no healthy endpoint was known.
     pub nowhere: AtomicU64,
-    /// Requests refused at the proxy, as the box took no connection.
+    /// Number of requests refused at the proxy because the connection to the engine failed.
     pub closed: AtomicU64,
-    /// Responses taken.
+    /// Number of xDS responses received.
     pub responses: AtomicU64,
-    /// Streams opened.
+    /// Number of xDS streams opened.
     pub streams: AtomicU64,
 }
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+/// Next request id, unique among all proxies of the process.
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-struct Run {
+struct ProxyState {
     script: Script,
     tally: Arc<Tally>,
     session: Session,
     start: Instant,
     draw: Draw,
-    /// Connections to boxes by address.
-    boxes: HashMap<SocketAddr, mpsc::UnboundedSender<String>>,
-    /// Requests out: the cluster of each.
-    out: HashMap<u64, String>,
-    /// Requests out by cluster.
+    /// Senders to the connection tasks of engines, by address of the engine.
+    connections: HashMap<SocketAddr, mpsc::UnboundedSender<String>>,
+    /// Cluster of each open request, by request id.
+    open_requests: HashMap<u64, String>,
+    /// Number of open requests by cluster.
     by_cluster: HashMap<String, u32>,
     issued: u64,
     done: mpsc::UnboundedSender<u64>,
 }
 
-/// Runs a proxy until `until`, then waits for its last answers for at most five seconds.
+/// Runs a proxy that sends requests until `until`, then waits at most five seconds for outstanding answers.
 pub async fn run(script: Script, tally: Arc<Tally>, until: Instant) {
     let (done, mut answers) = mpsc::unbounded_channel();
     let (asks, mut responses) = mpsc::unbounded_channel::<Got>();
     let (answer, to_send) = mpsc::unbounded_channel::<Ask>();
     let (opened, mut fresh) = mpsc::unbounded_channel::<mpsc::Sender<Vec<Ask>>>();
-    let talk = tokio::spawn(converse(script.clone(), tally.clone(), asks, to_send, opened));
+    let stream_task = tokio::spawn(run_xds_stream(script.clone(), tally.clone(), asks, to_send, opened));
     let (loads, reported) = tokio::sync::watch::channel((0u64, 0u64, Vec::new()));
-    let report = script.reports.then(|| tokio::spawn(report(script.clone(), reported)));
-    let mut run = Run {
+    let report = script.reports.then(|| tokio::spawn(report_load(script.clone(), reported)));
+    let mut run = ProxyState {
         session: Session::new(script.variant),
         start: Instant::now(),
         draw: Draw::new(script.seed),
-        boxes: HashMap::new(),
-        out: HashMap::new(),
+        connections: HashMap::new(),
+        open_requests: HashMap::new(),
         by_cluster: HashMap::new(),
         issued: 0,
         done,
@@ -113,16 +114,17 @@
     let last = until + Duration::from_secs(5);
     loop {
         let now = Instant::now();
-        if now >= last || (now >= until && run.out.is_empty()) {
+        if now >= last || (now >= until && run.open_requests.is_empty()) {
             break;
         }
         let due = waiting.front().map_or(last, |(at, _)| *at);
         let send = if now < until { next } else { last };
         tokio::select! {
             Some(reply) = fresh.recv() => {
-                // A new stream: what was under way on the old one is lost.
+                // Responses of the previous stream that were not applied yet are discarded when a new stream opens.
                 waiting.clear();
-                let _ = reply.try_send(run.session.opened()); // The talk waits for just this.
+                // The send can't block: the stream task waits for this single message.
+                let _ = reply.try_send(run.session.opened());
             }
             Some(got) = responses.recv() => {
                 run.tally.responses.fetch_add(1, Ordering::Relaxed);
@@ -135,36 +137,37 @@
                     let refuse = run.script.refuses.is_some_and(|every| count % every == every - 1);
                     let now = run.now();
                     let (_, asks) = run.session.got(now, &got, refuse.then_some("by script"));
-                    // What answers nothing subscribes, and that it does all the same.
+                    // Requests without a nonce are subscriptions, which a proxy that never acknowledges sends too.
                     let answers = |ask: &Ask| !run.script.never_acks || ask.nonce.is_empty();
                     for ask in asks.into_iter().filter(answers) {
-                        let _ = answer.send(ask); // The talk may have ended.
+                        // The send fails if the stream task has ended; the answer is then not needed.
+                        let _ = answer.send(ask);
                     }
                 }
             }
             () = tokio::time::sleep_until(send.into()) => {
                 if Instant::now() < until {
-                    run.request().await;
+                    run.send_request().await;
                     next += Duration::from_secs_f64(run.draw.waits(1.0 / run.script.per_second.max(1e-3)));
                 }
             }
             _ = tell_loads.tick() => {
                 let clusters = run.by_cluster.keys().cloned().collect();
-                loads.send_replace((run.out.len() as u64, run.issued, clusters));
+                loads.send_replace((run.open_requests.len() as u64, run.issued, clusters));
             }
         }
     }
-    talk.abort();
+    stream_task.abort();
     report.into_iter().for_each(|report| report.abort());
 }
 
-impl Run {
+impl ProxyState {
     fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
     fn answered(&mut self, id: u64) {
-        match self.out.remove(&id) {
+        match self.open_requests.remove(&id) {
             Some(cluster) => {
                 self.tally.answered.fetch_add(1, Ordering::Relaxed);
                 self.by_cluster.entry(cluster).and_modify(|n| *n = n.saturating_sub(1));
@@ -175,21 +178,22 @@
         }
     }
 
-    /// A draw among weighted things.
+    /// Picks a random item with a probability proportional to its weight; `None` if all weights are 0.
     fn pick<T>(&mut self, of: Vec<(T, u32)>) -> Option<T> {
         let sum: u64 = of.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut at = self.draw.below(sum.max(1));
-        for (thing, weight) in of {
+        for (item, weight) in of {
             match at.checked_sub(u64::from(weight)) {
-                None => return Some(thing),
+                None => return Some(item),
                 Some(rest) => at = rest,
             }
         }
         None
     }
 
-    /// One request, as the route, the breakers and the endpoints say.
-    async fn request(&mut self) {
+    /// Sends one request to an engine chosen by route and endpoint weights, unless the cluster's request limit is
+    /// reached.
+    async fn send_request(&mut self) {
         let now = self.now();
         self.session.expire(now);
         let route =
@@ -204,17 +208,17 @@
             return count(&self.tally.full);
         }
         let Some(address) = self.pick(healthy) else { return count(&self.tally.nowhere) };
-        let id = NEXT.fetch_add(1, Ordering::Relaxed);
+        let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
         let work = self.draw.waits(self.script.work_ms).clamp(1.0, 4.0 * self.script.work_ms);
         let line = format!("run {id} {work:.1}\n");
-        let open = self.boxes.get(&address).filter(|sender| !sender.is_closed()).cloned();
+        let open = self.connections.get(&address).filter(|sender| !sender.is_closed()).cloned();
         let sender = match open {
             Some(sender) => sender,
             None => {
                 let Ok(stream) = TcpStream::connect(address).await else { return count(&self.tally.closed) };
                 let (sender, lines) = mpsc::unbounded_channel();
-                tokio::spawn(carry(stream, lines, self.done.clone()));
-                self.boxes.insert(address, sender.clone());
+                tokio::spawn(forward_requests(stream, lines, self.done.clone()));
+                self.connections.insert(address, sender.clone());
                 sender
             }
         };
@@ -224,7 +228,7 @@
         self.tally.sent.fetch_add(1, Ordering::Relaxed);
         self.issued += 1;
         *self.by_cluster.entry(cluster.clone()).or_default() += 1;
-        self.out.insert(id, cluster);
+        self.open_requests.insert(id, cluster);
     }
 }
 
@@ -232,13 +236,14 @@
     of.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Carries lines to a box and its answers back.
-async fn carry(
+/// Forwards request lines to an engine, and reports the id of each answered request.
+async fn forward_requests(
     stream: TcpStream,
     mut lines: mpsc::UnboundedReceiver<String>,
     done: mpsc::UnboundedSender<u64>,
 ) {
-    let _ = stream.set_nodelay(true); // Where it can't be set, requests only come later.
+    // Without TCP_NODELAY requests are only delayed, so an error is ignored.
+    let _ = stream.set_nodelay(true);
     let (read, mut write) = stream.into_split();
     let mut answers = BufReader::new(read).lines();
     loop {
@@ -260,8 +265,9 @@
     }
 }
 
-/// Keeps a stream up: asks what to begin with whenever it is new, hands over what comes, sends what is answered.
-async fn converse(
+/// Maintains an xDS stream and reopens the stream when it ends. Each new stream starts with the initial requests of
+/// the session; received responses are passed to the proxy, and the proxy's answers are sent.
+async fn run_xds_stream(
     script: Script,
     tally: Arc<Tally>,
     got: mpsc::UnboundedSender<Got>,
@@ -279,7 +285,8 @@
             return;
         }
         let Some(first) = first.recv().await else { return };
-        while to_send.try_recv().is_ok() {} // Answers to the stream before are of no use on this one.
+        // Answers to responses of the previous stream are invalid on the new stream and are discarded.
+        while to_send.try_recv().is_ok() {}
         let Ok(mut link) = Link::open(channel, &script.node, script.variant, first).await else { continue };
         tally.streams.fetch_add(1, Ordering::Relaxed);
         let over = tokio::time::sleep(script.reconnects.unwrap_or(Duration::from_secs(3600)));
@@ -300,8 +307,8 @@
     }
 }
 
-/// Reports what is out, as long as there is a service to report to.
-async fn report(script: Script, loads: tokio::sync::watch::Receiver<(u64, u64, Vec<String>)>) {
+/// Sends periodic load reports to the first xDS server, and reconnects when the stream ends.
+async fn report_load(script: Script, loads: tokio::sync::watch::Receiver<(u64, u64, Vec<String>)>) {
     let node = Node { id: script.node.clone(), ..Default::default() };
     let mut before = 0;
     loop {
@@ -318,14 +325,14 @@
         let Ok(answer) = LoadReportingServiceClient::new(channel).stream_load_stats(requests).await else {
             continue;
         };
-        let mut wishes = answer.into_inner();
+        let mut settings = answer.into_inner();
         let mut every = Duration::from_secs(1);
         loop {
             tokio::select! {
-                wish = wishes.message() => match wish {
-                    Ok(Some(wish)) => {
-                        let told = wish.load_reporting_interval.map(|d| Duration::from_secs(d.seconds.max(0) as u64));
-                        every = told.unwrap_or(every).max(Duration::from_millis(100));
+                setting = settings.message() => match setting {
+                    Ok(Some(setting)) => {
+                        let requested = setting.load_reporting_interval.map(|d| Duration::from_secs(d.seconds.max(0) as u64));
+                        every = requested.unwrap_or(every).max(Duration::from_millis(100));
                     }
                     _ => break,
                 },
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -1,133 +1,141 @@
-//! The platform's rules, judged from what clients and engines saw: pure, and by no book of the program's own.
+//! Checker of the platform's rules. The checker does no I/O, and its input is what clients and engines observed;
+//! records of the program under test are not used.
 
 use crate::warehouse::{Act, What};
 use std::collections::BTreeMap;
 
-/// A request as its client wrote it.
+/// A request as written by its client. All times are in milliseconds on the test's clock.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// When its last byte was written.
+    /// When the last byte of the request was written.
     pub at: f64,
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Its class.
+    /// Index of the request class.
     pub class: usize,
-    /// The key of its order.
+    /// Ordering key; requests of an ordered class with the same key must run one after the other.
     pub key: Option<String>,
-    /// When its client stops waiting.
+    /// Deadline at which the client stops waiting.
     pub until: f64,
-    /// When its client gave it up before that.
+    /// When the client gave up the request before the deadline; such a request needs no answer.
     pub gone: Option<f64>,
 }
 
-/// What a client was told.
+/// Final answer that a client received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// The result.
+    /// The request succeeded and the answer contains the result.
     Served,
-    /// Refused: trying again is harmless.
+    /// The request was refused, and the client may safely try again.
     Refused,
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// By class, whether it may be run twice.
+    /// For each class, whether a request may run more than once.
     pub safe: Vec<bool>,
-    /// By class, whether it keeps the order of its keys.
+    /// For each class, whether requests with the same ordering key must run in order.
     pub ordered: Vec<bool>,
-    /// Rest of a key after an end that is not sure, in milliseconds.
+    /// Time for which an ordering key stays blocked after an attempt that may still be running, in milliseconds.
     pub rest_ms: f64,
-    /// Further attempts: so many free, so many for each request, within so many milliseconds.
+    /// Retry budget: number of retries that are always allowed, additional retries per request, and the length of the
+    /// sliding window in milliseconds. `None` means no limit.
     pub ration: Option<(f64, f64, f64)>,
-    /// Attempts of one request.
+    /// Maximum number of attempts per request; `None` means no limit.
     pub most: Option<usize>,
-    /// After a client's time a final answer still counts for this long, in milliseconds.
+    /// Time after a client's deadline in which a final answer is still accepted, in milliseconds.
     pub grace_ms: f64,
 }
 
-struct Tried {
+struct Attempt {
     from: f64,
     end: Option<(f64, What)>,
 }
 
-/// Every break of a rule, in words; none if all is well.
+/// Returns a description of each violation of a rule; empty if there is none.
 pub fn judge(asked: &[Asked], said: &[(f64, String, Said)], acts: &[Act], rules: &Rules) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut tries: BTreeMap<&str, Vec<Tried>> = BTreeMap::new();
+    let mut violations = Vec::new();
+    let mut attempts: BTreeMap<&str, Vec<Attempt>> = BTreeMap::new();
     let mut acts: Vec<&Act> = acts.iter().collect();
-    acts.sort_by(|a, b| a.at.total_cmp(&b.at)); // Stable: each engine's own order stays.
+    // The sort is stable, so events of one engine at the same time stay in order.
+    acts.sort_by(|a, b| a.at.total_cmp(&b.at));
     for act in acts {
-        let of = tries.entry(&act.id).or_default();
+        let attempts_of_request = attempts.entry(&act.id).or_default();
         if act.what == What::Came {
-            if of.iter().any(|t| t.end.is_none()) {
-                broken.push(format!("{}: two attempts out at {:.0}", act.id, act.at));
+            if attempts_of_request.iter().any(|t| t.end.is_none()) {
+                violations.push(format!("{}: two attempts out at {:.0}", act.id, act.at));
             }
-            of.push(Tried { from: act.at, end: None });
-        } else if let Some(open) = of.iter_mut().find(|t| t.end.is_none()) {
+            attempts_of_request.push(Attempt { from: act.at, end: None });
+        } else if let Some(open) = attempts_of_request.iter_mut().find(|t| t.end.is_none()) {
             open.end = Some((act.at, act.what));
         }
     }
-    let mut further: Vec<f64> = Vec::new();
+    let mut retries: Vec<f64> = Vec::new();
     for request in asked {
         let answers: Vec<_> = said.iter().filter(|(_, id, _)| *id == request.id).collect();
         let (id, owed) = (&request.id, usize::from(request.gone.is_none()));
         if answers.len() > 1 || answers.len() < owed {
-            broken.push(format!("{id}: {} final answers", answers.len()));
+            violations.push(format!("{id}: {} final answers", answers.len()));
         }
         if let Some((at, ..)) = answers.first().filter(|(at, ..)| *at > request.until + rules.grace_ms) {
-            broken.push(format!("{id}: answered {:.0} ms too late", at - request.until));
+            violations.push(format!("{id}: answered {:.0} ms too late", at - request.until));
         }
-        let Some(of) = tries.get(id.as_str()) else { continue };
-        further.extend(of.iter().skip(1).map(|t| t.from));
-        let ran = |t: &Tried| !matches!(t.end, Some((_, What::TurnedAway)));
+        let Some(attempts_of_request) = attempts.get(id.as_str()) else { continue };
+        retries.extend(attempts_of_request.iter().skip(1).map(|t| t.from));
+        let ran = |t: &Attempt| !matches!(t.end, Some((_, What::TurnedAway)));
         if !rules.safe[request.class] {
-            if of.iter().rev().skip(1).any(ran) {
-                broken.push(format!("{id}: sent again though it may have run"));
+            if attempts_of_request.iter().rev().skip(1).any(ran) {
+                violations.push(format!("{id}: sent again though it may have run"));
             }
-            if answers.first().is_some_and(|(.., said)| *said == Said::Refused) && of.iter().any(ran) {
-                broken.push(format!("{id}: refused though it may have run"));
+            if answers.first().is_some_and(|(.., said)| *said == Said::Refused)
+                && attempts_of_request.iter().any(ran)
+            {
+                violations.push(format!("{id}: refused though it may have run"));
             }
         }
-        if rules.most.is_some_and(|most| of.len() > most) {
-            broken.push(format!("{id}: {} attempts", of.len()));
+        if rules.most.is_some_and(|most| attempts_of_request.len() > most) {
+            violations.push(format!("{id}: {} attempts", attempts_of_request.len()));
         }
         if let (true, Some(key)) = (rules.ordered[request.class], &request.key) {
-            let first = of[0].from;
+            let first = attempts_of_request[0].from;
             let same =
                 |a: &&Asked| a.key.as_ref() == Some(key) && rules.ordered[a.class] && a.at < request.at;
             for earlier in asked.iter().filter(same) {
                 let answered = said.iter().find(|(_, id, _)| *id == earlier.id).map(|(at, ..)| *at);
-                let over = answered.into_iter().chain(earlier.gone).fold(f64::INFINITY, f64::min);
-                if over > first {
-                    broken.push(format!("{id}: sent at {first:.0} before {} was over", earlier.id));
+                let ended_at = answered.into_iter().chain(earlier.gone).fold(f64::INFINITY, f64::min);
+                if ended_at > first {
+                    violations.push(format!("{id}: sent at {first:.0} before {} was over", earlier.id));
                 }
-                for t in tries.get(earlier.id.as_str()).into_iter().flatten() {
-                    let rest = match t.end {
+                for t in attempts.get(earlier.id.as_str()).into_iter().flatten() {
+                    let blocked_until = match t.end {
                         Some((at, What::Served | What::Failed | What::TurnedAway)) => at,
                         Some((at, What::Broke | What::CalledOff | What::TimedOut | What::Came)) => {
                             at + rules.rest_ms
                         }
                         None => f64::INFINITY,
                     };
-                    if first < rest {
-                        broken.push(format!("{id}: sent at {first:.0}, {} rests till {rest:.0}", earlier.id));
+                    if first < blocked_until {
+                        violations.push(format!(
+                            "{id}: sent at {first:.0}, {} rests till {blocked_until:.0}",
+                            earlier.id
+                        ));
                     }
                 }
             }
         }
     }
     if let Some((free, each, span)) = rules.ration {
-        for now in &further {
+        for now in &retries {
             let within = |at: &&f64| **at <= *now && now - **at < span;
-            let taken = asked.iter().filter(|a| a.at <= *now && now - a.at < span).count() as f64;
-            let sent = further.iter().filter(within).count() as f64;
-            if sent > 1.15 * (free + each * taken) + 1.0 {
-                broken.push(format!("at {now:.0}: {sent} further attempts for {taken} requests"));
+            let requests = asked.iter().filter(|a| a.at <= *now && now - a.at < span).count() as f64;
+            let sent = retries.iter().filter(within).count() as f64;
+            if sent > 1.15 * (free + each * requests) + 1.0 {
+                violations.push(format!("at {now:.0}: {sent} further attempts for {requests} requests"));
             }
         }
     }
-    broken
+    violations
 }
--- a/crates/fakes/src/warehouse.rs
+++ b/crates/fakes/src/warehouse.rs
@@ -1,99 +1,100 @@
-//! A stand-in engine of the platform's wire on a clock that tests set: bytes in, bytes out, no sockets. Its dialect
-//! (reports in answers, by probe or never; a bound on what runs or none) comes from the settings that it is given.
+//! Fake engine that speaks the platform's engine protocol, as a state machine without sockets: the test passes in the
+//! time and the received bytes, and gets back the bytes to send. Its [`Dialect`] selects how the engine reports its
+//! load (with answers, on a probe, or never) and whether the number of concurrent queries is limited.
 
 use crate::draw::Draw;
 use std::collections::BTreeMap;
 
-/// How load reports leave an engine.
+/// When an engine reports its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// Never.
+    /// The engine never reports its load.
     Off,
-    /// With each answer.
+    /// The engine reports its load with each answer.
     InAnswers,
-    /// In the answer to `busy` alone.
+    /// The engine reports its load only in the answer to a `busy` probe.
     WhenAsked,
 }
 
-/// What an engine is like, and how often it fails.
+/// Capacity and protocol options of an engine, and the probabilities of its failures.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// How its load is told.
+    /// When the engine reports its load.
     pub reports: Reports,
-    /// Milliseconds between notes; none if it says nothing until the end.
+    /// Interval between progress updates in milliseconds; `None` if the engine sends no updates.
     pub notes_ms: Option<f64>,
-    /// Whether good ends tell work and memory.
+    /// Whether successful answers contain the work and the memory of the query.
     pub tells_cost: bool,
-    /// Cores that all it runs share.
+    /// Number of cores, shared by all running queries.
     pub cores: f64,
-    /// Queries that it runs at once; none: all that it is sent.
+    /// Maximum number of concurrent queries; `None` means no limit.
     pub slots: Option<usize>,
-    /// Mean work in milliseconds.
+    /// Mean work of a query in milliseconds.
     pub work_ms: f64,
-    /// Share of attempts that it ends with an error.
+    /// Fraction of attempts that end with an error.
     pub crashes: f64,
-    /// Share of attempts that it turns away.
+    /// Fraction of attempts that the engine rejects as overloaded.
     pub overloads: f64,
-    /// Share of attempts of which it never says a word.
+    /// Fraction of attempts that hang: the engine accepts the query and never answers.
     pub hangs: f64,
 }
 
-/// What became of an attempt, as the engine saw it.
+/// An event in the life of an attempt, as observed by the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum What {
-    /// It came whole.
+    /// The engine received the whole attempt.
     Came,
-    /// It was served.
+    /// The engine sent the result.
     Served,
-    /// It ended with an error: it may have run, and does so no more.
+    /// The attempt ended with an error. The query may have run, and no longer runs.
     Failed,
-    /// Its connection ended: it may have run.
+    /// The connection of the attempt ended. The query may have run.
     Broke,
-    /// It was turned away: it never ran.
+    /// The engine rejected the attempt as overloaded. The query never ran.
     TurnedAway,
-    /// It was called off by its front end.
+    /// The front end cancelled the attempt.
     CalledOff,
-    /// Its time was over.
+    /// The time limit of the attempt expired.
     TimedOut,
 }
 
-/// One line of an engine's history.
+/// One event in an engine's history.
 #[derive(Clone, Debug)]
 pub struct Act {
-    /// When, on the test's clock.
+    /// Time of the event in milliseconds, on the test's clock.
     pub at: f64,
-    /// The request's id.
+    /// Request id of the attempt.
     pub id: String,
-    /// What happened.
+    /// Kind of the event.
     pub what: What,
 }
 
-struct Run {
+struct RunningQuery {
     conn: u64,
-    left: f64,
+    remaining_work: f64,
     work: f64,
     until: f64,
-    noted: f64,
-    mute: bool,
+    last_update: f64,
+    hangs: bool,
 }
 
-/// An engine.
+/// State machine of a fake engine.
 pub struct Engine {
     dialect: Dialect,
     draw: Draw,
     now: f64,
-    running: BTreeMap<String, Run>,
-    /// All that came to it and what became of it, in order.
+    running: BTreeMap<String, RunningQuery>,
+    /// History of all received attempts and their ends, in order.
     pub acts: Vec<Act>,
 }
 
 impl Engine {
-    /// An engine that runs nothing yet.
+    /// Creates an engine without running queries.
     pub fn new(dialect: Dialect, seed: u64, now: f64) -> Engine {
         Engine { dialect, draw: Draw::new(seed), now, running: BTreeMap::new(), acts: Vec::new() }
     }
 
-    fn note(&mut self, id: &str, what: What) {
+    fn record(&mut self, id: &str, what: What) {
         self.acts.push(Act { at: self.now, id: id.to_owned(), what });
     }
 
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Takes the whole lines of a connection's input; what it answers at once. A line that is none of the wire's is an
-    /// error that names it.
+    /// Consumes the complete messages in a connection's input and returns the immediate answers. Returns an error
+    /// that contains the line if a line violates the protocol.
     pub fn take(&mut self, now: f64, conn: u64, input: &mut Vec<u8>) -> Result<Vec<u8>, String> {
         self.now = now;
         let mut out = String::new();
@@ -129,12 +130,12 @@
                     used += length + 2;
                     let max = fields.split(',').find_map(|f| f.strip_prefix("max=")?.parse::<f64>().ok());
                     let max = max.ok_or_else(|| format!("no max: {line}"))?;
-                    self.want(conn, id, max, &mut out);
+                    self.start_query(conn, id, max, &mut out);
                 }
                 ["never_mind", id] => {
                     if self.running.get(id).is_some_and(|run| run.conn == conn) {
                         self.running.remove(id);
-                        self.note(id, What::CalledOff);
+                        self.record(id, What::CalledOff);
                     }
                 }
                 ["there", tag] => out.push_str(&format!("{tag} green - 0\r\n\r\n")),
@@ -151,66 +152,75 @@
         Ok(out.into_bytes())
     }
 
-    fn want(&mut self, conn: u64, id: &str, max: f64, out: &mut String) {
-        self.note(id, What::Came);
+    fn start_query(&mut self, conn: u64, id: &str, max: f64, out: &mut String) {
+        self.record(id, What::Came);
         let full = self.dialect.slots.is_some_and(|most| self.running.len() >= most);
         if full || self.draw.unit() < self.dialect.overloads {
-            self.note(id, What::TurnedAway);
+            self.record(id, What::TurnedAway);
             return out.push_str(&format!("{id} overload - 0\r\n\r\n"));
         }
         if self.draw.unit() < self.dialect.crashes {
-            self.note(id, What::Failed);
+            self.record(id, What::Failed);
             return out.push_str(&format!("{id} crashed - 0\r\n\r\n"));
         }
         let work = self.draw.waits(self.dialect.work_ms).max(1.0);
-        let mute = self.draw.unit() < self.dialect.hangs;
-        let run = Run { conn, left: work, work, until: self.now + max, noted: self.now, mute };
+        let hangs = self.draw.unit() < self.dialect.hangs;
+        let run = RunningQuery {
+            conn,
+            remaining_work: work,
+            work,
+            until: self.now + max,
+            last_update: self.now,
+            hangs,
+        };
         self.running.insert(id.to_owned(), run);
     }
 
-    /// A connection has ended, and with it all that was open there.
+    /// Handles the end of a connection: ends all queries that were running for the connection.
     pub fn closed(&mut self, now: f64, conn: u64) {
         self.now = now;
-        let gone: Vec<String> =
+        let ended: Vec<String> =
             self.running.iter().filter(|(_, run)| run.conn == conn).map(|(id, _)| id.clone()).collect();
-        for id in gone {
+        for id in ended {
             self.running.remove(&id);
-            self.note(&id, What::Broke);
+            self.record(&id, What::Broke);
         }
     }
 
-    /// Lets time pass; what it says, by connection.
+    /// Advances the running queries to the time `now`. Returns the bytes to send, each with the number of its
+    /// connection.
     pub fn pass(&mut self, now: f64) -> Vec<(u64, Vec<u8>)> {
         let share = (now - self.now) * (self.dialect.cores / self.running.len().max(1) as f64).min(1.0);
         self.now = now;
-        let (mut said, mut over) = (Vec::new(), Vec::new());
+        let (mut output, mut finished) = (Vec::new(), Vec::new());
         let report = self.report(false);
         for (id, run) in &mut self.running {
-            run.left -= if run.mute { 0.0 } else { share };
-            if run.left <= 0.0 {
+            run.remaining_work -= if run.hangs { 0.0 } else { share };
+            if run.remaining_work <= 0.0 {
                 let mut fields = vec!["pages=1".to_owned()];
                 if self.dialect.tells_cost {
                     fields.push(format!("cost={:.1},need=20", run.work));
                 }
                 fields.extend(Some(report.clone()).filter(|r| !r.is_empty()));
                 let line = format!("{id} served {} 6\r\n1\t{}\t\n\r\n", fields.join(","), "ab");
-                said.push((run.conn, line.into_bytes()));
-                over.push((id.clone(), What::Served));
+                output.push((run.conn, line.into_bytes()));
+                finished.push((id.clone(), What::Served));
             } else if now >= run.until {
-                over.push((id.clone(), What::TimedOut));
-            } else if self.dialect.notes_ms.is_some_and(|every| now - run.noted >= every && !run.mute) {
-                run.noted = now;
-                let done = 1.0 - run.left / run.work;
-                said.push((
+                finished.push((id.clone(), What::TimedOut));
+            } else if self.dialect.notes_ms.is_some_and(|every| now - run.last_update >= every && !run.hangs)
+            {
+                run.last_update = now;
+                let done = 1.0 - run.remaining_work / run.work;
+                output.push((
                     run.conn,
                     format!("{id} update remark=so_far,v={done:.3} 0\r\n\r\n").into_bytes(),
                 ));
             }
         }
-        for (id, what) in over {
+        for (id, what) in finished {
             self.running.remove(&id);
-            self.note(&id, what);
+            self.record(&id, what);
         }
-        said
+        output
     }
 }
--- a/crates/fakes/tests/rules.rs
+++ b/crates/fakes/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The checker of the service's rules finds each kind of violation.
+//! Tests that the checker of the platform's rules accepts a valid history and finds each kind of violation.
 
 use beamgap_fakes::rules::{judge, Asked, Rules, Said};
 use beamgap_fakes::warehouse::{
@@ -15,7 +15,7 @@
     Act { at, id: id.to_owned(), what }
 }
 
-fn told(said: &[(f64, &str, Said)], acts: &[Act]) -> Vec<String> {
+fn violations(said: &[(f64, &str, Said)], acts: &[Act]) -> Vec<String> {
     let rules = Rules {
         safe: vec![false],
         ordered: vec![true],
@@ -32,9 +32,9 @@
 fn a_good_history_passes_and_each_invented_violation_is_found() {
     let answers = [(50.0, "a", Said::Served), (500.0, "b", Said::Served)];
     let good = [act(10.0, "a", Came), act(50.0, "a", Served), act(110.0, "b", Came), act(500.0, "b", Served)];
-    assert_eq!(told(&answers, &good), Vec::<String>::new());
+    assert_eq!(violations(&answers, &good), Vec::<String>::new());
     let finds = |said: &[(f64, &str, Said)], acts: &[Act], word: &str| {
-        let found = told(said, acts);
+        let found = violations(said, acts);
         assert!(found.iter().any(|line| line.contains(word)), "{word}: {found:?}");
     };
     finds(&answers[..1], &good, "0 final answers");
