--- a/crates/xds/src/client/held.rs
+++ b/crates/xds/src/client/held.rs
@@ -1,4 +1,4 @@
-//! What a proxy holds of what it was told.
+//! The resources that a proxy has received, in decoded form.
 
 use crate::core::resources::Kind;
 use crate::core::spans::millis;
@@ -12,27 +12,27 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// An endpoint as told.
+/// A decoded endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The engine's name.
+    /// The name of the engine.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the engine listens.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// The health status, which decides whether new requests may be sent.
     pub health: Told,
-    /// Its weight.
+    /// The load balancing weight.
     pub weight: u32,
 }
 
-/// The health of an endpoint, as told.
+/// The health status of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// It takes work.
+    /// The endpoint accepts requests.
     Healthy,
-    /// It takes none.
+    /// The endpoint must not receive requests, but may become healthy again.
     Unhealthy,
-    /// It finishes what it has.
+    /// The endpoint finishes its open requests and must not receive new ones.
     Draining,
 }
 
@@ -46,49 +46,49 @@
     }
 }
 
-/// A cluster's endpoints and the share of requests to be dropped.
+/// The endpoints of a cluster and the percentage of requests to be dropped.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct List {
-    /// The endpoints.
+pub struct EndpointList {
+    /// The endpoints of the cluster.
     pub endpoints: Vec<Endpoint>,
-    /// Per cent of requests to be dropped.
+    /// The percentage of requests to be dropped.
     pub drop: u32,
 }
 
-/// One resource, read.
+/// The content of a decoded resource.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
-    /// A cluster with the requests that may be out there.
+pub enum Content {
+    /// A cluster with its maximum number of open requests.
     Cluster(u32),
-    /// A cluster's endpoints.
-    List(List),
-    /// A listener's address.
+    /// The endpoints of a cluster.
+    EndpointList(EndpointList),
+    /// A listener with its address, if the address is usable.
     Listener(Option<SocketAddr>),
-    /// Clusters with their weights, and the time that a request may take in milliseconds.
+    /// The clusters of a route with their weights, and the request timeout in milliseconds.
     Routes(Vec<(String, u32)>, f64),
 }
 
-/// A resource that can't be used: the text of a NACK.
+/// The reason why a resource is invalid, used as the error message of a NACK.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unusable(pub String);
+pub struct InvalidResource(pub String);
 
-impl fmt::Display for Unusable {
+impl fmt::Display for InvalidResource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for InvalidResource {}
 
-/// Reads a resource's message: its name and what it says.
-pub fn read(kind: Kind, body: &[u8]) -> Result<(String, Item), Unusable> {
-    let bad = |e: prost::DecodeError| Unusable(format!("{}: {e}", kind.short()));
+/// Decodes a resource and returns its name and content.
+pub fn read(kind: Kind, body: &[u8]) -> Result<(String, Content), InvalidResource> {
+    let bad = |e: prost::DecodeError| InvalidResource(format!("{}: {e}", kind.short()));
     match kind {
         Kind::Cds => {
             let cluster = Cluster::decode(body).map_err(bad)?;
             let thresholds = cluster.circuit_breakers.iter().flat_map(|c| &c.thresholds);
             let most = thresholds.filter_map(|t| t.max_requests).map(|most| most.value).min();
-            Ok((cluster.name, Item::Cluster(most.unwrap_or(1024))))
+            Ok((cluster.name, Content::Cluster(most.unwrap_or(1024))))
         }
         Kind::Eds => {
             let list = ClusterLoadAssignment::decode(body).map_err(bad)?;
@@ -96,18 +96,18 @@
             let endpoints = endpoints.collect::<Result<_, _>>()?;
             let drops = list.policy.iter().flat_map(|p| &p.drop_overloads);
             let drop = drops.filter_map(|d| d.drop_percentage).map(|p| p.numerator).max().unwrap_or(0);
-            Ok((list.cluster_name, Item::List(List { endpoints, drop })))
+            Ok((list.cluster_name, Content::EndpointList(EndpointList { endpoints, drop })))
         }
         Kind::Lds => {
             let listener = Listener::decode(body).map_err(bad)?;
             let address = listener.address.and_then(|a| a.address).and_then(|a| socket(&a));
-            Ok((listener.name, Item::Listener(address)))
+            Ok((listener.name, Content::Listener(address)))
         }
         Kind::Rds => {
             let routes = RouteConfiguration::decode(body).map_err(bad)?;
             let route = routes.virtual_hosts.first().and_then(|host| host.routes.first());
             let Some(Action::Route(action)) = route.and_then(|route| route.action.clone()) else {
-                return Err(Unusable(format!("rds: {} has no route to a cluster", routes.name)));
+                return Err(InvalidResource(format!("rds: {} has no route to a cluster", routes.name)));
             };
             let timeout = action.timeout.as_ref().map_or(15_000.0, millis);
             let parts = match action.cluster_specifier {
@@ -118,20 +118,20 @@
                     parts.clusters.into_iter().map(part).collect()
                 }
                 Some(ClusterSpecifier::Cluster(name)) => vec![(name, 1)],
-                _ => return Err(Unusable(format!("rds: {} names no cluster", routes.name))),
+                _ => return Err(InvalidResource(format!("rds: {} names no cluster", routes.name))),
             };
-            Ok((routes.name, Item::Routes(parts, timeout)))
+            Ok((routes.name, Content::Routes(parts, timeout)))
         }
     }
 }
 
-fn endpoint(told: &LbEndpoint) -> Result<Endpoint, Unusable> {
+fn endpoint(told: &LbEndpoint) -> Result<Endpoint, InvalidResource> {
     let Some(HostIdentifier::Endpoint(endpoint)) = &told.host_identifier else {
-        return Err(Unusable("eds: an endpoint without address".to_owned()));
+        return Err(InvalidResource("eds: an endpoint without address".to_owned()));
     };
     let address = endpoint.address.as_ref().and_then(|a| a.address.as_ref()).and_then(socket);
     let Some(address) = address else {
-        return Err(Unusable(format!("eds: the address of {} can't be used", endpoint.hostname)));
+        return Err(InvalidResource(format!("eds: the address of {} can't be used", endpoint.hostname)));
     };
     let health = match HealthStatus::try_from(told.health_status) {
         Ok(HealthStatus::Healthy | HealthStatus::Unknown) => Told::Healthy,
@@ -148,33 +148,33 @@
     Some(SocketAddr::new(socket.address.parse().ok()?, u16::try_from(port).ok()?))
 }
 
-/// All that a proxy holds.
+/// All resources that a proxy has accepted.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Held {
+pub struct ProxyResources {
     items: BTreeMap<(Kind, String), Entry>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     version: String,
-    item: Item,
+    item: Content,
     until: Option<f64>,
 }
 
-impl Held {
-    /// Puts a resource in the place of the one before.
-    pub fn put(&mut self, kind: Kind, name: String, version: String, item: Item, until: Option<f64>) {
+impl ProxyResources {
+    /// Stores a resource, replacing an earlier version.
+    pub fn put(&mut self, kind: Kind, name: String, version: String, item: Content, until: Option<f64>) {
         self.items.insert((kind, name), Entry { version, item, until });
     }
 
-    /// Renews the time to live of a resource.
+    /// Changes the expiry time of a resource.
     pub fn renew(&mut self, kind: Kind, name: &str, until: Option<f64>) {
         if let Some(entry) = self.items.get_mut(&(kind, name.to_owned())) {
             entry.until = until;
         }
     }
 
-    /// Drops a resource; a cluster takes its endpoints with it.
+    /// Removes a resource, and for a cluster its endpoints too. Returns whether the resource existed.
     pub fn remove(&mut self, kind: Kind, name: &str) -> bool {
         if kind == Kind::Cds {
             self.items.remove(&(Kind::Eds, name.to_owned()));
@@ -182,7 +182,7 @@
         self.items.remove(&(kind, name.to_owned())).is_some()
     }
 
-    /// Drops what has outlived its time; gives the names.
+    /// Removes resources whose TTL has expired and returns their types and names.
     pub fn expire(&mut self, now: f64) -> Vec<(Kind, String)> {
         let over = self.items.iter().filter(|(_, e)| e.until.is_some_and(|until| now >= until));
         let over: Vec<_> = over.map(|(name, _)| name.clone()).collect();
@@ -192,48 +192,48 @@
         over
     }
 
-    /// When the next resource ends by its time to live.
+    /// The time at which the next TTL expires.
     pub fn next_end(&self) -> Option<f64> {
         self.items.values().filter_map(|e| e.until).min_by(f64::total_cmp)
     }
 
-    /// Names and versions of a type.
+    /// The names and versions of all resources of a type.
     pub fn versions(&self, kind: Kind) -> Vec<(String, String)> {
         let of = self.items.iter().filter(|((k, _), _)| *k == kind);
         of.map(|((_, name), e)| (name.clone(), e.version.clone())).collect()
     }
 
-    /// A resource.
-    pub fn item(&self, kind: Kind, name: &str) -> Option<&Item> {
+    /// The content of a resource.
+    pub fn item(&self, kind: Kind, name: &str) -> Option<&Content> {
         self.items.get(&(kind, name.to_owned())).map(|e| &e.item)
     }
 
-    /// All resources of a type.
-    pub fn of(&self, kind: Kind) -> impl Iterator<Item = (&str, &Item)> {
+    /// The names and contents of all resources of a type.
+    pub fn of(&self, kind: Kind) -> impl Iterator<Item = (&str, &Content)> {
         self.items.iter().filter(move |((k, _), _)| *k == kind).map(|((_, name), e)| (name.as_str(), &e.item))
     }
 
-    /// The clusters of the route with their weights.
+    /// The clusters named in the route with their weights.
     pub fn route(&self) -> Vec<(&str, u32)> {
         let routes = self.of(Kind::Rds).find_map(|(_, item)| match item {
-            Item::Routes(parts, _) => Some(parts),
+            Content::Routes(parts, _) => Some(parts),
             _ => None,
         });
         routes.into_iter().flatten().map(|(name, weight)| (name.as_str(), *weight)).collect()
     }
 
-    /// The requests that may be out at a cluster; none if it is not held.
+    /// The maximum number of open requests at a cluster; 0 if the cluster is unknown.
     pub fn most(&self, cluster: &str) -> u32 {
         match self.item(Kind::Cds, cluster) {
-            Some(Item::Cluster(most)) => *most,
+            Some(Content::Cluster(most)) => *most,
             _ => 0,
         }
     }
 
-    /// A cluster's endpoints; none if they are not held.
+    /// The endpoints of a cluster; empty if they are unknown.
     pub fn endpoints(&self, cluster: &str) -> &[Endpoint] {
         match self.item(Kind::Eds, cluster) {
-            Some(Item::List(list)) => &list.endpoints,
+            Some(Content::EndpointList(list)) => &list.endpoints,
             _ => &[],
         }
     }
--- a/crates/xds/src/client/link.rs
+++ b/crates/xds/src/client/link.rs
@@ -1,6 +1,6 @@
-//! One stream of the service on gRPC, seen from the proxy.
+//! The client side of one ADS stream over gRPC.
 
-use super::session::{Got, GotResource};
+use super::session::{Got, ReceivedResource};
 use crate::core::spans::millis;
 use crate::core::stream::{Ask, Variant};
 use crate::envoy::config::core::v3::Node;
@@ -14,10 +14,12 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status, Streaming};
 
+/// The type URL of the message that wraps a resource to add its TTL.
 const WRAPPER: &str = "type.googleapis.com/envoy.service.discovery.v3.Resource";
+/// The maximum size of a response message, in bytes.
 const MESSAGE_MOST: usize = 64 << 20;
 
-/// An open stream.
+/// An open ADS stream.
 pub struct Link {
     node: Option<Node>,
     requests: Requests,
@@ -34,11 +36,11 @@
     Delta(Streaming<ads::DeltaDiscoveryResponse>),
 }
 
-/// Connects to a service, as `host:port`.
+/// Connects to a control plane at an address of the form `host:port`.
 pub async fn connect(address: &str) -> Result<Channel, tonic::transport::Error> {
-    let patience = std::time::Duration::from_secs(5);
+    let timeout = std::time::Duration::from_secs(5);
     Endpoint::from_shared(format!("http://{address}"))?
-        .connect_timeout(patience)
+        .connect_timeout(timeout)
         .http2_keep_alive_interval(std::time::Duration::from_secs(10))
         .keep_alive_while_idle(true)
         .connect()
@@ -46,7 +48,8 @@
 }
 
 impl Link {
-    /// Opens a stream for a proxy of this name, and sends the first requests; servers answer none before.
+    /// Opens a stream for the node id `node` and sends the first requests, as servers may not answer the call before
+    /// they receive a request.
     pub async fn open(
         channel: Channel,
         node: &str,
@@ -61,7 +64,7 @@
                 let (sender, requests) = mpsc::channel(64);
                 let mut link_node = Some(node);
                 for ask in first {
-                    // The channel is new and its room is larger than the first requests are many.
+                    // Sending cannot fail: the new channel has capacity for more than the initial requests.
                     let _ = sender.try_send(world(ask, link_node.take()));
                 }
                 let responses = client.stream_aggregated_resources(ReceiverStream::new(requests)).await?;
@@ -72,7 +75,8 @@
                 let (sender, requests) = mpsc::channel(64);
                 let mut link_node = Some(node);
                 for ask in first {
-                    let _ = sender.try_send(delta(ask, link_node.take())); // Likewise.
+                    // Sending cannot fail: the new channel has capacity for more than the initial requests.
+                    let _ = sender.try_send(delta(ask, link_node.take()));
                 }
                 let responses = client.delta_aggregated_resources(ReceiverStream::new(requests)).await?;
                 let responses = Responses::Delta(responses.into_inner());
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Sends a request; gives false where the stream has ended.
+    /// Sends a request. Returns false if the stream has ended.
     pub async fn send(&mut self, ask: Ask) -> bool {
         match &self.requests {
             Requests::World(sender) => sender.send(world(ask, self.node.take())).await.is_ok(),
@@ -89,7 +93,7 @@
         }
     }
 
-    /// The next response; `None` when the stream has ended.
+    /// Waits for the next response. Returns `None` if the server ended the stream.
     pub async fn next(&mut self) -> Result<Option<Got>, Status> {
         match &mut self.responses {
             Responses::World(responses) => responses.message().await?.map(from_world).transpose(),
@@ -128,8 +132,8 @@
     }
 }
 
-fn from_resource(r: ads::Resource) -> GotResource {
-    GotResource {
+fn from_resource(r: ads::Resource) -> ReceivedResource {
+    ReceivedResource {
         name: Some(r.name),
         version: r.version,
         body: r.resource.map(|any| any.value),
@@ -145,7 +149,7 @@
             let wrapped = ads::Resource::decode(&any.value[..]);
             resources.push(from_resource(wrapped.map_err(|e| Status::internal(e.to_string()))?));
         } else {
-            resources.push(GotResource {
+            resources.push(ReceivedResource {
                 name: None,
                 version: String::new(),
                 body: Some(any.value),
--- a/crates/xds/src/client/mod.rs
+++ b/crates/xds/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! The other side: a client of the service for operators (`beamgap xds watch`), stand-ins and tests. [`session`] and
-//! [`held`] are pure; [`link`] is one stream on gRPC.
+//! An xDS client for operators (`beamgap xds watch`), simulated proxies and tests. [`session`] and [`held`] perform no
+//! I/O; [`link`] is one gRPC stream.
 
 pub mod held;
 pub mod link;
--- a/crates/xds/src/client/session.rs
+++ b/crates/xds/src/client/session.rs
@@ -1,44 +1,45 @@
-//! One proxy's side of the protocol, without I/O: responses in, requests out, over any number of streams.
+//! The client side of the protocol for one proxy, without I/O. A session processes responses and produces requests; its
+//! state survives reconnects.
 
-use super::held::{read, Held, Item, Unusable};
+use super::held::{read, Content, InvalidResource, ProxyResources};
 use crate::core::resources::{Kind, ROUTES};
 use crate::core::stream::{Ask, Response, Variant};
 use std::collections::BTreeMap;
 
-/// A resource as it came.
+/// A resource in a received response.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GotResource {
-    /// Its name; state of the world tells it inside the message only.
+pub struct ReceivedResource {
+    /// The name, if sent outside the message; state of the world responses contain the name only inside the message.
     pub name: Option<String>,
-    /// Its version; state of the world tells one for all.
+    /// The version; empty in state of the world, where the whole response has one version.
     pub version: String,
-    /// The message; absent in a heartbeat.
+    /// The encoded resource; absent in a heartbeat.
     pub body: Option<Vec<u8>>,
-    /// Its time to live in milliseconds.
+    /// The TTL in milliseconds.
     pub ttl_ms: Option<f64>,
 }
 
-/// A response as it came, of either variant.
+/// A received response of either protocol variant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Got {
-    /// The type's URL.
+    /// The type URL of the resources.
     pub url: String,
-    /// The version of it all.
+    /// The version of the whole response.
     pub version: String,
-    /// The nonce to answer with.
+    /// The nonce to repeat in the ACK or NACK.
     pub nonce: String,
-    /// The resources.
-    pub resources: Vec<GotResource>,
-    /// Incremental: names that are no more.
+    /// The received resources.
+    pub resources: Vec<ReceivedResource>,
+    /// Incremental: names of removed resources.
     pub removed: Vec<String>,
-    /// The message's length; 0 where it did not come over a wire.
+    /// The encoded size of the response in bytes; 0 if the response was not received over a network.
     pub bytes: usize,
 }
 
 impl From<Response> for Got {
-    /// As it would come over the wire.
+    /// Converts a response to the form in which a client receives it.
     fn from(told: Response) -> Got {
-        let resource = |r: &std::sync::Arc<crate::core::resources::Resource>| GotResource {
+        let resource = |r: &std::sync::Arc<crate::core::resources::Resource>| ReceivedResource {
             name: Some(r.name.to_string()),
             version: r.version.clone(),
             body: (!told.heartbeat).then(|| r.body.clone()),
@@ -55,41 +56,46 @@
     }
 }
 
-/// A change of what is held.
+/// A change of a stored resource.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A resource is new or other than before.
-    Put(Kind, String, Item),
-    /// A resource is no more.
+    /// A resource was added or changed.
+    Put(Kind, String, Content),
+    /// A resource was removed or its TTL expired.
     Removed(Kind, String),
 }
 
-/// The session.
+/// The protocol state and the resources of one client.
 #[derive(Clone, Debug)]
 pub struct Session {
     variant: Variant,
-    held: Held,
+    held: ProxyResources,
     versions: BTreeMap<Kind, String>,
     subscribed: BTreeMap<Kind, Vec<String>>,
 }
 
 impl Session {
-    /// A proxy that holds nothing yet.
+    /// Creates a session without resources.
     pub fn new(variant: Variant) -> Session {
-        Session { variant, held: Held::default(), versions: BTreeMap::new(), subscribed: BTreeMap::new() }
+        Session {
+            variant,
+            held: ProxyResources::default(),
+            versions: BTreeMap::new(),
+            subscribed: BTreeMap::new(),
+        }
     }
 
-    /// What is held.
-    pub fn held(&self) -> &Held {
+    /// The accepted resources.
+    pub fn held(&self) -> &ProxyResources {
         &self.held
     }
 
-    /// Drops what has outlived its time.
+    /// Removes resources whose TTL has expired.
     pub fn expire(&mut self, now: f64) -> Vec<Change> {
         self.held.expire(now).into_iter().map(|(kind, name)| Change::Removed(kind, name)).collect()
     }
 
-    /// A stream was opened: the first requests on it, with what is held from before.
+    /// Returns the first requests for a new stream, including the versions of the resources from an earlier stream.
     pub fn opened(&mut self) -> Vec<Ask> {
         self.subscribed.clear();
         let lists: Vec<String> = self.held.of(Kind::Cds).map(|(name, _)| name.to_owned()).collect();
@@ -111,8 +117,8 @@
         Ask { url: kind.url().to_owned(), names, version, held, ..Ask::default() }
     }
 
-    /// A response came: what changes by it, and the requests that answer it. With `refuse` nothing changes and the
-    /// answer is a NACK that says so.
+    /// Processes a response and returns the resulting changes and the requests to send. If `refuse` is set, no resource
+    /// changes and the request is a NACK with that error message.
     pub fn got(&mut self, now: f64, got: &Got, refuse: Option<&str>) -> (Vec<Change>, Vec<Ask>) {
         let Some(kind) = Kind::of(&got.url) else { return (Vec::new(), Vec::new()) };
         if got.nonce == "heartbeat"
@@ -126,7 +132,7 @@
         }
         let mut ask = Ask { url: got.url.clone(), nonce: got.nonce.clone(), ..Ask::default() };
         let read = match refuse {
-            Some(text) => Err(Unusable(text.to_owned())),
+            Some(text) => Err(InvalidResource(text.to_owned())),
             None => self.read(kind, got),
         };
         let read = match read {
@@ -169,7 +175,7 @@
         (changes, asks)
     }
 
-    /// Subscribes to the endpoints of the clusters that are held now.
+    /// Changes the EDS subscription to the current clusters. Returns `None` if the subscription is unchanged.
     fn follow(&mut self) -> Option<Ask> {
         let names: Vec<String> = self.held.of(Kind::Cds).map(|(name, _)| name.to_owned()).collect();
         let before = self.subscribed.get(&Kind::Eds).cloned();
@@ -193,13 +199,21 @@
         })
     }
 
-    #[allow(clippy::type_complexity)] // one use, next to where it is taken apart
-    fn read(&self, kind: Kind, got: &Got) -> Result<Vec<(String, String, Item, Option<f64>)>, Unusable> {
-        let whole = |r: &GotResource| {
+    // The type is used once and destructured by the only caller.
+    #[allow(clippy::type_complexity)]
+    fn read(
+        &self,
+        kind: Kind,
+        got: &Got,
+    ) -> Result<Vec<(String, String, Content, Option<f64>)>, InvalidResource> {
+        let whole = |r: &ReceivedResource| {
             let body = r.body.as_deref().unwrap_or_default();
             let (name, item) = read(kind, body)?;
             if name.is_empty() || r.name.as_ref().is_some_and(|told| *told != name) {
-                return Err(Unusable(format!("{}: a resource's name is not its own", kind.short())));
+                return Err(InvalidResource(format!(
+                    "{}: the resource's name differs from the name in its message",
+                    kind.short()
+                )));
             }
             let version = if self.variant == Variant::World { &got.version } else { &r.version };
             Ok((name, version.clone(), item, r.ttl_ms))
--- a/crates/xds/src/client/watch.rs
+++ b/crates/xds/src/client/watch.rs
@@ -1,6 +1,6 @@
-//! `beamgap xds watch`: subscribes as a proxy would, and prints each change.
+//! `beamgap xds watch`: subscribes to all resource types like a proxy and prints each change.
 
-use super::held::Item;
+use super::held::Content;
 use super::link::{connect, Link};
 use super::session::{Change, Session};
 use crate::core::stream::Variant;
@@ -8,24 +8,25 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// What to watch, and how.
+/// The options of `beamgap xds watch`.
 #[derive(Clone, Debug)]
 pub struct Watch {
-    /// The service, as `host:port`.
+    /// The address of the control plane, as `host:port`.
     pub address: String,
-    /// The name to go by. It must be no proxy's, or that proxy gets no lease while this runs.
+    /// The node id to use. The id must differ from those of all proxies: a proxy with the same id gets no leases while
+    /// the watch runs.
     pub node: String,
-    /// The variant of the protocol.
+    /// The protocol variant to use.
     pub variant: Variant,
-    /// JSON lines instead of text.
+    /// Whether to print JSON lines instead of text.
     pub json: bool,
-    /// Refuse every response of the types named by their short names with this text.
+    /// The short names of resource types whose responses are NACKed, and the error message of the NACKs.
     pub refuse: Option<(Vec<String>, String)>,
-    /// End after so many responses; 0: never.
+    /// The number of responses after which the watch ends; 0 for no limit.
     pub responses: u64,
 }
 
-/// Watches until the stream ends or enough has come.
+/// Prints changes until the stream ends or the requested number of responses was received.
 pub async fn run(watch: Watch, out: &mut dyn Write) -> Result<(), String> {
     let channel = connect(&watch.address).await.map_err(|e| format!("{}: {}", watch.address, chain(&e)))?;
     let mut session = Session::new(watch.variant);
@@ -65,7 +66,7 @@
     }
 }
 
-/// An error with what caused it: a refused connection is told by the innermost alone.
+/// Formats an error with all its causes; only the innermost cause says that a connection was refused.
 fn chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
@@ -90,20 +91,20 @@
     out.flush().map_err(|e| format!("output: {e}"))
 }
 
-/// A change as a line of text.
+/// Formats a change as a line of text.
 pub fn text(now: f64, version: &str, change: &Change) -> String {
     match change {
         Change::Removed(kind, name) => format!("{now:.0} {} {name} removed", kind.short()),
         Change::Put(kind, name, item) => {
             let what = match item {
-                Item::Cluster(most) if *most >= 1 << 30 => "requests=unbounded".to_owned(),
-                Item::Cluster(most) => format!("requests={most}"),
-                Item::Listener(at) => at.map_or("address=?".to_owned(), |at| format!("address={at}")),
-                Item::Routes(parts, timeout) => {
+                Content::Cluster(most) if *most >= 1 << 30 => "requests=unbounded".to_owned(),
+                Content::Cluster(most) => format!("requests={most}"),
+                Content::Listener(at) => at.map_or("address=?".to_owned(), |at| format!("address={at}")),
+                Content::Routes(parts, timeout) => {
                     let parts: Vec<String> = parts.iter().map(|(n, w)| format!("{n}={w}")).collect();
                     format!("timeout_ms={timeout:.0} {}", parts.join(" "))
                 }
-                Item::List(list) => {
+                Content::EndpointList(list) => {
                     let each = list.endpoints.iter();
                     let each = each.map(|e| format!("{}@{}={},{}", e.name, e.address, e.health, e.weight));
                     format!("drop={}% {}", list.drop, each.collect::<Vec<_>>().join(" "))
@@ -114,20 +115,20 @@
     }
 }
 
-/// A change as a line of JSON.
+/// Formats a change as a line of JSON.
 pub fn json(now: f64, version: &str, change: &Change) -> String {
     let mut line = match change {
         Change::Removed(kind, name) => json!({ "type": kind.short(), "name": name, "removed": true }),
         Change::Put(kind, name, item) => {
             let (key, value) = match item {
-                Item::Cluster(most) => ("requests", json!(most)),
-                Item::Listener(at) => ("address", json!(at.map(|at| at.to_string()))),
-                Item::Routes(parts, timeout) => {
+                Content::Cluster(most) => ("requests", json!(most)),
+                Content::Listener(at) => ("address", json!(at.map(|at| at.to_string()))),
+                Content::Routes(parts, timeout) => {
                     let parts: Map<String, Value> =
                         parts.iter().map(|(n, w)| (n.clone(), json!(w))).collect();
                     ("route", json!({ "timeout_ms": timeout, "clusters": parts }))
                 }
-                Item::List(list) => {
+                Content::EndpointList(list) => {
                     let each = list.endpoints.iter().map(|e| {
                         let (address, health) = (e.address.to_string(), e.health.to_string());
                         json!({ "name": e.name, "address": address, "health": health, "weight": e.weight })
--- a/crates/xds/src/core/messages.rs
+++ b/crates/xds/src/core/messages.rs
@@ -1,94 +1,95 @@
-//! What a stream is asked, what it answers, and what is wrong with either.
+//! The requests, responses and errors of a discovery stream, independent of the protocol variant.
 
 use super::resources::{Kind, Resource};
 use std::sync::Arc;
 
-/// The variant of the protocol.
+/// The variant of the xDS protocol that a stream uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// State of the world.
+    /// State of the world: a response lists all subscribed resources.
     World,
-    /// Incremental.
+    /// Incremental: a response lists only changed and removed resources.
     Delta,
 }
 
-/// A request as it came, of either variant.
+/// A discovery request of either protocol variant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ask {
-    /// The type's URL.
+    /// The type URL of the requested resources.
     pub url: String,
-    /// The nonce of the response that it answers; empty in a stream's first request of a type.
+    /// The nonce of the response that this request ACKs or NACKs; empty in a stream's first request of a type.
     pub nonce: String,
-    /// What was wrong with that response: a NACK.
+    /// The error message, if this request NACKs the response with that nonce.
     pub error: Option<String>,
-    /// State of the world: all names. Incremental: names that come to the subscription.
+    /// State of the world: all subscribed names. Incremental: names to subscribe to.
     pub names: Vec<String>,
-    /// Incremental: names that leave the subscription.
+    /// Incremental: names to unsubscribe from.
     pub leaves: Vec<String>,
-    /// State of the world: the version of the last response accepted, on whatever stream that was.
+    /// State of the world: the version of the last response that the proxy accepted, on this or an earlier stream.
     pub version: String,
-    /// Incremental: what the proxy holds from a stream before, with versions.
+    /// Incremental: names and versions of the resources that the proxy has from an earlier stream
+    /// (`initial_resource_versions`).
     pub held: Vec<(String, String)>,
 }
 
-/// A response to be told.
+/// A discovery response to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its type.
+    /// The type of the resources.
     pub kind: Kind,
-    /// The version of all that is subscribed to.
+    /// The version of the set of all subscribed resources.
     pub version: String,
-    /// The nonce.
+    /// The nonce that the proxy repeats in its ACK or NACK; 0 for a heartbeat.
     pub nonce: u64,
-    /// The resources.
+    /// The resources to send.
     pub resources: Vec<Arc<Resource>>,
-    /// Incremental: names that are no more.
+    /// Incremental: names of removed resources.
     pub removed: Vec<String>,
-    /// It only renews the time to live: the resources are told without bodies.
+    /// Whether the response only renews the TTL of its resources, which are then sent without bodies.
     pub heartbeat: bool,
 }
 
-/// Why a stream is ended.
+/// The reason why the server closes a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// It subscribes to more than it may.
+    /// The client subscribes to too many names or to a name that is too long.
     TooMany,
-    /// It leaves responses without ACK or NACK.
+    /// The client did not ACK or NACK responses in time.
     Unanswered,
-    /// There are more streams than may be.
+    /// The maximum number of streams is reached.
     Full,
 }
 
 impl std::fmt::Display for StreamError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            StreamError::TooMany => "subscribes to more or longer names than it may",
+            StreamError::TooMany => "subscribes to too many names or to a name that is too long",
             StreamError::Unanswered => "leaves responses without ACK or NACK",
-            StreamError::Full => "one stream more than may be",
+            StreamError::Full => "the maximum number of streams is reached",
         })
     }
 }
 
 impl std::error::Error for StreamError {}
 
-/// What a request of an open subscription meant.
+/// The meaning of a request on an open subscription.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Meant {
-    /// It subscribes, for the first time or anew.
+pub enum RequestMeaning {
+    /// The request starts or changes a subscription.
     Subscribed,
-    /// It accepts the response with this nonce.
+    /// The request ACKs the response with this nonce.
     Acked(u64),
-    /// It refuses the response with this nonce.
+    /// The request NACKs the response with this nonce and reports this error.
     Nacked(u64, String),
-    /// It answers a response that is no longer waited for.
+    /// The request carries the nonce of a response that is not awaiting an ACK.
     Stale,
 }
 
-/// A NACK.
+/// A NACK received from a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Nack {
-    /// When it came.
+    /// The time at which the NACK was received.
     pub at: f64,
-    /// What the proxy said.
+    /// The proxy's error message.
     pub error: String,
 }
--- a/crates/xds/src/core/mod.rs
+++ b/crates/xds/src/core/mod.rs
@@ -1,4 +1,5 @@
-//! The pure part: no I/O, no clock, no threads. Time is handed in, in milliseconds of any steady clock.
+//! The protocol logic, without I/O, clocks or threads. Callers pass the current time as milliseconds of a monotonic
+//! clock.
 
 pub mod allot;
 pub mod loads;
--- a/crates/xds/src/core/picture.rs
+++ b/crates/xds/src/core/picture.rs
@@ -1,109 +1,110 @@
-//! What the service is told: the engines as the decision module sees them, and the operator's terms.
+//! The inputs of the control plane: the engines' state according to the decision module, and the operator's settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An engine's name.
+/// The unique name of an engine.
 pub type EngineName = Arc<str>;
 
 /// Whether an engine may be sent new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It takes work.
+    /// The engine accepts new work.
     Usable,
-    /// Put aside for bad signs; may come back.
+    /// The engine is ejected because of failures and may return to service.
     Aside,
-    /// It finishes what it has, and never comes back under this name.
+    /// The engine only finishes its open requests; an engine with this name never accepts new work again.
     Draining,
 }
 
-/// An engine.
+/// The state of one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Its name, never used again after it has gone.
+    /// The engine's name; never reused after the engine is removed.
     pub name: EngineName,
-    /// Where it listens. A later engine may listen there under another name.
+    /// The address at which the engine listens. A later engine with another name may reuse the address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone in which the engine runs.
     pub zone: String,
-    /// Whether it takes work.
+    /// Whether the engine accepts new work.
     pub health: Health,
-    /// What it can do now, in cores: less while it is cold or slow.
+    /// The engine's present capacity in cores; reduced while the engine is warming up or slow.
     pub cores: f64,
-    /// The share of its capacity that it surely has, from 0 to 1; below 1 it is warming.
+    /// The fraction of its full capacity that the engine has reached for certain, from 0 to 1. An engine below 1 is
+    /// warming up.
     pub warmth: f64,
 }
 
 impl Engine {
-    /// Whether it has not yet all of its capacity, so that it may fall over when flooded.
+    /// Whether the engine is warming up: not yet at full capacity, so too many requests may make it fail.
     pub fn warming(&self) -> bool {
         self.warmth < 1.0
     }
 }
 
-/// All engines that are not gone, and how much of the work asked for is admitted.
+/// A snapshot of all present engines and of the fraction of the requested work that is admitted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Picture {
-    /// The engines, in the order of their names.
+    /// The engines, sorted by name.
     pub engines: Vec<Engine>,
-    /// The share of the work asked for that is admitted, from 0 to 1.
+    /// The fraction of the requested work that is admitted, from 0 to 1.
     pub admitted: f64,
 }
 
 impl Picture {
-    /// An engine by its name.
+    /// Returns the engine with this name.
     pub fn engine(&self, name: &str) -> Option<&Engine> {
         let place = self.engines.binary_search_by(|e| (*e.name).cmp(name)).ok()?;
         self.engines.get(place)
     }
 }
 
-/// The rule on cold engines, and the part of it that proxies have.
+/// The overload limit of warming engines, and the part of that limit available to proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdTerms {
-    /// More than this many times its present capacity ...
+    /// An engine fails when it receives more than this multiple of its present capacity over `fall_span_ms`.
     pub fall_multiple: f64,
-    /// ... over this many milliseconds brings an engine down.
+    /// The time span over which `fall_multiple` applies, in milliseconds.
     pub fall_span_ms: f64,
-    /// The part of it that all proxies together may use, from 0 to 1. The rest is the front ends' own.
+    /// The part of the limit that all proxies together may use, from 0 to 1. The front ends use the rest.
     pub proxy_share: f64,
-    /// Instances of the front end, each with proxies of its own.
+    /// The number of front end instances; each serves different proxies.
     pub instances: u32,
-    /// The work of a usual request that comes by proxies, in milliseconds on one core.
+    /// The work of a typical request from a proxy, in milliseconds of one core.
     pub request_work_ms: f64,
 }
 
-/// A listener that proxies are to open.
+/// A listener resource to be served to the proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listener {
-    /// Its name.
+    /// The name of the listener resource.
     pub name: String,
-    /// Where the proxy listens.
+    /// The address at which the proxy listens.
     pub address: SocketAddr,
 }
 
-/// The operator's terms.
+/// The operator's settings for the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// The name of the cluster of warm engines; warming ones have clusters named `CLUSTER/ENGINE`.
     pub cluster: String,
-    /// The listeners.
+    /// The listeners served to the proxies.
     pub listeners: Vec<Listener>,
-    /// Connecting to an engine may take this long, in milliseconds.
+    /// The proxies' timeout for connecting to an engine, in milliseconds.
     pub connect_ms: f64,
-    /// A request may take this long, in milliseconds. No shorter than the span of the rule on cold engines.
+    /// The proxies' request timeout, in milliseconds. Must not be shorter than [`ColdTerms::fall_span_ms`].
     pub request_ms: f64,
-    /// How long a lease on a warming engine lasts without a heartbeat, in milliseconds.
+    /// The TTL of a lease on a warming engine, in milliseconds; heartbeats renew the lease.
     pub ttl_ms: f64,
-    /// The longest that a push may be under way, in milliseconds.
+    /// The longest time that the delivery of a response to a proxy may take, in milliseconds.
     pub late_ms: f64,
-    /// How long a stream may leave a response without ACK or NACK, in milliseconds.
+    /// How long a proxy may leave a response without an ACK or NACK before its stream is closed, in milliseconds.
     pub ack_ms: f64,
-    /// How long a proxy must have been there before it gets leases, in milliseconds.
+    /// The settling time: how long a proxy must stay connected before it gets a share, in milliseconds.
     pub settle_ms: f64,
-    /// Streams at most.
+    /// The maximum number of open streams.
     pub streams_most: usize,
-    /// The rule on cold engines; without it all engines count as warm.
+    /// The overload limit of warming engines; if `None`, all engines count as warm.
     pub cold: Option<ColdTerms>,
 }
 
--- a/crates/xds/src/core/plane.rs
+++ b/crates/xds/src/core/plane.rs
@@ -1,8 +1,9 @@
-//! The whole service without I/O: pictures and requests in, responses out when a stream takes one.
+//! The control plane as a state machine without I/O. Its inputs are engine snapshots and discovery requests; it builds
+//! a response whenever a stream is ready to send.
 //!
-//! The order of things (make before break): a warming engine's cluster is told first, then its endpoints, and only
-//! when the proxy has accepted both does its route name it. Backwards, the route goes first, and the cluster once
-//! the route without it is accepted. Listeners only name the route configuration and hardly change.
+//! Updates are ordered "make before break". A warming engine's cluster is sent first, then its endpoints; the route
+//! names the cluster after the proxy has ACKed both. A removal first updates the route and removes the cluster after
+//! the proxy has ACKed the new route. Listeners refer only to the route configuration and rarely change.
 
 mod proxy;
 mod status;
@@ -11,24 +12,29 @@
 use super::loads::Loads;
 use super::picture::{Engine, EngineName, Health, Picture, Terms};
 use super::resources::{self, Kind, Resource, Set};
-use super::stream::{Ask, Meant, Response, Stream, StreamError, Sub, Variant};
-use super::tombs::Tombs;
-use proxy::tell_leases;
+use super::stream::{Ask, RequestMeaning, Response, Stream, StreamError, Subscription, Variant};
+use super::tombs::WithdrawnEngines;
+use proxy::record_leases;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-const WEIGHTS_MS: f64 = 1_000.0; // between two changes of weights alone
-const WEIGHTS_OFF: f64 = 0.1; // of a weight, before it is told anew
-const PLAN_MS: f64 = 500.0; // between two plans for the same warming engine
-const MORE: f64 = 1.25; // a lease is raised when it is to grow by so much
-const NODE_MOST: usize = 256; // characters of a proxy's name
+/// The minimum time between two updates that change only weights, in milliseconds.
+const WEIGHT_UPDATE_MS: f64 = 1_000.0;
+/// The relative change of an engine's weight above which an update is sent.
+const WEIGHT_CHANGE_MIN: f64 = 0.1;
+/// The time between two plans of the leases on the same warming engine, in milliseconds, unless a share changes.
+const PLAN_MS: f64 = 500.0;
+/// The factor by which a proxy's planned lease must grow before the larger value is adopted; decreases apply at once.
+const LEASE_GROWTH_MIN: f64 = 1.25;
+/// The maximum length of a node id, in characters; longer ids are truncated.
+const NODE_MOST: usize = 256;
 
-/// A line for the operators.
+/// A log line for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// Worth knowing.
+    /// An informational message.
     Info(String),
-    /// Worth a look.
+    /// A condition that the operator should investigate.
     Warning(String),
 }
 
@@ -37,36 +43,38 @@
     peer: String,
     since: f64,
     stream: Stream,
-    /// Engines that this proxy was told drain or are gone, by whomever.
-    tombs: Tombs,
-    /// Whether it may have leases: its name is its own.
-    leases: bool,
+    /// Engines that any instance announced to this proxy as draining or removed.
+    withdrawn: WithdrawnEngines,
+    /// Whether the proxy may hold leases: no other stream uses its node id.
+    may_lease: bool,
+    /// The planned lease value for each warming engine.
     wanted: BTreeMap<EngineName, u32>,
-    /// Something may be there to tell.
+    /// Whether a response may have to be sent.
     dirty: bool,
-    /// The clusters of its own, as last built, by engine.
+    /// The clusters specific to this proxy (one per warming engine), as built last, by engine.
     clusters: BTreeMap<EngineName, Arc<Resource>>,
     routes: Option<Arc<Resource>>,
-    /// Its own list of endpoints, where it was told more than is known here.
+    /// The endpoint list specific to this proxy and the edition from which the list was built; needed if the proxy
+    /// knows of draining or removed engines that this instance does not know of.
     endpoints: Option<(u64, Arc<Resource>)>,
 }
 
-/// The service.
+/// The control plane.
 pub struct Plane {
     terms: Terms,
-    born: f64,
+    started: f64,
     latest: Picture,
-    /// What is told: the latest picture, but for small changes of weights.
-    shown: Picture,
-    shown_at: f64,
-    /// Counts the changes of what is shown.
+    /// The published snapshot: the latest one, except that small changes of weights are deferred.
+    published: Picture,
+    published_at: f64,
+    /// The number of changes of the published snapshot.
     edition: u64,
-    /// Counts those that wait for no ACK.
+    /// The number of urgent changes, which are sent even while earlier responses await an ACK.
     urgent: u64,
-    tombs: Tombs,
+    withdrawn: WithdrawnEngines,
     main: Arc<Resource>,
     main_endpoints: Arc<Resource>,
-    /// The endpoints of warming engines: the same for all proxies that hold a lease.
+    /// The endpoints of each warming engine, shared by all proxies that hold a lease.
     warming: BTreeMap<EngineName, Arc<Resource>>,
     listeners: Set,
     shares: Shares,
@@ -75,25 +83,25 @@
     planned: BTreeMap<EngineName, f64>,
     proxies: BTreeMap<Holder, Proxy>,
     last: Holder,
-    told: Vec<Told>,
+    log_lines: Vec<Told>,
     ended: Vec<(Holder, StreamError)>,
 }
 
 impl Plane {
-    /// A service that knows of no engine yet. What an instance before it may have leased is unknown: for the longest
-    /// time that such leases last, none are given.
+    /// Creates a control plane without engines. The leases granted by a previous instance are unknown, so no leases are
+    /// granted until all earlier leases must have expired (`late_ms + ttl_ms`).
     pub fn new(now: f64, terms: Terms) -> Plane {
-        let none = Tombs::default();
+        let none = WithdrawnEngines::default();
         let main = Arc::new(resources::cluster(&terms, None));
         let main_endpoints = resources::endpoints(&terms, &Picture::default(), None, &none, &none);
         Plane {
-            born: now,
+            started: now,
             latest: Picture::default(),
-            shown: Picture::default(),
-            shown_at: now,
+            published: Picture::default(),
+            published_at: now,
             edition: 0,
             urgent: 0,
-            tombs: none,
+            withdrawn: none,
             main,
             main_endpoints: Arc::new(main_endpoints),
             warming: BTreeMap::new(),
@@ -104,20 +112,20 @@
             planned: BTreeMap::new(),
             proxies: BTreeMap::new(),
             last: 0,
-            told: Vec::new(),
+            log_lines: Vec::new(),
             ended: Vec::new(),
             terms,
         }
     }
 
-    /// Takes a picture in. Engines that come, drain, go, or change their health are told at once.
+    /// Processes a new snapshot. Added, draining and removed engines and changes of health are published immediately.
     pub fn picture(&mut self, now: f64, picture: Picture) {
         self.latest = picture;
-        self.refresh(now);
+        self.publish_changes(now);
     }
 
-    fn refresh(&mut self, now: f64) {
-        let (before, after) = (&self.shown, &self.latest);
+    fn publish_changes(&mut self, now: f64) {
+        let (before, after) = (&self.published, &self.latest);
         let plain = |p: &Picture| -> Vec<_> {
             p.engines.iter().map(|e| (e.name.clone(), e.address, e.health, e.warming())).collect()
         };
@@ -125,8 +133,8 @@
         let off = |a: f64, b: f64, by: f64| (a - b).abs() > by * a.abs().max(1e-9);
         let weights = before.engines.iter().zip(&after.engines);
         let weights = off(1.0 + before.admitted, 1.0 + after.admitted, 0.02)
-            || weights.into_iter().any(|(a, b)| off(a.cores, b.cores, WEIGHTS_OFF));
-        let weights = weights && now - self.shown_at >= WEIGHTS_MS;
+            || weights.into_iter().any(|(a, b)| off(a.cores, b.cores, WEIGHT_CHANGE_MIN));
+        let weights = weights && now - self.published_at >= WEIGHT_UPDATE_MS;
         if !(changed || weights) {
             return;
         }
@@ -137,34 +145,35 @@
             };
             e.health == Health::Usable && then.is_none_or(worse)
         });
-        self.tombs.step(now, before, after);
+        self.withdrawn.step(now, before, after);
         self.urgent += u64::from(worse);
-        self.shown = self.latest.clone();
-        self.shown_at = now;
+        self.published = self.latest.clone();
+        self.published_at = now;
         self.edition += 1;
-        self.build();
+        self.build_resources();
     }
 
-    fn build(&mut self) {
-        let none = Tombs::default();
-        let list = |warming| resources::endpoints(&self.terms, &self.shown, warming, &self.tombs, &none);
+    fn build_resources(&mut self) {
+        let none = WithdrawnEngines::default();
+        let list =
+            |warming| resources::endpoints(&self.terms, &self.published, warming, &self.withdrawn, &none);
         let fresh = Arc::new(list(None));
         if *fresh != *self.main_endpoints {
             self.main_endpoints = fresh;
         }
         let cold = self.terms.cold.is_some();
-        let engines = self.shown.engines.iter().filter(|e| cold && e.warming());
+        let engines = self.published.engines.iter().filter(|e| cold && e.warming());
         self.warming = engines.map(|e| (e.name.clone(), Arc::new(list(Some(&e.name))))).collect();
         let warming = &self.warming;
         self.planned.retain(|engine, _| warming.contains_key(engine));
-        self.touch();
+        self.mark_all_dirty();
     }
 
-    fn touch(&mut self) {
+    fn mark_all_dirty(&mut self) {
         self.proxies.values_mut().for_each(|proxy| proxy.dirty = true);
     }
 
-    /// A stream was opened; its number, or why it can't be.
+    /// Registers a new stream and returns its number, or an error if the maximum number of streams is reached.
     pub fn opened(&mut self, now: f64, variant: Variant, peer: &str) -> Result<Holder, StreamError> {
         if self.proxies.len() >= self.terms.streams_most {
             return Err(StreamError::Full);
@@ -177,8 +186,8 @@
                 peer: peer.to_owned(),
                 since: now,
                 stream: Stream::new(variant),
-                tombs: Tombs::default(),
-                leases: false,
+                withdrawn: WithdrawnEngines::default(),
+                may_lease: false,
                 wanted: BTreeMap::new(),
                 dirty: false,
                 clusters: BTreeMap::new(),
@@ -189,46 +198,46 @@
         Ok(self.last)
     }
 
-    /// A stream ended.
+    /// Unregisters a stream that ended; its leases count until they must have expired at the proxy.
     pub fn closed(&mut self, now: f64, holder: Holder) {
         if self.proxies.remove(&holder).is_some() {
-            self.shares.left(now, holder);
-            self.leases.left(holder, now + self.terms.late_ms + self.terms.ttl_ms);
+            self.shares.record_disconnect(now, holder);
+            self.leases.record_disconnect(holder, now + self.terms.late_ms + self.terms.ttl_ms);
         }
     }
 
-    /// A request came on a stream. `node` is the proxy's id, which only the first request must have.
+    /// Processes a request. `node` is the proxy's node id, required only in the first request of a stream.
     pub fn asked(&mut self, now: f64, holder: Holder, node: &str, ask: &Ask) -> Result<(), StreamError> {
         let Some(proxy) = self.proxies.get_mut(&holder) else { return Ok(()) };
         if proxy.node.is_empty() && !node.is_empty() {
             proxy.node = node.chars().filter(|c| !c.is_control()).take(NODE_MOST).collect();
-            proxy.join(now, holder, &mut self.shares, &mut self.leases);
-            if !proxy.leases {
+            proxy.register(now, holder, &mut self.shares, &mut self.leases);
+            if !proxy.may_lease {
                 let text = format!(
-                    "name: node={} is in use by another stream, no lease until that ends",
+                    "name: node={} is in use by another stream; no leases until that stream ends",
                     proxy.node
                 );
-                self.told.push(Told::Warning(text));
+                self.log_lines.push(Told::Warning(text));
             }
         }
-        let Some((kind, meant, named)) = proxy.stream.ask(now, ask)? else {
+        let Some((kind, meant, named)) = proxy.stream.handle_request(now, ask)? else {
             let url: String = ask.url.chars().filter(|c| !c.is_control()).take(100).collect();
-            self.told.push(Told::Info(format!("type: node={} asks for {url}, not told here", proxy.node)));
+            self.log_lines.push(Told::Info(format!("type: node={} requests {url}: not served", proxy.node)));
             return Ok(());
         };
         if !named.is_empty() {
-            proxy.tombs.join(now, named);
+            proxy.withdrawn.merge(now, named);
             proxy.endpoints = None;
         }
         proxy.dirty = true;
         match meant {
-            Meant::Acked(push) if kind == Kind::Cds => self.leases.confirmed(holder, push),
-            Meant::Nacked(push, error) => {
+            RequestMeaning::Acked(push) if kind == Kind::Cds => self.leases.record_ack(holder, push),
+            RequestMeaning::Nacked(push, error) => {
                 if kind == Kind::Cds {
-                    self.leases.refused(holder, push);
+                    self.leases.record_nack(holder, push);
                 }
                 let (node, kind) = (&proxy.node, kind.short());
-                self.told
+                self.log_lines
                     .push(Told::Warning(format!("nack: node={node} type={kind} nonce={push} error={error}")));
             }
             _ => {}
@@ -236,14 +245,14 @@
         Ok(())
     }
 
-    /// A load report came: requests in progress at the clusters told here.
+    /// Processes a load report: a proxy's requests in progress at the clusters of this control plane.
     pub fn reported(&mut self, now: f64, node: &str, in_progress: u64) {
         if !node.is_empty() && self.proxies.values().any(|p| p.node == node) {
             self.loads.report(now, node, in_progress);
         }
     }
 
-    /// Whether a cluster is one that is told here, so that its load counts.
+    /// Whether a cluster belongs to this control plane, so that its load counts.
     pub fn knows(&self, cluster: &str) -> bool {
         let own = cluster.strip_prefix(&*self.terms.cluster);
         own.is_some_and(|rest| {
@@ -251,53 +260,55 @@
         })
     }
 
-    /// Time passes: plans are made, old things forgotten, streams ended that do not answer.
+    /// Performs the periodic work: plans leases, discards expired state, and closes unresponsive streams.
     pub fn tick(&mut self, now: f64) {
-        self.refresh(now);
-        self.tombs.forget(now);
+        self.publish_changes(now);
+        self.withdrawn.forget(now);
         self.loads.forget(now);
         let warming = &self.warming;
         self.leases.expire(now, &|engine| warming.contains_key(engine));
         let loads = &self.loads;
         let moved = self.shares.balance(now, self.terms.settle_ms, &|node| loads.in_progress(node));
-        if now - self.born >= self.terms.late_ms + self.terms.ttl_ms {
+        if now - self.started >= self.terms.late_ms + self.terms.ttl_ms {
             self.plan(now, moved);
         }
         for (holder, proxy) in &mut self.proxies {
-            proxy.tombs.forget(now);
-            if !proxy.leases && !proxy.node.is_empty() {
-                proxy.join(now, *holder, &mut self.shares, &mut self.leases);
+            proxy.withdrawn.forget(now);
+            if !proxy.may_lease && !proxy.node.is_empty() {
+                proxy.register(now, *holder, &mut self.shares, &mut self.leases);
             }
             proxy.dirty |=
                 !self.warming.is_empty() || !proxy.clusters.is_empty() || proxy.endpoints.is_some();
+            let subscriptions = || proxy.stream.subscriptions();
             let oldest =
-                proxy.stream.subs().filter_map(|(_, sub)| sub.oldest()).fold(f64::INFINITY, f64::min);
-            // Better a new stream, which is told all at once, than one that no drain can be told on.
-            let stuck = proxy.stream.subs().any(|(kind, sub)| kind != Kind::Cds && sub.stuck(self.urgent));
+                subscriptions().filter_map(|(_, sub)| sub.oldest_pending()).fold(f64::INFINITY, f64::min);
+            // A stream on which no drain can be announced is closed; the proxy receives the complete state on a new
+            // stream.
+            let stuck = subscriptions().any(|(kind, sub)| kind != Kind::Cds && sub.stuck(self.urgent));
             if stuck || now - oldest > self.terms.ack_ms {
                 self.ended.push((*holder, StreamError::Unanswered));
             }
         }
     }
 
-    /// Plans who may have how much out at each warming engine, where it is time.
+    /// Plans how many requests each proxy may have open at each warming engine whose plan is due.
     fn plan(&mut self, now: f64, moved: bool) {
         let Some(cold) = self.terms.cold else { return };
-        for engine in self.shown.engines.iter().filter(|e| e.warming()) {
+        for engine in self.published.engines.iter().filter(|e| e.warming()) {
             let due = self.planned.get(&engine.name).is_none_or(|at| now - at >= PLAN_MS);
             if !due && !moved {
                 continue;
             }
             self.planned.insert(engine.name.clone(), now);
-            // The newest figure counts, not the one that is shown.
+            // The bound uses the latest capacity, which the published snapshot may not contain yet.
             let cores = self.latest.engine(&engine.name).map_or(0.0, |e| e.cores);
             let usable = engine.health == Health::Usable;
             let most = if usable { bound(&cold, cores) } else { 0 };
             let parts = self.shares.divide(&engine.name, most);
             for (holder, proxy) in &mut self.proxies {
-                let aim = if proxy.leases { parts.get(holder).copied().unwrap_or(0) } else { 0 };
+                let aim = if proxy.may_lease { parts.get(holder).copied().unwrap_or(0) } else { 0 };
                 let had = proxy.wanted.get(&engine.name).copied().unwrap_or(0);
-                if aim < had || f64::from(aim) >= f64::from(had) * MORE && aim > had {
+                if aim < had || f64::from(aim) >= f64::from(had) * LEASE_GROWTH_MIN && aim > had {
                     proxy.wanted.insert(engine.name.clone(), aim);
                     proxy.dirty = true;
                 }
@@ -305,12 +316,12 @@
         }
     }
 
-    /// The next response of a stream that takes one, if there is something to tell.
+    /// Returns the next response for a stream that is ready to send, if any is due.
     pub fn next(&mut self, now: f64, holder: Holder) -> Option<Response> {
         if !self.proxies.get(&holder)?.dirty {
             return None;
         }
-        self.lease(holder);
+        self.update_clusters(holder);
         let proxy = self.proxies.get_mut(&holder)?;
         let renew = self.terms.ttl_ms / 3.0;
         for kind in Kind::ALL {
@@ -318,22 +329,22 @@
                 Kind::Cds => proxy.clusters(&self.main),
                 Kind::Eds => proxy.endpoints(
                     &self.terms,
-                    &self.shown,
+                    &self.published,
                     self.edition,
-                    &self.tombs,
+                    &self.withdrawn,
                     &self.main_endpoints,
                     &self.warming,
                 ),
                 Kind::Lds => self.listeners.clone(),
                 Kind::Rds => {
                     let load = self.loads.in_progress(&proxy.node);
-                    proxy.routes(&self.terms, &self.shown, &self.warming, load)
+                    proxy.routes(&self.terms, &self.published, &self.warming, load)
                 }
             };
             let urgent = if kind == Kind::Cds { 0 } else { self.urgent };
             if let Some(response) = proxy.stream.next(now, kind, &desired, urgent, renew) {
                 if kind == Kind::Cds {
-                    tell_leases(&mut self.leases, holder, &response, proxy);
+                    record_leases(&mut self.leases, holder, &response, proxy);
                 }
                 return Some(response);
             }
@@ -342,11 +353,12 @@
         None
     }
 
-    /// Brings a proxy's own clusters up to date: leases as they were planned and as others leave room.
-    fn lease(&mut self, holder: Holder) {
+    /// Updates the clusters specific to a proxy. Each lease is the planned value, limited by the bound that remains
+    /// after the leases of other proxies.
+    fn update_clusters(&mut self, holder: Holder) {
         let (Some(proxy), Some(cold)) = (self.proxies.get_mut(&holder), self.terms.cold) else { return };
-        // What a route at the proxy may still name stays.
-        let named: BTreeSet<EngineName> = match proxy.stream.sub(Kind::Rds) {
+        // Clusters that a route in use at the proxy may still name must not be removed.
+        let named: BTreeSet<EngineName> = match proxy.stream.subscription(Kind::Rds) {
             Some(sub) => sub.in_force().flat_map(|r| r.refs.iter().cloned()).collect(),
             None => BTreeSet::new(),
         };
@@ -366,22 +378,22 @@
         }
     }
 
-    /// Lines for the operators since the last call.
+    /// Returns and clears the log lines produced since the last call.
     pub fn take_told(&mut self) -> Vec<Told> {
-        std::mem::take(&mut self.told)
+        std::mem::take(&mut self.log_lines)
     }
 
-    /// Streams that are to be ended.
+    /// Returns and clears the streams to be closed, each with the reason.
     pub fn take_ended(&mut self) -> Vec<(Holder, StreamError)> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Streams for which there may be something to tell.
+    /// The streams that may have a response to send.
     pub fn dirty(&self) -> impl Iterator<Item = Holder> + '_ {
         self.proxies.iter().filter(|(_, proxy)| proxy.dirty).map(|(holder, _)| *holder)
     }
 
-    /// The leases, to look at.
+    /// The leases on warming engines.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
--- a/crates/xds/src/core/plane/proxy.rs
+++ b/crates/xds/src/core/plane/proxy.rs
@@ -1,14 +1,15 @@
-//! One proxy: its part in the shares, and the resources that are its own.
+//! The state of one proxy: its share and the resources built specifically for the proxy.
 
 use super::*;
 
 impl Proxy {
-    /// Takes a part in the shares, and what this proxy held by a stream that has ended; unless its name is in use.
-    pub(super) fn join(&mut self, now: f64, holder: Holder, shares: &mut Shares, leases: &mut Leases) {
-        let (before, taken) = shares.joined(now, holder, &self.node);
-        self.leases = !taken;
+    /// Registers the proxy for a share and transfers the leases of its earlier, closed stream, unless another stream
+    /// uses the same node id.
+    pub(super) fn register(&mut self, now: f64, holder: Holder, shares: &mut Shares, leases: &mut Leases) {
+        let (before, taken) = shares.register(now, holder, &self.node);
+        self.may_lease = !taken;
         if let Some(before) = before {
-            // It goes on with what it held, so that nothing is taken from it that its route still names.
+            // The proxy retains its earlier leases, so that no cluster is removed that its route still names.
             self.wanted.extend(leases.adopt(before, holder));
         }
     }
@@ -21,16 +22,16 @@
     pub(super) fn endpoints(
         &mut self,
         terms: &Terms,
-        shown: &Picture,
+        published: &Picture,
         edition: u64,
-        tombs: &Tombs,
+        withdrawn: &WithdrawnEngines,
         main: &Arc<Resource>,
         warming: &BTreeMap<EngineName, Arc<Resource>>,
     ) -> Set {
-        let foreign = self.tombs.names().any(|name| !tombs.holds(name));
+        let foreign = self.withdrawn.names().any(|name| !withdrawn.contains(name));
         let list = if foreign {
             if self.endpoints.as_ref().is_none_or(|(of, _)| *of != edition) {
-                let own = resources::endpoints(terms, shown, None, tombs, &self.tombs);
+                let own = resources::endpoints(terms, published, None, withdrawn, &self.withdrawn);
                 self.endpoints = Some((edition, Arc::new(own)));
             }
             self.endpoints.as_ref().map_or(main, |(_, own)| own)
@@ -40,10 +41,13 @@
         };
         let mut set = Set::from([(list.name.clone(), list.clone())]);
         for engine in self.clusters.keys() {
-            // An engine that is no more is told as an empty list: state of the world can't take one back.
-            let list = match warming.get(engine).filter(|_| !self.tombs.holds(engine)) {
+            // A removed engine gets an empty endpoint list, as state of the world EDS responses cannot remove
+            // resources.
+            let list = match warming.get(engine).filter(|_| !self.withdrawn.contains(engine)) {
                 Some(list) => list.clone(),
-                None => Arc::new(resources::endpoints(terms, shown, Some(engine), tombs, &self.tombs)),
+                None => {
+                    Arc::new(resources::endpoints(terms, published, Some(engine), withdrawn, &self.withdrawn))
+                }
             };
             set.insert(list.name.clone(), list);
         }
@@ -53,21 +57,22 @@
     pub(super) fn routes(
         &mut self,
         terms: &Terms,
-        shown: &Picture,
+        published: &Picture,
         warming: &BTreeMap<EngineName, Arc<Resource>>,
         load: f64,
     ) -> Set {
-        let warm = resources::warm_weight(shown, &self.tombs);
+        let warm = resources::warm_weight(published, &self.withdrawn);
         let ready = |r: &Resource, kind: Kind| {
-            self.stream.sub(kind).is_some_and(|sub| sub.good().contains_key(&r.name))
+            self.stream.subscription(kind).is_some_and(|sub| sub.accepted().contains_key(&r.name))
         };
         let mut parts = Vec::new();
         for (engine, cluster) in &self.clusters {
             let Some((_, most)) = &cluster.lease else { continue };
-            let usable =
-                shown.engine(engine).filter(|e| e.health == Health::Usable && warming.contains_key(engine));
+            let usable = published
+                .engine(engine)
+                .filter(|e| e.health == Health::Usable && warming.contains_key(engine));
             let Some(engine) =
-                usable.filter(|e| self.wanted.contains_key(&e.name) && !self.tombs.holds(&e.name))
+                usable.filter(|e| self.wanted.contains_key(&e.name) && !self.withdrawn.contains(&e.name))
             else {
                 continue;
             };
@@ -83,18 +88,18 @@
     }
 }
 
-/// Books the leases that a response of clusters tells or takes back.
-pub(super) fn tell_leases(leases: &mut Leases, holder: Holder, response: &Response, proxy: &Proxy) {
-    let Some(sub) = proxy.stream.sub(Kind::Cds) else { return };
-    for (engine, most) in sub.told().values().filter_map(|r| r.lease.as_ref()) {
-        leases.told(engine, holder, response.nonce, *most);
+/// Records the leases that a CDS response grants or revokes.
+pub(super) fn record_leases(leases: &mut Leases, holder: Holder, response: &Response, proxy: &Proxy) {
+    let Some(sub) = proxy.stream.subscription(Kind::Cds) else { return };
+    for (engine, most) in sub.expected().values().filter_map(|r| r.lease.as_ref()) {
+        leases.record_sent(engine, holder, response.nonce, *most);
     }
-    // Whatever is not in the set that the proxy holds after this push is taken back by it.
+    // Leases that are absent from the proxy's set of clusters after this response are revoked by the response.
     let held: BTreeSet<&EngineName> =
-        sub.told().values().filter_map(|r| r.lease.as_ref()).map(|(e, _)| e).collect();
+        sub.expected().values().filter_map(|r| r.lease.as_ref()).map(|(e, _)| e).collect();
     let before: BTreeSet<EngineName> =
         sub.in_force().filter_map(|r| r.lease.as_ref()).map(|(e, _)| e.clone()).collect();
     for engine in before.iter().filter(|engine| !held.contains(engine)) {
-        leases.told(engine, holder, response.nonce, 0);
+        leases.record_sent(engine, holder, response.nonce, 0);
     }
 }
--- a/crates/xds/src/core/resources.rs
+++ b/crates/xds/src/core/resources.rs
@@ -1,11 +1,11 @@
-//! The resources: clusters, endpoints, listeners and routes, as messages of the xDS v3 API.
+//! Builds the xDS v3 resources: clusters, endpoints, listeners and routes.
 //!
-//! Which field carries what is listed in `docs/xds.md`.
+//! `docs/xds.md` lists the meaning of each field.
 
 use super::allot::{self, hash};
 use super::picture::{Engine, EngineName, Health, Picture, Terms};
 use super::spans::duration;
-use super::tombs::Tombs;
+use super::tombs::WithdrawnEngines;
 use envoy_types::pb::envoy::config::cluster::v3::{self as cluster, circuit_breakers::Thresholds};
 use envoy_types::pb::envoy::config::cluster::v3::{CircuitBreakers, Cluster};
 use envoy_types::pb::envoy::config::core::v3 as base;
@@ -20,32 +20,35 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Weights are hundredths of a core, from 1.
+/// The weight of one core. A weight counts hundredths of a core; the smallest weight is 1.
 const WEIGHT_UNIT: f64 = 100.0;
+/// The largest weight of an endpoint or of a warming engine's cluster.
 const WEIGHT_MOST: f64 = 1e6;
-/// A circuit breaker's threshold where none is meant: its default of 1,024 would bind a warm cluster unasked.
+/// The circuit breaker threshold of clusters without a limit. The field's default of 1,024 would limit a warm cluster
+/// unintentionally.
 const UNBOUND: u32 = 1 << 30;
 /// The name of the route configuration.
 pub const ROUTES: &str = "beamgap-routes";
 
-/// The four types, in the order in which they are told: whoever is named is told before whoever names.
+/// The four resource types in the order in which they are sent: a resource is sent before the resources that refer to
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Clusters.
+    /// Clusters (CDS).
     Cds,
-    /// Endpoints.
+    /// Endpoints (EDS).
     Eds,
-    /// Listeners.
+    /// Listeners (LDS).
     Lds,
-    /// Routes.
+    /// Route configurations (RDS).
     Rds,
 }
 
 impl Kind {
-    /// All types, in order.
+    /// All resource types in the order in which they are sent.
     pub const ALL: [Kind; 4] = [Kind::Cds, Kind::Eds, Kind::Lds, Kind::Rds];
 
-    /// The type's URL.
+    /// The type URL of this resource type.
     pub fn url(self) -> &'static str {
         match self {
             Kind::Cds => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -55,17 +58,18 @@
         }
     }
 
-    /// The type of a URL.
+    /// The resource type with this type URL, if it is served.
     pub fn of(url: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.url() == url)
     }
 
-    /// Whether a subscription to nothing means all (xDS protocol, "How the client specifies what resources").
+    /// Whether a subscription without names is a wildcard subscription to all resources of this type (xDS protocol,
+    /// "How the client specifies what resources").
     pub fn wildcard(self) -> bool {
         matches!(self, Kind::Cds | Kind::Lds)
     }
 
-    /// A short name for pages and logs.
+    /// The short name of the type in status output and logs.
     pub fn short(self) -> &'static str {
         match self {
             Kind::Cds => "cds",
@@ -76,20 +80,21 @@
     }
 }
 
-/// One resource as it is told.
+/// One resource, encoded for sending.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resource {
-    /// Its name.
+    /// The resource name.
     pub name: Arc<str>,
-    /// Its version: a hash of its content, the same at every instance, with engines that drain or are gone behind it.
+    /// The version: a hash of the content, identical on all instances. For endpoint lists the names of draining and
+    /// removed engines follow the hash.
     pub version: String,
-    /// The message, encoded.
+    /// The encoded protobuf message.
     pub body: Vec<u8>,
-    /// It ends at the proxy after so many milliseconds without a heartbeat.
+    /// The TTL in milliseconds, after which the proxy discards the resource unless a heartbeat renews it.
     pub ttl_ms: Option<f64>,
-    /// The lease that it tells: an engine, and the requests that may be out there.
+    /// The lease that a warming engine's cluster grants: the engine, and the maximum number of open requests.
     pub lease: Option<(EngineName, u32)>,
-    /// The warming engines whose clusters it names.
+    /// The warming engines whose clusters this resource refers to.
     pub refs: Vec<EngineName>,
 }
 
@@ -101,15 +106,15 @@
     }
 }
 
-/// Resources by name.
+/// Resources of one type by name.
 pub type Set = BTreeMap<Arc<str>, Arc<Resource>>;
 
 /// The name of a warming engine's own cluster.
-pub fn cluster_of(terms: &Terms, engine: &str) -> String {
+pub fn cluster_name(terms: &Terms, engine: &str) -> String {
     format!("{}/{engine}", terms.cluster)
 }
 
-fn by_ads() -> base::ConfigSource {
+fn ads_config_source() -> base::ConfigSource {
     base::ConfigSource {
         resource_api_version: base::ApiVersion::V3 as i32,
         config_source_specifier: Some(base::config_source::ConfigSourceSpecifier::Ads(
@@ -119,15 +124,16 @@
     }
 }
 
-/// A cluster; for a warming engine with the requests that may be out there.
+/// The cluster of all warm engines, or of one warming engine with the maximum number of open requests.
 pub fn cluster(terms: &Terms, warming: Option<(&EngineName, u32)>) -> Resource {
-    let name = warming.map_or(terms.cluster.clone(), |(engine, _)| cluster_of(terms, engine));
+    let name = warming.map_or(terms.cluster.clone(), |(engine, _)| cluster_name(terms, engine));
     let most = warming.map_or(UNBOUND, |(_, most)| most);
     let bound = Some(UInt32Value { value: most });
     let threshold = |priority: base::RoutingPriority| Thresholds {
         priority: priority as i32,
         max_connections: bound,
-        // Nothing waits at the proxy for a warming engine: what has no room is refused there at once.
+        // Requests to a warming engine are not queued at the proxy: a request that exceeds the lease is rejected
+        // immediately.
         max_pending_requests: Some(UInt32Value { value: if warming.is_some() { 1 } else { most } }),
         max_requests: bound,
         max_retries: Some(UInt32Value { value: 0 }),
@@ -137,7 +143,7 @@
         name: name.clone(),
         connect_timeout: Some(duration(terms.connect_ms)),
         eds_cluster_config: Some(cluster::cluster::EdsClusterConfig {
-            eds_config: Some(by_ads()),
+            eds_config: Some(ads_config_source()),
             service_name: String::new(),
         }),
         lb_policy: cluster::cluster::LbPolicy::RoundRobin as i32,
@@ -192,15 +198,15 @@
     }
 }
 
-/// The endpoints of the warm cluster, or of one warming engine. Who stands in `tombs` is told as draining at best.
+/// The endpoints of the warm cluster, or of one warming engine. Engines in `withdrawn` are listed as draining.
 pub fn endpoints(
     terms: &Terms,
     picture: &Picture,
     warming: Option<&EngineName>,
-    own: &Tombs,
-    tombs: &Tombs,
+    own: &WithdrawnEngines,
+    withdrawn: &WithdrawnEngines,
 ) -> Resource {
-    let name = warming.map_or(terms.cluster.clone(), |engine| cluster_of(terms, engine));
+    let name = warming.map_or(terms.cluster.clone(), |engine| cluster_name(terms, engine));
     let mut zones: BTreeMap<&str, Vec<endpoint::LbEndpoint>> = BTreeMap::new();
     for engine in &picture.engines {
         let belongs = match warming {
@@ -208,7 +214,7 @@
             None => !engine.warming() || terms.cold.is_none(),
         };
         if belongs {
-            let draining = tombs.holds(&engine.name);
+            let draining = withdrawn.contains(&engine.name);
             zones.entry(&engine.zone).or_default().push(endpoint(engine, draining));
         }
     }
@@ -236,7 +242,8 @@
         endpoints: zones.into_iter().map(locality).collect(),
         policy: Some(endpoint::cluster_load_assignment::Policy {
             drop_overloads: if dropped > 0 { vec![drop] } else { Vec::new() },
-            // Weights and health are told, not guessed: a share of engines aside spreads no work onto them.
+            // The published weights and health are authoritative: unhealthy engines must not cause the proxy to move
+            // load to other priorities or zones.
             overprovisioning_factor: Some(UInt32Value { value: 100 }),
             weighted_priority_health: true,
             ..Default::default()
@@ -244,7 +251,7 @@
         ..Default::default()
     };
     let resource = Resource::new(&name, &message);
-    let version = own.version(hash(&[&resource.body]), tombs);
+    let version = own.version(hash(&[&resource.body]), withdrawn);
     Resource { version, ttl_ms: warming.map(|_| terms.ttl_ms), ..resource }
 }
 
@@ -256,14 +263,14 @@
     M::full_name()
 }
 
-/// The listeners.
+/// The listeners from the operator's settings.
 pub fn listeners(terms: &Terms) -> Set {
     let build = |l: &super::picture::Listener| {
         let router = http::http_filter::ConfigType::TypedConfig(any(&Router::default()));
         let manager = http::HttpConnectionManager {
             stat_prefix: l.name.clone(),
             route_specifier: Some(http::http_connection_manager::RouteSpecifier::Rds(http::Rds {
-                config_source: Some(by_ads()),
+                config_source: Some(ads_config_source()),
                 route_config_name: ROUTES.to_owned(),
             })),
             http_filters: vec![http::HttpFilter {
@@ -296,16 +303,18 @@
     terms.listeners.iter().map(build).collect()
 }
 
-/// The routes of one proxy: the warm cluster, and warming engines that it holds leases on, with their weights.
+/// The route configuration of one proxy: the warm cluster and the warming engines on which the proxy holds leases, with
+/// their weights.
 pub fn routes(terms: &Terms, warm: u32, warming: &[(EngineName, u32)]) -> Resource {
     let part = |name: String, weight: u32| route::weighted_cluster::ClusterWeight {
         name,
         weight: Some(UInt32Value { value: weight }),
         ..Default::default()
     };
-    // A weight of 0 for all is refused by proxies: with nothing anywhere, the warm cluster has 1.
+    // Proxies reject weighted clusters whose total weight is 0, so without usable engines the warm cluster has weight
+    // 1.
     let mut clusters = vec![part(terms.cluster.clone(), if warming.is_empty() { warm.max(1) } else { warm })];
-    clusters.extend(warming.iter().map(|(engine, weight)| part(cluster_of(terms, engine), *weight)));
+    clusters.extend(warming.iter().map(|(engine, weight)| part(cluster_name(terms, engine), *weight)));
     let action = route::RouteAction {
         timeout: Some(duration(terms.request_ms)),
         cluster_specifier: Some(route::route_action::ClusterSpecifier::WeightedClusters(
@@ -334,21 +343,22 @@
     Resource { refs, ..Resource::new(ROUTES, &message) }
 }
 
-/// The weight of the warm cluster in the routes: the sum over its usable engines.
-pub fn warm_weight(picture: &Picture, tombs: &Tombs) -> u32 {
-    let usable = |e: &&Engine| e.health == Health::Usable && !e.warming() && !tombs.holds(&e.name);
+/// The weight of the warm cluster in the route: the sum of the weights of its usable engines.
+pub fn warm_weight(picture: &Picture, withdrawn: &WithdrawnEngines) -> u32 {
+    let usable = |e: &&Engine| e.health == Health::Usable && !e.warming() && !withdrawn.contains(&e.name);
     let sum: u64 = picture.engines.iter().filter(usable).map(|e| u64::from(weight(e.cores))).sum();
     u32::try_from(sum).unwrap_or(u32::MAX / 2)
 }
 
-/// A warming engine's weight in the routes of a proxy with so many requests out: by its cores, but so low that of what
-/// is sent there few find the lease used up, as those are refused at the proxy.
+/// The weight of a warming engine in the route of a proxy with `in_progress` open requests. The weight is proportional
+/// to the engine's cores but limited, so that few requests exceed the lease; the proxy rejects the requests that do.
 pub fn warming_weight(cores: f64, lease: u32, warm: u32, in_progress: f64) -> u32 {
     let (fits, out) = (allot::offered(lease), in_progress.max(1.0));
     if warm == 0 {
-        return 1 + lease; // Among cold engines alone, by what may be out there.
+        // Without a warm engine, requests are distributed among the warming engines by their leases.
+        return 1 + lease;
     }
-    // Of `out` requests, `w / (warm + w)` are there.
+    // With weight `w`, the fraction `w / (warm + w)` of the `out` open requests is at the warming engine.
     let most = if out > fits { fits * f64::from(warm) / (out - fits) } else { WEIGHT_MOST };
     f64::from(weight(cores)).min(most).round().clamp(1.0, WEIGHT_MOST) as u32
 }
--- a/crates/xds/src/core/tombs.rs
+++ b/crates/xds/src/core/tombs.rs
@@ -1,32 +1,38 @@
-//! What a proxy was told of engines that drain or are gone, carried in the version that the proxy echoes.
+//! Engines announced to a proxy as draining or removed. Their names are part of the resource version, which the proxy
+//! sends back when it reconnects.
 //!
-//! Instances do not talk, and their lists can't be compared by number. But a version is opaque to a proxy, and when it
-//! reconnects it tells the last that it accepted (xDS protocol, "ACK/NACK and versioning"; for the incremental form
-//! `initial_resource_versions`). So the version of each list of endpoints names the engines that were told as
-//! draining or gone of late. Whoever the proxy comes to next takes that over for this proxy: draining wins over
-//! whatever a younger or older list says.
+//! Instances of the control plane do not communicate, and their engine lists have no common numbering by which the
+//! newer list could be determined. A version is opaque to a proxy, though, and a proxy that reconnects sends the last
+//! version that it accepted (xDS protocol, "ACK/NACK and versioning"; `initial_resource_versions` in the incremental
+//! variant). Therefore the version of each endpoint list contains the names of the engines recently announced as
+//! draining or removed. The instance to which the proxy connects next applies these names to this proxy: an engine
+//! named in the version stays draining, whether the instance's own list is newer or older.
 
 use super::picture::{EngineName, Health, Picture};
 use std::collections::BTreeMap;
 
-/// How long it is remembered that an engine drains or is gone, in milliseconds. Lists are seconds late, so that after
-/// this long every instance has heard it by itself.
+/// How long an engine is remembered as draining or removed, in milliseconds. Engine lists are only seconds out of date,
+/// so after this time every instance has received the change itself.
 pub const REMEMBERED_MS: f64 = 60_000.0;
-/// Engines that one version names at most; of more, the latest.
+/// The maximum number of engine names in one version. If there are more, the most recent names are included.
 const NAMED_MOST: usize = 64;
-const NAME_MOST: usize = 64; // characters; longer names are not carried
-const VERSION_MOST: usize = 8 * 1024; // bytes; what is longer was not written here
+/// The maximum length of an engine name in a version, in characters; longer names are omitted.
+const NAME_MOST: usize = 64;
+/// The maximum length of a version that is parsed, in bytes. A longer version cannot stem from this control plane.
+const VERSION_MOST: usize = 8 * 1024;
 
-/// Engines that drain or are gone, with the time at which that was learnt.
+/// Draining and removed engines, each with the time at which the change became known.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tombs(BTreeMap<EngineName, f64>);
+pub struct WithdrawnEngines(BTreeMap<EngineName, f64>);
 
-impl Tombs {
-    /// Learns from the step of one picture to the next; gives the names that were new.
+impl WithdrawnEngines {
+    /// Records the engines that are draining in the snapshot `after` or missing from it, and returns the newly recorded
+    /// names.
     pub fn step(&mut self, now: f64, before: &Picture, after: &Picture) -> Vec<EngineName> {
         let gone = before.engines.iter().filter(|e| after.engine(&e.name).is_none());
         let draining = after.engines.iter().filter(|e| e.health == Health::Draining);
-        // The own list is in order: what it gives back to service, it gives back.
+        // Consecutive snapshots of this instance are in order, so an engine that is no longer draining is in service
+        // again.
         after.engines.iter().filter(|e| e.health != Health::Draining).for_each(|e| {
             self.0.remove(&e.name);
         });
@@ -36,29 +42,30 @@
                 self.0.insert(engine.name.clone(), now);
                 new.push(engine.name.clone());
             } else if engine.health == Health::Draining && after.engine(&engine.name).is_some() {
-                self.0.insert(engine.name.clone(), now); // Still there: to be told for as long as it is.
+                // The engine is still present and draining, so its expiry is postponed.
+                self.0.insert(engine.name.clone(), now);
             }
         }
         new
     }
 
-    /// Forgets what every instance must have heard by now.
+    /// Discards entries older than [`REMEMBERED_MS`], which every instance has received by now.
     pub fn forget(&mut self, now: f64) {
         self.0.retain(|_, since| now - *since < REMEMBERED_MS);
     }
 
-    /// Whether an engine must not be told as usable.
-    pub fn holds(&self, name: &str) -> bool {
+    /// Whether an engine is draining or removed, so that it must not be published as usable.
+    pub fn contains(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
 
-    /// The names.
+    /// The names of the draining and removed engines.
     pub fn names(&self) -> impl Iterator<Item = &EngineName> {
         self.0.keys()
     }
 
-    /// Takes over what another told.
-    pub fn join(&mut self, now: f64, names: impl IntoIterator<Item = EngineName>) {
+    /// Adds names that another instance announced to the proxy.
+    pub fn merge(&mut self, now: f64, names: impl IntoIterator<Item = EngineName>) {
         for name in names.into_iter().take(NAMED_MOST) {
             if self.0.len() < 4 * NAMED_MOST {
                 self.0.entry(name).or_insert(now);
@@ -66,8 +73,8 @@
         }
     }
 
-    /// The version of a list with this content.
-    pub fn version(&self, content: u64, more: &Tombs) -> String {
+    /// The version of an endpoint list: the hash `content`, followed by the names of the engines in `self` and `more`.
+    pub fn version(&self, content: u64, more: &WithdrawnEngines) -> String {
         let mut named: Vec<(&EngineName, f64)> = self.0.iter().map(|(n, at)| (n, *at)).collect();
         named.extend(more.0.iter().filter(|(n, _)| !self.0.contains_key(*n)).map(|(n, at)| (n, *at)));
         named.retain(|(name, _)| carried(name));
@@ -83,7 +90,7 @@
     }
 }
 
-/// The engines that a version names as draining or gone. Whatever was not written here names none.
+/// The engines that a version lists as draining or removed. A version of another format lists no engines.
 pub fn named(version: &str) -> Vec<EngineName> {
     if version.len() > VERSION_MOST {
         return Vec::new();
--- a/crates/xds/src/transport/conn.rs
+++ b/crates/xds/src/transport/conn.rs
@@ -1,4 +1,5 @@
-//! Connections that can be counted and ended: one whose peer reads nothing gives no other handle to end it by.
+//! Server connections that are counted and can be closed from outside. Closing the TCP connection is the only way to
+//! end a stream whose peer does not read.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,10 +13,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::server::Connected;
 
-/// What is known of a connection, also to the streams on it.
+/// The state of a connection, shared with the streams on the connection.
 #[derive(Debug)]
-pub struct State {
-    /// The other side.
+pub struct ConnectionState {
+    /// The address of the peer.
     pub peer: SocketAddr,
     streams: AtomicUsize,
     idle_since: Mutex<Instant>,
@@ -23,8 +24,8 @@
     reader: Mutex<Option<Waker>>,
 }
 
-impl State {
-    /// Ends the connection, whatever waits on it.
+impl ConnectionState {
+    /// Closes the connection; pending reads and later writes fail.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Relaxed);
         if let Some(waker) = super::lock(&self.reader).take() {
@@ -32,41 +33,41 @@
         }
     }
 
-    /// Counts a stream for as long as the guard lives.
-    pub fn stream(self: &Arc<State>) -> InUse {
+    /// Counts an open stream until the returned guard is dropped.
+    pub fn stream(self: &Arc<ConnectionState>) -> StreamGuard {
         self.streams.fetch_add(1, Ordering::Relaxed);
-        InUse(self.clone())
+        StreamGuard(self.clone())
     }
 }
 
-/// A stream's hold on its connection.
-pub struct InUse(Arc<State>);
+/// A guard that counts an open stream on its connection.
+pub struct StreamGuard(Arc<ConnectionState>);
 
-impl Drop for InUse {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
         *super::lock(&self.0.idle_since) = Instant::now();
         self.0.streams.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A connection.
-pub struct Conn {
+/// An accepted TCP connection.
+pub struct Connection {
     stream: TcpStream,
-    state: Arc<State>,
+    state: Arc<ConnectionState>,
 }
 
-/// What a request's extensions hold of its connection.
+/// The connection state that tonic adds to the extensions of each request.
 #[derive(Clone, Debug)]
-pub struct Info(pub Arc<State>);
+pub struct ConnectionInfo(pub Arc<ConnectionState>);
 
-impl Connected for Conn {
-    type ConnectInfo = Info;
-    fn connect_info(&self) -> Info {
-        Info(self.state.clone())
+impl Connected for Connection {
+    type ConnectInfo = ConnectionInfo;
+    fn connect_info(&self) -> ConnectionInfo {
+        ConnectionInfo(self.state.clone())
     }
 }
 
-impl AsyncRead for Conn {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -80,7 +81,7 @@
     }
 }
 
-impl AsyncWrite for Conn {
+impl AsyncWrite for Connection {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         if self.state.ended.load(Ordering::Relaxed) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
@@ -95,31 +96,31 @@
     }
 }
 
-/// Lets connections in, up to a number, and those out that are of no use.
+/// Accepts connections up to a maximum number and closes idle connections.
 #[derive(Clone)]
-pub struct Gate {
+pub struct ConnectionLimiter {
     most: usize,
     idle: Duration,
-    conns: Arc<Mutex<Vec<Weak<State>>>>,
+    conns: Arc<Mutex<Vec<Weak<ConnectionState>>>>,
 }
 
-impl Gate {
-    /// A gate for so many connections.
-    pub fn new(most: usize, idle: Duration) -> Gate {
-        Gate { most, idle, conns: Arc::default() }
+impl ConnectionLimiter {
+    /// Creates a limiter for `most` connections that closes a connection after `idle` without a stream.
+    pub fn new(most: usize, idle: Duration) -> ConnectionLimiter {
+        ConnectionLimiter { most, idle, conns: Arc::default() }
     }
 
-    /// Accepts until what it gives is dropped.
-    pub fn open(self, listener: TcpListener) -> ReceiverStream<io::Result<Conn>> {
+    /// Accepts connections until the returned receiver is dropped.
+    pub fn accept(self, listener: TcpListener) -> ReceiverStream<io::Result<Connection>> {
         let (sender, conns) = tokio::sync::mpsc::channel(1);
         tokio::spawn(async move {
             loop {
                 let Ok((stream, peer)) = listener.accept().await else {
-                    // Out of descriptors as a rule: those that wait stay in the system's line.
+                    // The usual cause is a lack of file descriptors; waiting connections remain in the listen backlog.
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     continue;
                 };
-                let state = Arc::new(State {
+                let state = Arc::new(ConnectionState {
                     peer,
                     streams: AtomicUsize::new(0),
                     idle_since: Mutex::new(Instant::now()),
@@ -130,13 +131,14 @@
                     let mut conns = super::lock(&self.conns);
                     conns.retain(|conn| conn.strong_count() > 0);
                     if conns.len() >= self.most {
-                        continue; // Dropped: proxies come back by themselves.
+                        // Dropping the stream closes the connection; proxies reconnect on their own.
+                        continue;
                     }
                     conns.push(Arc::downgrade(&state));
                 }
-                // Pushes are small and urgent; where it can't be set they only come later.
+                // Responses are small and urgent. If TCP_NODELAY cannot be set, they are merely delayed.
                 let _ = stream.set_nodelay(true);
-                if sender.send(Ok(Conn { stream, state })).await.is_err() {
+                if sender.send(Ok(Connection { stream, state })).await.is_err() {
                     return;
                 }
             }
@@ -144,8 +146,8 @@
         ReceiverStream::new(conns)
     }
 
-    /// Ends connections that have had no stream for long.
-    pub fn look(&self) {
+    /// Closes connections that have had no stream for the idle time.
+    pub fn close_idle(&self) {
         for conn in super::lock(&self.conns).iter().filter_map(Weak::upgrade) {
             let idle = super::lock(&conn.idle_since).elapsed() >= self.idle;
             if conn.streams.load(Ordering::Relaxed) == 0 && idle {
--- a/crates/xds/src/transport/mod.rs
+++ b/crates/xds/src/transport/mod.rs
@@ -1,5 +1,6 @@
-//! The plane on gRPC (tonic), on a thread of its own with a single-threaded runtime: the serving loop hands pictures
-//! over and is never held up. `docs/xds.md` weighs this against HTTP/2 polled from the loop itself.
+//! The gRPC server (tonic) of the control plane. The server has its own thread with a single-threaded runtime, so that
+//! the front end's event loop only publishes snapshots and never blocks. `docs/xds.md` compares this design with HTTP/2
+//! polled by the event loop itself.
 
 mod conn;
 mod service;
@@ -7,8 +8,8 @@
 use crate::core::picture::{Picture, Terms};
 use crate::core::plane::{Plane, Told};
 use crate::core::stream::StreamError;
-use conn::Gate;
-use service::{Ads, Lrs};
+use conn::ConnectionLimiter;
+use service::{AdsService, LrsService};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,43 +19,50 @@
 use crate::envoy::service::discovery::v3::aggregated_discovery_service_server::AggregatedDiscoveryServiceServer;
 use crate::envoy::service::load_stats::v3::load_reporting_service_server::LoadReportingServiceServer;
 
+/// The interval of the control plane's periodic work.
 const TICK: Duration = Duration::from_millis(100);
+/// The number of ticks between two updates of the status report.
 const STATUS_TICKS: u32 = 10;
+/// The interval of HTTP/2 keepalive pings.
 const KEEPALIVE: Duration = Duration::from_secs(10);
+/// The time without an answer to a keepalive ping after which the connection is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum number of concurrent HTTP/2 streams on one connection.
 const STREAMS_PER_CONN: u32 = 16;
+/// The maximum size of a request's header list, in bytes.
 const HEADERS_MOST: u32 = 16 * 1024;
-const WINDOW: u32 = 128 * 1024; // of what a proxy may send unread, by stream and by connection
+/// The HTTP/2 flow control window for data from a proxy, in bytes; applies to each stream and to each connection.
+const WINDOW: u32 = 128 * 1024;
 
-/// How the service listens, and within which bounds.
+/// The listen address and the limits of the server.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Where.
+    /// The listen address.
     pub listen: SocketAddr,
-    /// The operator's terms.
+    /// The operator's settings for the control plane.
     pub terms: Terms,
-    /// Connections at most.
+    /// The maximum number of connections.
     pub conns_most: usize,
-    /// A request's bytes at most.
+    /// The maximum size of a request message, in bytes.
     pub message_most: usize,
-    /// A connection without a stream is closed after this long, in milliseconds.
+    /// The time after which a connection without a stream is closed, in milliseconds.
     pub idle_ms: f64,
 }
 
 impl Service {
-    /// With the usual bounds.
+    /// Creates a server configuration with default limits.
     pub fn new(listen: SocketAddr, terms: Terms) -> Service {
         let conns_most = terms.streams_most + 64;
         Service { listen, terms, conns_most, message_most: 1 << 20, idle_ms: 30_000.0 }
     }
 }
 
-/// A line for the operators' log.
+/// A callback that writes a line to the operator's log.
 pub type Log = Arc<dyn Fn(Told) + Send + Sync>;
 
-/// The running service. It ends when this is dropped.
+/// A handle to the running server; dropping the handle stops the server.
 pub struct Handle {
-    /// Where it listens.
+    /// The address at which the server listens.
     pub address: SocketAddr,
     pictures: watch::Sender<Arc<Picture>>,
     status: Arc<Mutex<Arc<str>>>,
@@ -63,12 +71,13 @@
 }
 
 impl Handle {
-    /// Hands a picture over; only the newest counts.
+    /// Publishes a snapshot. A newer snapshot replaces one that is not yet processed.
     pub fn publish(&self, picture: Picture) {
         self.pictures.send_replace(Arc::new(picture));
     }
 
-    /// Who is connected and what they hold, as JSON, not older than about a second.
+    /// Returns the status report as JSON: connected proxies, subscriptions and leases. The report is at most about one
+    /// second old.
     pub fn status(&self) -> Arc<str> {
         lock(&self.status).clone()
     }
@@ -77,60 +86,61 @@
 impl Drop for Handle {
     fn drop(&mut self) {
         self.end.take();
-        // Its thread has nothing that could fail to join but a panic, which it has reported by then.
+        // Joining fails only if the thread panicked, and the panic has already been reported.
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// What a stream is woken and ended by.
-struct Line {
+/// The channels by which the server wakes or closes a stream's task.
+struct StreamControl {
     wake: Arc<Notify>,
     end: Option<oneshot::Sender<StreamError>>,
 }
 
-/// What all tasks of the thread share.
-struct Hub {
+/// The state shared by all tasks of the server's thread.
+struct Shared {
     start: Instant,
     plane: Mutex<Plane>,
-    lines: Mutex<HashMap<u64, Line>>,
+    controls: Mutex<HashMap<u64, StreamControl>>,
     log: Log,
     message_most: usize,
 }
 
-/// No task holds a lock over a panic's cause; the state is as good as before it.
+/// Locks a mutex and ignores poisoning: no task panics while it holds a lock, so the protected state is consistent.
 fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Hub {
+impl Shared {
     fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Does something with the plane, then wakes and ends streams, and logs, as it says.
+    /// Runs `work` on the control plane. Afterwards wakes the streams with due responses, closes the streams that the
+    /// control plane reports as ended, and writes its log lines.
     fn with<T>(&self, work: impl FnOnce(&mut Plane, f64) -> T) -> T {
         let mut plane = lock(&self.plane);
         let done = work(&mut plane, self.now());
-        let mut lines = lock(&self.lines);
+        let mut controls = lock(&self.controls);
         for holder in plane.dirty() {
-            lines.get(&holder).into_iter().for_each(|line| line.wake.notify_one());
+            controls.get(&holder).into_iter().for_each(|control| control.wake.notify_one());
         }
         for (holder, error) in plane.take_ended() {
-            if let Some(end) = lines.get_mut(&holder).and_then(|line| line.end.take()) {
-                // A stream that has ended by itself needs no end.
+            if let Some(end) = controls.get_mut(&holder).and_then(|control| control.end.take()) {
+                // Sending fails only if the stream has already ended.
                 let _ = end.send(error);
             }
         }
         let told = plane.take_told();
-        drop((plane, lines));
+        drop((plane, controls));
         told.into_iter().for_each(|line| (self.log)(line));
         done
     }
 }
 
-/// Starts the service on a thread of its own.
+/// Starts the server on a new thread.
 pub fn start(service: Service, log: Log) -> std::io::Result<Handle> {
     let listener = std::net::TcpListener::bind(service.listen)?;
     listener.set_nonblocking(true)?;
@@ -157,17 +167,18 @@
     status: Arc<Mutex<Arc<str>>>,
     log: Log,
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
-    let hub = Arc::new(Hub {
+    let shared = Arc::new(Shared {
         start: Instant::now(),
         plane: Mutex::new(Plane::new(0.0, service.terms)),
-        lines: Mutex::new(HashMap::new()),
+        controls: Mutex::new(HashMap::new()),
         log,
         message_most: service.message_most,
     });
-    let gate = Gate::new(service.conns_most, Duration::from_secs_f64(service.idle_ms / 1000.0));
-    let incoming = gate.clone().open(tokio::net::TcpListener::from_std(listener)?);
-    let ads = AggregatedDiscoveryServiceServer::new(Ads(hub.clone()));
-    let lrs = LoadReportingServiceServer::new(Lrs(hub.clone()));
+    let limiter =
+        ConnectionLimiter::new(service.conns_most, Duration::from_secs_f64(service.idle_ms / 1000.0));
+    let incoming = limiter.clone().accept(tokio::net::TcpListener::from_std(listener)?);
+    let ads = AggregatedDiscoveryServiceServer::new(AdsService(shared.clone()));
+    let lrs = LoadReportingServiceServer::new(LrsService(shared.clone()));
     let server = tonic::transport::Server::builder()
         .http2_keepalive_interval(Some(KEEPALIVE))
         .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
@@ -175,21 +186,21 @@
         .http2_max_header_list_size(Some(HEADERS_MOST))
         .initial_stream_window_size(Some(WINDOW))
         .initial_connection_window_size(Some(WINDOW))
-        .add_service(ads.max_decoding_message_size(hub.message_most))
-        .add_service(lrs.max_decoding_message_size(hub.message_most));
+        .add_service(ads.max_decoding_message_size(shared.message_most))
+        .add_service(lrs.max_decoding_message_size(shared.message_most));
     tokio::select! {
         served = server.serve_with_incoming(incoming) => served?,
-        () = look(seen, hub, gate, status) => {}
+        () = run_control_loop(seen, shared, limiter, status) => {}
         _ = ended => {}
     }
     Ok(())
 }
 
-/// Takes pictures in as they come, and lets time pass.
-async fn look(
+/// Passes published snapshots to the control plane and runs the periodic work.
+async fn run_control_loop(
     mut seen: watch::Receiver<Arc<Picture>>,
-    hub: Arc<Hub>,
-    gate: Gate,
+    shared: Arc<Shared>,
+    limiter: ConnectionLimiter,
     status: Arc<Mutex<Arc<str>>>,
 ) {
     let mut ticks = tokio::time::interval(TICK);
@@ -200,16 +211,17 @@
             biased;
             changed = seen.changed() => {
                 if changed.is_err() {
-                    return; // Whoever started the service has dropped it.
+                    // The handle was dropped.
+                    return;
                 }
                 let picture = seen.borrow_and_update().clone();
-                hub.with(|plane, now| plane.picture(now, (*picture).clone()));
+                shared.with(|plane, now| plane.picture(now, (*picture).clone()));
             }
             _ = ticks.tick() => {
-                hub.with(|plane, now| plane.tick(now));
-                gate.look();
+                shared.with(|plane, now| plane.tick(now));
+                limiter.close_idle();
                 if count.is_multiple_of(STATUS_TICKS) {
-                    let text = { lock(&hub.plane).status(hub.now()) };
+                    let text = { lock(&shared.plane).status(shared.now()) };
                     *lock(&status) = text.into();
                 }
                 count = count.wrapping_add(1);
--- a/crates/xds/src/transport/service.rs
+++ b/crates/xds/src/transport/service.rs
@@ -1,10 +1,10 @@
-//! The services: aggregated discovery in both variants, and load reports.
+//! The gRPC services: aggregated discovery (ADS) in both variants, and load reporting (LRS).
 
-use super::conn::Info;
-use super::{Hub, Line};
+use super::conn::ConnectionInfo;
+use super::{Shared, StreamControl};
 use crate::core::resources::Resource;
 use crate::core::spans::duration;
-use crate::core::stream::{Ask, Response as Push, StreamError, Variant};
+use crate::core::stream::{Ask, Response as XdsResponse, StreamError, Variant};
 use crate::envoy::service::discovery::v3 as ads;
 use crate::envoy::service::load_stats::v3 as lrs;
 use envoy_types::pb::google::protobuf::{Any, Duration};
@@ -15,19 +15,21 @@
 use tokio_stream::StreamExt;
 use tonic::{Request, Response, Status, Streaming};
 
+/// The type URL of the message that wraps a resource to add its TTL.
 const WRAPPER: &str = "type.googleapis.com/envoy.service.discovery.v3.Resource";
+/// The interval at which proxies are asked to send load reports.
 const REPORTS_EVERY: Duration = Duration { seconds: 1, nanos: 0 };
 
 /// The aggregated discovery service.
-pub struct Ads(pub Arc<Hub>);
+pub struct AdsService(pub Arc<Shared>);
 /// The load reporting service.
-pub struct Lrs(pub Arc<Hub>);
+pub struct LrsService(pub Arc<Shared>);
 
 type Out<T> = ReceiverStream<Result<T, Status>>;
 
-/// A message of one variant, as the plane takes it.
+/// A request message of one protocol variant, convertible to the common form.
 trait Asked: Send + 'static {
-    /// The proxy's id, if told, and what is asked.
+    /// Returns the proxy's node id (empty if absent) and the request in the common form.
     fn split(self) -> (String, Ask);
 }
 
@@ -71,8 +73,9 @@
     }
 }
 
-fn nonce(push: &Push) -> String {
-    // A heartbeat is answered by nobody as a rule; an answer to it must be taken for no other response's.
+fn nonce(push: &XdsResponse) -> String {
+    // Proxies usually do not answer heartbeats. The nonce is not a number, so that an answer cannot match another
+    // response.
     if push.heartbeat {
         "heartbeat".to_owned()
     } else {
@@ -80,8 +83,9 @@
     }
 }
 
-/// State of the world: what has a time to live is wrapped ("xDS protocol, TTL").
-pub fn world(push: Push) -> ads::DiscoveryResponse {
+/// Encodes a state of the world response. Resources with a TTL are wrapped in a `Resource` message (xDS protocol,
+/// "TTL").
+pub fn world(push: XdsResponse) -> ads::DiscoveryResponse {
     let url = push.kind.url();
     let resources = push.resources.iter().map(|r| match r.ttl_ms {
         None => Any { type_url: url.to_owned(), value: r.body.clone() },
@@ -98,8 +102,8 @@
     }
 }
 
-/// Incremental.
-pub fn delta(push: Push) -> ads::DeltaDiscoveryResponse {
+/// Encodes an incremental response.
+pub fn delta(push: XdsResponse) -> ads::DeltaDiscoveryResponse {
     let url = push.kind.url();
     ads::DeltaDiscoveryResponse {
         system_version_info: push.version.clone(),
@@ -119,21 +123,21 @@
     }
 }
 
-/// Serves a stream: requests go to the plane, and whenever there is room for a response the newest is made. So a slow
-/// proxy has one response on its way and none in line.
+/// Serves a stream: passes requests to the control plane, and builds a response only when the output channel has
+/// capacity. A slow proxy therefore has one response in transit and no queue of outdated responses.
 fn serve<I: Asked, O: Send + 'static>(
-    hub: Arc<Hub>,
+    shared: Arc<Shared>,
     variant: Variant,
     request: Request<Streaming<I>>,
-    message: fn(Push) -> O,
+    message: fn(XdsResponse) -> O,
 ) -> Result<Response<Out<O>>, Status> {
-    let info = request.extensions().get::<Info>().cloned();
+    let info = request.extensions().get::<ConnectionInfo>().cloned();
     let peer = info.as_ref().map_or_else(String::new, |info| info.0.peer.to_string());
     let mut incoming = request.into_inner();
-    let holder = hub.with(|plane, now| plane.opened(now, variant, &peer)).map_err(|e| status(&e))?;
+    let holder = shared.with(|plane, now| plane.opened(now, variant, &peer)).map_err(|e| status(&e))?;
     let wake = Arc::new(Notify::new());
     let (end, ended) = oneshot::channel();
-    super::lock(&hub.lines).insert(holder, Line { wake: wake.clone(), end: Some(end) });
+    super::lock(&shared.controls).insert(holder, StreamControl { wake: wake.clone(), end: Some(end) });
     let (out, responses) = mpsc::channel(1);
     tokio::spawn(async move {
         let in_use = info.as_ref().map(|info| info.0.stream());
@@ -144,7 +148,7 @@
                     Some(Err(status)) => return Some(status),
                     Some(Ok(asked)) => asked.split(),
                 };
-                if let Err(e) = hub.with(|plane, now| plane.asked(now, holder, &node, &ask)) {
+                if let Err(e) = shared.with(|plane, now| plane.asked(now, holder, &node, &ask)) {
                     return Some(status(&e));
                 }
             }
@@ -153,7 +157,7 @@
             loop {
                 let Ok(room) = out.reserve().await else { return };
                 let push = loop {
-                    if let Some(push) = super::lock(&hub.plane).next(hub.now(), holder) {
+                    if let Some(push) = super::lock(&shared.plane).next(shared.now(), holder) {
                         break push;
                     }
                     wake.notified().await;
@@ -166,10 +170,10 @@
             () = write => (None, false),
             why = ended => (why.ok().map(|e| status(&e)), true),
         };
-        super::lock(&hub.lines).remove(&holder);
-        hub.with(|plane, now| plane.closed(now, holder));
+        super::lock(&shared.controls).remove(&holder);
+        shared.with(|plane, now| plane.closed(now, holder));
         if let Some(why) = why {
-            // A stream that does not read takes no word: its connection goes.
+            // A peer that does not read cannot receive the error status, so its connection is closed.
             let told = out.try_send(Err(why)).is_ok();
             if let Some(info) = info.filter(|_| torn && !told) {
                 info.0.end();
@@ -181,7 +185,7 @@
 }
 
 #[tonic::async_trait]
-impl ads::aggregated_discovery_service_server::AggregatedDiscoveryService for Ads {
+impl ads::aggregated_discovery_service_server::AggregatedDiscoveryService for AdsService {
     type StreamAggregatedResourcesStream = Out<ads::DiscoveryResponse>;
     type DeltaAggregatedResourcesStream = Out<ads::DeltaDiscoveryResponse>;
 
@@ -200,25 +204,26 @@
     }
 }
 
-/// Requests in progress by a report, over the clusters told here; what overflows stays at the most.
-fn in_progress(hub: &Hub, request: &lrs::LoadStatsRequest) -> u64 {
-    let told = |name: &str| hub.with(|plane, _| plane.knows(name));
+/// The sum of the requests in progress in a load report over the clusters of this control plane, saturating at
+/// `u64::MAX`.
+fn in_progress(shared: &Shared, request: &lrs::LoadStatsRequest) -> u64 {
+    let told = |name: &str| shared.with(|plane, _| plane.knows(name));
     let known = request.cluster_stats.iter().filter(|stats| told(&stats.cluster_name));
     let localities = known.flat_map(|stats| &stats.upstream_locality_stats);
     localities.fold(0, |sum: u64, locality| sum.saturating_add(locality.total_requests_in_progress))
 }
 
 #[tonic::async_trait]
-impl lrs::load_reporting_service_server::LoadReportingService for Lrs {
+impl lrs::load_reporting_service_server::LoadReportingService for LrsService {
     type StreamLoadStatsStream = Out<lrs::LoadStatsResponse>;
 
     async fn stream_load_stats(
         &self,
         request: Request<Streaming<lrs::LoadStatsRequest>>,
     ) -> Result<Response<Self::StreamLoadStatsStream>, Status> {
-        let info = request.extensions().get::<Info>().cloned();
+        let info = request.extensions().get::<ConnectionInfo>().cloned();
         let mut incoming = request.into_inner();
-        let hub = self.0.clone();
+        let shared = self.0.clone();
         let (out, responses) = mpsc::channel(1);
         let wish = lrs::LoadStatsResponse {
             send_all_clusters: true,
@@ -231,13 +236,13 @@
                 return;
             }
             let mut node = String::new();
-            // A stream that breaks ends here; what it told ages out.
+            // A failed stream ends the loop; its last report expires.
             while let Some(Ok(request)) = incoming.next().await {
                 if let Some(told) = request.node.as_ref().filter(|_| node.is_empty()) {
                     node = told.id.clone();
                 }
-                let out = in_progress(&hub, &request);
-                hub.with(|plane, now| plane.reported(now, &node, out));
+                let out = in_progress(&shared, &request);
+                shared.with(|plane, now| plane.reported(now, &node, out));
             }
         });
         Ok(Response::new(ReceiverStream::new(responses)))
--- a/crates/xds/tests/allot.rs
+++ b/crates/xds/tests/allot.rs
@@ -1,14 +1,16 @@
-//! Leases and bounds under any course of events.
+//! Property tests of the lease accounting and the bounds: for any order of grants, ACKs and NACKs, the leases in use at
+//! the proxies never exceed the bound. Also tests the names encoded in versions.
 
 use beamgap_xds::core::allot::{bound, offered, Leases, Shares};
 use beamgap_xds::core::picture::{ColdTerms, EngineName};
-use beamgap_xds::core::tombs::{named, Tombs};
+use beamgap_xds::core::tombs::{named, WithdrawnEngines};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// What a proxy truly holds: values under way to it in order, and the one in force.
+/// The actual lease state of a proxy: the values in transit to the proxy in order, the value in use, and the answers in
+/// transit to the control plane.
 #[derive(Default)]
-struct Truth {
+struct ProxyState {
     way: Vec<(u64, u32)>,
     force: u32,
     answers: Vec<(u64, bool)>,
@@ -24,20 +26,20 @@
     ) {
         let engine: EngineName = "s-1".into();
         let mut leases = Leases::default();
-        let mut truth: BTreeMap<u64, Truth> = (0..4).map(|h| (h, Truth::default())).collect();
+        let mut truth: BTreeMap<u64, ProxyState> = (0..4).map(|h| (h, ProxyState::default())).collect();
         let mut push = 0;
         for (holder, wanted, what) in steps {
             let holder = holder as u64;
             let of = truth.get_mut(&holder).unwrap();
             match what {
-                // The service tells; the message is under way for as long as it pleases.
+                // The control plane sends a value, which stays in transit for any number of steps.
                 0 | 1 => {
                     push += 1;
                     let value = leases.grant("s-1", holder, wanted, most);
-                    leases.told(&engine, holder, push, value);
+                    leases.record_sent(&engine, holder, push, value);
                     of.way.push((push, value));
                 }
-                // It arrives, and is accepted or refused; the answer is under way in turn.
+                // A value reaches the proxy, which accepts or rejects the value; the ACK or NACK is then in transit.
                 2 | 3 if !of.way.is_empty() => {
                     let (push, value) = of.way.remove(0);
                     if what == 2 {
@@ -46,14 +48,14 @@
                     of.answers.push((push, what == 2));
                 }
                 4 if !of.answers.is_empty() => match of.answers.remove(0) {
-                    (push, true) => leases.confirmed(holder, push),
-                    (push, false) => leases.refused(holder, push),
+                    (push, true) => leases.record_ack(holder, push),
+                    (push, false) => leases.record_nack(holder, push),
                 },
                 _ => {}
             }
             let sum: u32 = truth.values().map(|t| t.force).sum();
             prop_assert!(sum <= most, "{} of {}", sum, most);
-            prop_assert!(leases.held("s-1") >= sum, "the book holds less than the proxies");
+            prop_assert!(leases.total("s-1") >= sum, "the recorded total is less than the sum at the proxies");
         }
     }
 
@@ -64,7 +66,7 @@
     ) {
         let mut shares = Shares::default();
         for i in 0..loads.len() {
-            shares.joined(0.0, i as u64, &format!("p{i}"));
+            shares.register(0.0, i as u64, &format!("p{i}"));
         }
         let load = |node: &str| loads[node[1..].parse::<usize>().unwrap()];
         shares.balance(5_000.0, 2_000.0, &load);
@@ -80,9 +82,9 @@
         names in prop::collection::btree_set("[a-zA-Z0-9._:-]{1,20}", 0..80),
         noise in "\\PC{0,200}",
     ) {
-        let mut tombs = Tombs::default();
-        tombs.join(0.0, names.iter().map(|n| EngineName::from(n.as_str())));
-        let version = tombs.version(7, &Tombs::default());
+        let mut withdrawn = WithdrawnEngines::default();
+        withdrawn.merge(0.0, names.iter().map(|n| EngineName::from(n.as_str())));
+        let version = withdrawn.version(7, &WithdrawnEngines::default());
         let back = named(&version);
         prop_assert_eq!(back.len(), names.len().min(64));
         prop_assert!(back.iter().all(|n| names.contains(&**n)));
@@ -92,8 +94,9 @@
 
 #[test]
 fn the_bound_keeps_the_rule_for_a_proxy_that_sends_as_fast_as_it_may() {
-    // Played out: a box that works at its capacity, and proxies that refill every slot at once, with a time-out that
-    // frees each slot once a span. What is sent within any span stays under the proxies' part of the rule.
+    // Simulates an engine that works at full capacity and proxies that reuse every free slot immediately. All requests
+    // time out once per span, which frees each slot. The work sent within any span must stay within the proxies' part
+    // of the limit.
     for work in [20.0, 100.0, 400.0, 1_000.0] {
         for cores in [2.4, 4.0, 8.0] {
             let terms = ColdTerms {
@@ -109,7 +112,7 @@
             while now < 9_000.0 && slots > 0 {
                 now += 10.0;
                 let mut left = cores * 10.0;
-                // The box shares its cores; what ends makes room that is filled at once.
+                // The engine divides its cores evenly; each completed request is replaced immediately.
                 while left > 1e-9 {
                     let least = queue.iter().copied().fold(f64::INFINITY, f64::min);
                     let step = least.min(left / queue.len() as f64);
@@ -123,7 +126,8 @@
                     }
                 }
                 if (now / 10.0) as u64 % 150 == 149 {
-                    sent.push((now, f64::from(slots) * work)); // All time out together, and are sent again.
+                    // All requests time out together and are replaced.
+                    sent.push((now, f64::from(slots) * work));
                     queue.fill(work);
                 }
                 let within: f64 = sent.iter().filter(|(at, _)| now - at < 1_500.0).map(|(_, w)| w).sum();
@@ -136,7 +140,7 @@
 
 #[test]
 fn what_slots_carry_is_as_erlangs_tables_have_it() {
-    // Two of a hundred blocked: 0.0204, 0.224, 1.66, 5.08, 13.2 erlangs on 1, 2, 5, 10, 20 lines.
+    // Erlang B tables at 2% blocking: 0.0204, 0.224, 1.66, 5.08 and 13.2 erlangs for 1, 2, 5, 10 and 20 lines.
     for (slots, erlangs) in [(0, 0.0), (1, 0.0204), (2, 0.2235), (5, 1.657), (10, 5.084), (20, 13.18)] {
         assert!((offered(slots) - erlangs).abs() < 0.01, "{slots}: {}", offered(slots));
     }
--- a/crates/xds/tests/codec.rs
+++ b/crates/xds/tests/codec.rs
@@ -1,9 +1,10 @@
-//! Whatever comes from outside, of any length and in any order, is answered or refused, and nothing grows with it.
+//! Property tests with arbitrary messages in arbitrary order: each message is answered or rejected without a panic, and
+//! the state of the control plane stays bounded.
 
 mod common;
 
 use beamgap_xds::client::held::read;
-use beamgap_xds::client::session::{Got, GotResource, Session};
+use beamgap_xds::client::session::{Got, ReceivedResource, Session};
 use beamgap_xds::core::picture::{Engine, Health};
 use beamgap_xds::core::plane::Plane;
 use beamgap_xds::core::resources::Kind;
@@ -66,7 +67,7 @@
             url: kind.url().to_owned(),
             version: "v".to_owned(),
             nonce: "1".to_owned(),
-            resources: vec![GotResource { name: None, version: String::new(), body: Some(bytes), ttl_ms: None }],
+            resources: vec![ReceivedResource { name: None, version: String::new(), body: Some(bytes), ttl_ms: None }],
             removed: Vec::new(),
             bytes: 0,
         };
--- a/crates/xds/tests/common/mod.rs
+++ b/crates/xds/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A world without I/O: planes and proxies with messages under way between them, on a clock that is set by hand.
+//! A simulation without I/O: a control plane and proxies that exchange messages with delays, on a manual clock.
 #![allow(dead_code)]
 
 use beamgap_xds::client::held::Told;
@@ -45,7 +45,7 @@
     Picture { engines, admitted: 1.0 }
 }
 
-/// A proxy with its stream; what is under way comes after `delay`.
+/// A simulated proxy with its stream. Responses arrive after `delay` milliseconds.
 pub struct Proxy {
     pub node: String,
     pub session: Session,
@@ -54,8 +54,8 @@
     pub acks: bool,
     pub refuse: Option<&'static str>,
     down: VecDeque<(f64, Response)>,
-    /// At some moment a route named a cold engine's cluster that was not held whole.
-    pub broke: bool,
+    /// Whether a route ever named a warming engine's cluster without the proxy having the cluster and its endpoints.
+    pub route_broke: bool,
     pub got: Vec<Response>,
 }
 
@@ -69,7 +69,7 @@
             acks: true,
             refuse: None,
             down: VecDeque::new(),
-            broke: false,
+            route_broke: false,
             got: Vec::new(),
         }
     }
@@ -89,7 +89,7 @@
         self.down.clear();
     }
 
-    /// Takes what there is, and answers.
+    /// Fetches due responses, processes those that have arrived, and sends the resulting requests.
     pub fn step(&mut self, now: f64, plane: &mut Plane) {
         self.session.expire(now);
         let Some(holder) = self.holder else { return };
@@ -101,14 +101,15 @@
             let (_, response) = self.down.pop_front().unwrap();
             self.got.push(response.clone());
             let (_, asks) = self.session.got(now, &Got::from(response), self.refuse);
-            self.broke |= !self.whole();
+            self.route_broke |= !self.is_complete();
             for ask in asks.into_iter().filter(|_| self.acks) {
                 plane.asked(now, holder, "", &ask).unwrap();
             }
         }
     }
 
-    /// Names that the proxy would send new work to: healthy endpoints of clusters with weight in its route.
+    /// The engines to which the proxy would send new requests: healthy endpoints of the clusters with a positive weight
+    /// in its route.
     pub fn usable(&self) -> Vec<String> {
         let held = self.session.held();
         let route = held.route();
@@ -121,8 +122,8 @@
         names
     }
 
-    /// The requests that may be out at a warming engine, as the proxy holds it.
-    pub fn may(&self, engine: &str) -> u32 {
+    /// The maximum number of open requests at a warming engine according to the proxy's resources.
+    pub fn max_open(&self, engine: &str) -> u32 {
         let cluster = format!("boxes/{engine}");
         let held = self.session.held();
         let listed = held.endpoints(&cluster).iter().any(|e| e.health == Told::Healthy);
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Whether every cluster that the route names is held with a list of endpoints.
-    pub fn whole(&self) -> bool {
+    /// Whether the proxy has the cluster and the endpoint list of every warming engine named in its route.
+    pub fn is_complete(&self) -> bool {
         let held = self.session.held();
         held.route().iter().filter(|(cluster, _)| cluster.contains('/')).all(|(cluster, _)| {
             held.item(Kind::Cds, cluster).is_some() && held.item(Kind::Eds, cluster).is_some()
@@ -164,7 +165,7 @@
         self.plane.picture(self.now, picture(engines));
     }
 
-    /// Lets so many milliseconds pass, looking after each step.
+    /// Advances the clock by `ms` milliseconds in steps and calls `look` after each step.
     pub fn pass_and(&mut self, ms: f64, mut look: impl FnMut(&mut World)) {
         let until = self.now + ms;
         loop {
@@ -187,7 +188,7 @@
     }
 }
 
-/// A first request of a type, by hand.
+/// Builds a first request of a resource type.
 pub fn first(kind: Kind, names: &[&str]) -> Ask {
     Ask {
         url: kind.url().to_owned(),
@@ -196,7 +197,7 @@
     }
 }
 
-/// An answer to a response, by hand.
+/// Builds an ACK, or a NACK if `error` is set.
 pub fn answer(kind: Kind, nonce: u64, names: &[&str], error: Option<&str>) -> Ask {
     Ask { nonce: nonce.to_string(), error: error.map(str::to_owned), ..first(kind, names) }
 }
--- a/crates/xds/tests/plane.rs
+++ b/crates/xds/tests/plane.rs
@@ -1,4 +1,5 @@
-//! The hard cases, without I/O: what proxies hold after reconnects, late pushes, refusals and restarts.
+//! Tests of the resources that proxies have after reconnects, delayed responses, NACKs and restarts of the control
+//! plane, without I/O.
 
 mod common;
 
@@ -26,7 +27,7 @@
         let p = world.join("p", variant);
         world.pass(0.0);
         assert_eq!(world.proxies[p].usable(), ["s-1", "s-2"], "{variant:?}");
-        assert!(world.proxies[p].whole());
+        assert!(world.proxies[p].is_complete());
         world.proxies[p].acks = false;
         for (i, health) in [(0, Health::Draining), (1, Health::Aside)] {
             let mut engines = [engine("s-1", 1, 1.0), engine("s-2", 2, 1.0)];
@@ -41,7 +42,8 @@
 
 #[test]
 fn a_reconnect_halfway_never_brings_back_an_engine_that_drained_or_went() {
-    // The proxy heard it from one instance; the second, whose list is older, still holds the engine for good.
+    // The first instance announced one engine as draining and removed another. The second and third instances have
+    // older lists in which both engines are healthy.
     for variant in BOTH {
         let mut world = World::new(terms());
         let (a, b, c) = (engine("s-1", 1, 1.0), engine("s-2", 2, 1.0), engine("s-3", 3, 1.0));
@@ -58,7 +60,8 @@
         proxy.connect(second.now, &mut second.plane, variant);
         second.proxies.push(proxy);
         second.pass_and(1_000.0, |world| assert_eq!(world.proxies[0].usable(), ["s-1"], "{variant:?}"));
-        // Back to a third that is as old: what was told goes with the proxy, also through the second.
+        // The third instance's list is equally old. The proxy's version still names the draining and removed engines,
+        // although the second instance learned of them only from the proxy.
         let mut third = World::new(terms());
         third.show(&[a.clone(), b.clone(), c.clone()]);
         let mut proxy = second.proxies.remove(0);
@@ -66,7 +69,7 @@
         proxy.connect(third.now, &mut third.plane, variant);
         third.proxies.push(proxy);
         third.pass_and(1_000.0, |world| assert_eq!(world.proxies[0].usable(), ["s-1"], "{variant:?}"));
-        // Its list catches up, and a new engine has come to the address of the one that is gone.
+        // The third instance receives the current list, in which a new engine uses the address of a removed engine.
         third.show(&[a.clone(), engine("s-4", 3, 1.0)]);
         third.pass_and(100.0, |world| assert_eq!(world.proxies[0].usable(), ["s-1", "s-4"], "{variant:?}"));
     }
@@ -130,13 +133,14 @@
         world.proxies[p].got.clear();
         world.show(&[with(engine("s-1", 1, 1.0), Health::Draining), engine("s-2", 2, 1.0)]);
         world.pass(1_000.0);
-        assert_eq!(world.proxies[p].got.len(), 2, "one EDS and one RDS, not told over and over");
+        assert_eq!(world.proxies[p].got.len(), 2, "one EDS and one RDS response, not repeated");
         let told = world.plane.take_told();
         let nacks =
             told.iter().filter(|t| matches!(t, Told::Warning(text) if text.contains("error=not today")));
         assert_eq!(nacks.count(), 2, "{told:?}");
         assert!(world.plane.status(world.now).contains(r#""error":"not today""#));
-        // In the middle of a rolling deploy the next state is taken, and nothing of the refused one is missing.
+        // The proxy accepts the next update of the rolling deployment, which includes the changes of the NACKed
+        // response.
         world.proxies[p].refuse = None;
         world.show(&[engine("s-2", 2, 1.0), engine("s-3", 1, 1.0)]);
         world.pass(100.0);
@@ -165,7 +169,7 @@
     world.pass(100.0);
     world.proxies[p].got.clear();
     for port in 2..40 {
-        // Nothing is taken between these; each changes the list.
+        // Each iteration changes the endpoint list; no response is sent to the proxy in between.
         world.show(&[engine("s-1", 1, 1.0), engine("s-2", port, 1.0)]);
     }
     world.pass(0.0);
@@ -185,7 +189,7 @@
     let mut strange = first(Kind::Cds, &[]);
     strange.url = "type.googleapis.com/a.B".to_owned();
     assert_eq!(plane.asked(0.0, a, "p", &strange), Ok(()));
-    // Answers to nothing, and of a nonce that is no number, change nothing.
+    // Answers with an unknown nonce or a nonce that is not a valid number have no effect.
     assert_eq!(plane.asked(0.0, a, "p", &first(Kind::Cds, &[])), Ok(()));
     let response = plane.next(0.0, a).unwrap();
     for nonce in ["99999", "x", "-1", "18446744073709551616"] {
@@ -212,7 +216,7 @@
     leave.leaves = vec!["boxes".to_owned()];
     plane.asked(0.0, s, "", &leave).unwrap();
     plane.picture(1.0, picture(&[engine("s-1", 1, 1.0), engine("s-2", 2, 1.0)]));
-    assert!(plane.next(1.0, s).is_none(), "what is left is told no more");
+    assert!(plane.next(1.0, s).is_none(), "no updates after unsubscribing");
     plane.asked(1.0, s, "", &first(Kind::Eds, &["boxes"])).unwrap();
     assert_eq!(plane.next(1.0, s).unwrap().resources.len(), 1);
 }
@@ -236,7 +240,7 @@
             return;
         }
     }
-    panic!("it was never ended");
+    panic!("the stream was never closed");
 }
 
 #[test]
--- a/crates/xds/tests/plane_leases.rs
+++ b/crates/xds/tests/plane_leases.rs
@@ -1,4 +1,5 @@
-//! Leases on warming engines, without I/O: their order, their sum, and their end.
+//! Tests of leases on warming engines, without I/O: the order of the updates, the bound on the sum of all leases, and
+//! the expiry of leases.
 
 mod common;
 
@@ -25,9 +26,9 @@
             world.show(&[engine("s-1", 1, 1.0), engine("s-2", 2, warmth)]);
             world.pass_and(500.0, |world| {
                 let proxy = &world.proxies[0];
-                assert!(!proxy.broke, "a route named what was not held");
-                assert!(proxy.may("s-2") <= bound(&COLD, 8.0 * warmth) || warmth >= 1.0);
-                seen = seen.max(proxy.may("s-2"));
+                assert!(!proxy.route_broke, "a route named a cluster without the cluster and its endpoints");
+                assert!(proxy.max_open("s-2") <= bound(&COLD, 8.0 * warmth) || warmth >= 1.0);
+                seen = seen.max(proxy.max_open("s-2"));
             });
             age += 0.05;
         }
@@ -36,7 +37,7 @@
         assert_eq!(
             world.proxies[p].session.held().route(),
             [("boxes", 1600)],
-            "warm, it has no cluster of its own"
+            "a warm engine has no separate cluster"
         );
         assert!(world.proxies[p].session.held().item(Kind::Cds, "boxes/s-2").is_none());
         assert!(world.plane.leases().is_empty());
@@ -45,7 +46,8 @@
 
 #[test]
 fn a_push_that_is_late_never_makes_the_sum_of_what_proxies_hold_pass_the_bound() {
-    // 1, 3 and 10 s late; proxies come, go and come back, and every value that one may hold counts.
+    // Responses arrive 1, 3 or 10 s late while proxies disconnect and reconnect. The sum of the lease values in use at
+    // the proxies must never exceed the bound.
     for variant in BOTH {
         for delay in [1_000.0, 3_000.0, 10_000.0] {
             let mut world = World::new(Terms { late_ms: 12_000.0, ..terms() });
@@ -60,7 +62,7 @@
                 world.show(&[engine("s-1", 1, 1.0), engine("s-2", 2, warmth)]);
                 let most = bound(&COLD, 8.0 * warmth);
                 world.pass_and(250.0, |world| {
-                    let sum: u32 = world.proxies.iter().map(|p| p.may("s-2")).sum();
+                    let sum: u32 = world.proxies.iter().map(|p| p.max_open("s-2")).sum();
                     assert!(sum <= most, "{variant:?} {delay}: {sum} of {most} at {}", world.now);
                 });
                 if step % 20 == 10 {
@@ -70,7 +72,7 @@
                     proxy.connect(*now, plane, variant);
                 }
             }
-            let sum: u32 = world.proxies.iter().map(|p| p.may("s-2")).sum();
+            let sum: u32 = world.proxies.iter().map(|p| p.max_open("s-2")).sum();
             assert!(sum > 0, "{variant:?} {delay}: nobody got a lease");
         }
     }
@@ -83,13 +85,13 @@
         world.show(&[engine("s-1", 1, 1.0), engine("s-2", 2, 0.5)]);
         let p = world.join("p", variant);
         world.pass(6_000.0);
-        assert!(world.proxies[p].may("s-2") > 0);
+        assert!(world.proxies[p].max_open("s-2") > 0);
         world.pass(10_000.0);
-        assert!(world.proxies[p].may("s-2") > 0, "{variant:?}: heartbeats keep it");
+        assert!(world.proxies[p].max_open("s-2") > 0, "{variant:?}: heartbeats renew the lease");
         let mut proxy = world.proxies.remove(p);
         proxy.session.expire(world.now + terms().ttl_ms);
-        assert_eq!(proxy.may("s-2"), 0);
-        assert_eq!(proxy.usable(), ["s-1"], "what is warm stays");
+        assert_eq!(proxy.max_open("s-2"), 0);
+        assert_eq!(proxy.usable(), ["s-1"], "warm engines remain usable");
     }
 }
 
@@ -99,7 +101,7 @@
     world.show(&[engine("s-1", 1, 1.0), engine("s-2", 2, 0.5)]);
     let p = world.join("p", Variant::World);
     world.pass(6_000.0);
-    let before = world.proxies[p].may("s-2");
+    let before = world.proxies[p].max_open("s-2");
     assert!(before > 0);
     let mut proxy = world.proxies.remove(p);
     proxy.disconnect(world.now, &mut world.plane);
@@ -112,12 +114,12 @@
     let start = next.now;
     let most = bound(&COLD, 4.0);
     next.pass_and(8_000.0, |world| {
-        let sum: u32 = world.proxies.iter().map(|p| p.may("s-2")).sum();
+        let sum: u32 = world.proxies.iter().map(|p| p.max_open("s-2")).sum();
         assert!(sum <= most, "{sum} of {most}");
         let quiet = world.now - start < terms().late_ms + terms().ttl_ms;
-        assert!(!quiet || world.proxies[q].may("s-2") == 0, "too early, at {}", world.now - start);
+        assert!(!quiet || world.proxies[q].max_open("s-2") == 0, "too early, at {}", world.now - start);
     });
-    assert!(next.proxies[q].may("s-2") > 0);
+    assert!(next.proxies[q].max_open("s-2") > 0);
 }
 
 #[test]
@@ -128,21 +130,21 @@
         world.join(&format!("p{i}"), Variant::Delta);
     }
     world.pass(8_000.0);
-    let before: Vec<u32> = world.proxies.iter().map(|p| p.may("s-2")).collect();
+    let before: Vec<u32> = world.proxies.iter().map(|p| p.max_open("s-2")).collect();
     assert!(before.iter().all(|may| *may > 0), "{before:?}");
     let flapper = world.join("flapper", Variant::Delta);
     for _ in 0..20 {
         world.pass_and(1_000.0, |world| {
-            let now: Vec<u32> = world.proxies[..3].iter().map(|p| p.may("s-2")).collect();
+            let now: Vec<u32> = world.proxies[..3].iter().map(|p| p.max_open("s-2")).collect();
             assert_eq!(now, before);
         });
         let World { now, plane, proxies } = &mut world;
         proxies[flapper].disconnect(*now, plane);
         proxies[flapper].connect(*now, plane, Variant::Delta);
     }
-    // Once it stays, it gets its part.
+    // A proxy that stays connected for the settling time gets a share.
     world.pass(6_000.0);
-    assert!(world.proxies[flapper].may("s-2") > 0);
+    assert!(world.proxies[flapper].max_open("s-2") > 0);
 }
 
 #[test]
@@ -153,13 +155,13 @@
         let p = world.join("p", variant);
         world.pass(6_000.0);
         for _ in 0..40 {
-            // More often than heartbeats come, and for longer than the time to live.
+            // Reconnects more often than heartbeats are sent, and for longer than the TTL.
             let World { now, plane, proxies } = &mut world;
             proxies[p].disconnect(*now, plane);
             proxies[p].connect(*now, plane, variant);
             world.pass_and(150.0, |world| {
                 let proxy = &world.proxies[p];
-                assert!(proxy.may("s-2") > 0 && !proxy.broke, "{variant:?} at {}", world.now);
+                assert!(proxy.max_open("s-2") > 0 && !proxy.route_broke, "{variant:?} at {}", world.now);
                 assert_eq!(proxy.usable(), ["s-1", "s-2"], "{variant:?} at {}", world.now);
             });
         }
@@ -178,11 +180,15 @@
         let route = world.proxies[p].session.held().route();
         let weights: Vec<u32> = route.iter().map(|(_, weight)| *weight).collect();
         assert!(weights[0] == 0 && weights[1] > 0 && weights[2] > weights[1], "{variant:?}: {route:?}");
-        // Whoever has just come gets a little at once, and moves nobody.
-        let before = world.proxies[p].may("s-3");
+        // A newly connected proxy gets one request immediately, and the lease of the other proxy is unchanged.
+        let before = world.proxies[p].max_open("s-3");
         let q = world.join("new", variant);
         world.pass(1_000.0);
-        assert_eq!((world.proxies[q].may("s-3"), world.proxies[p].may("s-3")), (1, before), "{variant:?}");
+        assert_eq!(
+            (world.proxies[q].max_open("s-3"), world.proxies[p].max_open("s-3")),
+            (1, before),
+            "{variant:?}"
+        );
     }
 }
 
@@ -192,12 +198,12 @@
     world.show(&[engine("s-1", 1, 1.0), engine("s-2", 2, 0.5)]);
     let (a, b) = (world.join("twin", Variant::World), world.join("twin", Variant::World));
     world.pass(8_000.0);
-    assert!(world.proxies[a].may("s-2") > 0);
-    assert_eq!(world.proxies[b].may("s-2"), 0);
+    assert!(world.proxies[a].max_open("s-2") > 0);
+    assert_eq!(world.proxies[b].max_open("s-2"), 0);
     let World { now, plane, proxies } = &mut world;
     proxies[a].disconnect(*now, plane);
     world.pass(8_000.0);
-    assert!(world.proxies[b].may("s-2") > 0, "alone, it takes the place of the one before");
+    assert!(world.proxies[b].max_open("s-2") > 0, "the remaining stream gets the lease");
 }
 
 #[test]
@@ -213,11 +219,11 @@
         world.plane.reported(world.now, "liar", u64::MAX);
         world.plane.reported(world.now, "nobody", u64::MAX);
         world.pass_and(1_000.0, |world| {
-            assert!(world.proxies.iter().map(|p| p.may("s-2")).sum::<u32>() <= most);
+            assert!(world.proxies.iter().map(|p| p.max_open("s-2")).sum::<u32>() <= most);
         });
     }
     assert!(!world.plane.status(world.now).contains("nobody"));
     world.pass(40_000.0);
-    let may: Vec<u32> = world.proxies.iter().map(|p| p.may("s-2")).collect();
-    assert!(may[0] > 0 && may[0].abs_diff(may[1]) <= 2, "parts are even again: {may:?}");
+    let may: Vec<u32> = world.proxies.iter().map(|p| p.max_open("s-2")).collect();
+    assert!(may[0] > 0 && may[0].abs_diff(may[1]) <= 2, "the shares are equal again: {may:?}");
 }
--- a/crates/xds/tests/transport.rs
+++ b/crates/xds/tests/transport.rs
@@ -1,4 +1,5 @@
-//! The service on sockets: its bounds, and what it does about peers that ask too much, read nothing or say nothing.
+//! Tests of the server over loopback sockets: its limits, and its handling of clients that send oversized requests, do
+//! not read, or do not answer.
 
 mod common;
 
@@ -26,7 +27,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(work);
 }
 
-/// Waits until the page, which is made each second, says this.
+/// Waits until the status report, which is updated every second, contains `what`.
 async fn until(handle: &Handle, what: &str) {
     for _ in 0..400 {
         if handle.status().contains(what) {
@@ -34,7 +35,7 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("the page never says {what}: {}", handle.status());
+    panic!("the status report never contains {what}: {}", handle.status());
 }
 
 fn asks() -> Vec<beamgap_xds::core::stream::Ask> {
@@ -62,9 +63,10 @@
 #[test]
 fn a_stream_that_reads_nothing_is_ended_and_holds_nothing_back() {
     on_runtime(async {
-        // Long enough for the page, which is made each second, to show it first.
+        // The timeout exceeds the one-second interval of the status report, so the report shows the stream before its
+        // end.
         let handle = service(|s| s.terms.ack_ms = 2_500.0);
-        // Large lists, so that the windows fill and nothing more can be told to it.
+        // Large endpoint lists fill the flow control windows, so that no further response can be sent to the client.
         let engines: Vec<_> = (0..3_000).map(|i| engine(&format!("s-{i:05}"), 1 + i, 1.0)).collect();
         handle.publish(picture(&engines));
         let still = connect(&handle.address.to_string()).await.unwrap();
@@ -88,7 +90,7 @@
         let why = loop {
             match link.next().await {
                 Ok(Some(_)) => {}
-                Ok(None) => panic!("it ended without a word"),
+                Ok(None) => panic!("the stream ended without an error status"),
                 Err(why) => break why,
             }
         };
@@ -117,7 +119,7 @@
     let handle = service(|s| s.idle_ms = 200.0);
     let mut silent = std::net::TcpStream::connect(handle.address).unwrap();
     silent.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    // The server's own settings may come first; then the end, and no time-out.
+    // The server may send its HTTP/2 SETTINGS frame first; then the connection must end before the read times out.
     while silent.read(&mut [0; 256]).expect("the other side closes") > 0 {}
 }
 
