--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
-//! Reads an operator's file: HCL with the sections, keys and units that a [schema] allows.
+//! Parses an operator's configuration file: HCL with the blocks, keys and units defined by a [schema].
 //!
-//! All faults are found in one go, each with its line, the key, and what to write instead. What is read comes as plain
-//! [`Value`]s under the names of the program's settings, with the place of each in the file, so that whoever checks
-//! the meaning later can name the line too.
+//! The parser reports all errors of a file at once, each with its line, its key and a suggested correction. The result
+//! consists of [`Value`]s under the names of the program's settings, with the position of each key in the file, so that
+//! later semantic checks can report the line too.
 //!
-//! Start at [`read`]; the shapes of keys are in [`schema`], the units in [`units`].
+//! The entry point is [`read`]. The value types are defined in [`schema`], the units in [`units`].
 
 pub mod schema;
 pub mod units;
@@ -16,61 +16,61 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A value, as the program's settings take it.
+/// A value of a setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Text.
+    /// A string.
     Text(String),
-    /// A number, in the unit that its name tells.
+    /// A number, in the unit that the setting's name indicates.
     Number(f64),
-    /// Yes or no.
+    /// A boolean.
     Flag(bool),
     /// A list of blocks or values.
     List(Vec<Value>),
-    /// Named values.
+    /// Values by name.
     Map(BTreeMap<String, Value>),
 }
 
 impl Value {
-    /// As JSON.
+    /// Returns the value as JSON.
     pub fn json(&self) -> String {
-        self.told().to_string()
+        self.to_json_value().to_string()
     }
 
-    fn told(&self) -> serde_json::Value {
+    fn to_json_value(&self) -> serde_json::Value {
         match self {
             Value::Text(text) => text.as_str().into(),
-            // Whole numbers as such: readers may tell the two apart.
+            // Whole numbers are written as JSON integers, as a reader may distinguish integers from floats.
             Value::Number(number) if number.fract() == 0.0 && number.abs() < 1e15 => (*number as i64).into(),
             Value::Number(number) => (*number).into(),
             Value::Flag(flag) => (*flag).into(),
-            Value::List(list) => list.iter().map(Value::told).collect(),
-            Value::Map(map) => map.iter().map(|(key, value)| (key.clone(), value.told())).collect(),
+            Value::List(list) => list.iter().map(Value::to_json_value).collect(),
+            Value::Map(map) => map.iter().map(|(key, value)| (key.clone(), value.to_json_value())).collect(),
         }
     }
 }
 
-/// A line and a column, both from 1.
+/// A position in the file: line and column, both starting at 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The line.
+    /// The line number.
     pub line: usize,
-    /// The column, in characters.
+    /// The column, counted in characters.
     pub column: usize,
 }
 
-/// What is wrong at a place, and what to do.
+/// An error in the file, with its position and a suggested correction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// Where in it.
+    /// The position in the file.
     pub place: Place,
-    /// The key, as a path.
+    /// The path of the key.
     pub key: String,
-    /// What is wrong.
+    /// The description of the error.
     pub problem: String,
-    /// What to write instead.
+    /// The suggested correction.
     pub fix: String,
 }
 
@@ -83,19 +83,19 @@
 
 impl std::error::Error for Problem {}
 
-/// A file that was read without fault.
+/// A file that was parsed without errors.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
-    /// The file's name.
+    /// The name of the file.
     pub file: String,
-    /// What it says.
+    /// All settings in the file.
     pub root: Value,
-    /// Where each key stands, by its path in the program's settings, such as `mysql.accounts[0].tenant`.
+    /// The position of each key, by its path in the program's settings, such as `mysql.accounts[0].tenant`.
     pub places: BTreeMap<String, Place>,
 }
 
 impl Document {
-    /// The place of a key, or of the nearest block round it.
+    /// The position of a key, or of the innermost enclosing block if the key is absent.
     pub fn place(&self, path: &str) -> Option<Place> {
         let mut path = path;
         loop {
@@ -107,14 +107,15 @@
     }
 }
 
-/// Longest file that is read, in bytes.
+/// The maximum size of a file, in bytes.
 pub const FILE_MOST: usize = 1 << 20;
+/// The maximum nesting depth of brackets in a file, which bounds the recursion of the HCL parser.
 const DEPTH_MOST: usize = 32;
 
-/// Reads a file's text against a schema. All faults are given, in the order of their places.
+/// Parses the text of a file according to a schema. Returns all errors, sorted by position.
 pub fn read(file: &str, text: &str, schema: &BlockSchema) -> Result<Document, Vec<Problem>> {
     let mut reader = Reader { file, text, places: BTreeMap::new(), problems: Vec::new() };
-    // Guards the parser's stack: it descends once for each level.
+    // The HCL parser recurses once per nesting level, so deep nesting could overflow the stack.
     let deep = depth(text);
     if text.len() > FILE_MOST || deep > DEPTH_MOST {
         let problem = if deep > DEPTH_MOST { "is nested too deep" } else { "is too long" };
@@ -236,7 +237,7 @@
         map.extend(lists.into_iter().map(|(name, list)| (name.to_owned(), Value::List(list))));
         for known in schema.keys.iter().filter(|k| k.needed && !map.contains_key(k.setting)) {
             let key = join(path, known.name);
-            // Wrong and missing are told once: what is wrong has been.
+            // A required key with an invalid value has already been reported and is not reported as missing.
             if !self.problems.iter().any(|p| p.key == key) {
                 self.fault(
                     at,
@@ -309,7 +310,7 @@
                 fix: format!("write {}", shape.with_unit(*n)),
             }),
             (shape, _) => Err(units::Wrong {
-                problem: format!("is {}, not {}", plain.told(), shape.told()),
+                problem: format!("is {}, not {}", plain.describe(), shape.describe()),
                 fix: format!("write for example `{} = {}`", known.name, shape.example()),
             }),
         };
@@ -331,7 +332,7 @@
 }
 
 impl Plain<'_> {
-    fn told(&self) -> String {
+    fn describe(&self) -> String {
         match self {
             Plain::Text(text) => format!("\"{}\"", text.chars().take(60).collect::<String>()),
             Plain::Number(number) => number.to_string(),
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,36 +1,36 @@
-//! What may stand in a file: blocks, their keys, and the shape of each value.
+//! The schema of a configuration file: the allowed blocks, their keys, and the type of each value.
 
-/// The shape of a value.
+/// The type of a value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
-    /// Text.
+    /// A string.
     Text,
-    /// An address with a port.
+    /// An IP address with a port.
     Address,
-    /// Yes or no.
+    /// A boolean.
     Flag,
-    /// A whole number within bounds.
+    /// A whole number within inclusive bounds.
     Count {
-        /// At least.
+        /// The smallest allowed value.
         least: f64,
-        /// At most.
+        /// The largest allowed value.
         most: f64,
     },
-    /// A time with its unit; the setting is in milliseconds.
+    /// A duration with a unit; the setting is in milliseconds.
     Duration,
-    /// A size with its unit; the setting is in megabytes of 2^20 bytes.
+    /// A size with a unit; the setting is in MiB (2^20 bytes).
     Size,
-    /// A share in per cent; the setting is from 0 to 1.
+    /// A percentage; the setting is a fraction from 0 to 1.
     Share,
 }
 
 impl Shape {
-    /// Whether a bare number is refused for want of a unit.
+    /// Whether the value requires a unit, so that a number without a unit is an error.
     pub fn has_unit(&self) -> bool {
         matches!(self, Shape::Duration | Shape::Size | Shape::Share)
     }
 
-    /// What to write for a bare number.
+    /// The suggested correction for a number without a unit.
     pub fn with_unit(&self, number: f64) -> String {
         match self {
             Shape::Duration => format!("\"{number} ms\" or \"{number} s\""),
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The shape in words.
-    pub fn told(&self) -> String {
+    /// A description of the type for error messages.
+    pub fn describe(&self) -> String {
         match self {
             Shape::Text => "a text".to_owned(),
             Shape::Address => "an address with a port".to_owned(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A value of this shape.
+    /// An example of a valid value.
     pub fn example(&self) -> String {
         match self {
             Shape::Text => "\"text\"".to_owned(),
@@ -67,32 +67,32 @@
     }
 }
 
-/// A key of a block.
+/// A key that a block may contain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Key {
-    /// As it stands in the file.
+    /// The name of the key in the file.
     pub name: &'static str,
-    /// Its name in the program's settings.
+    /// The name of the key's setting in the program.
     pub setting: &'static str,
-    /// What its value looks like.
+    /// The type of the value.
     pub shape: Shape,
-    /// Whether it must be there.
+    /// Whether the key is required.
     pub needed: bool,
 }
 
-/// A block.
+/// A kind of block that a file may contain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Block {
-    /// As it stands in the file.
+    /// The name of the block in the file.
     pub name: &'static str,
-    /// Its name in the program's settings.
+    /// The name of the block's setting in the program.
     pub setting: &'static str,
-    /// Whether it may stand more than once: then the setting is a list.
+    /// Whether the block may occur more than once; the setting is then a list.
     pub many: bool,
-    /// The setting that its label is, if it has one.
+    /// The name of the setting that the block's label sets, if the block has a label.
     pub label: Option<&'static str>,
-    /// Its keys.
+    /// The keys allowed in the block.
     pub keys: Vec<Key>,
-    /// The blocks in it.
+    /// The blocks allowed inside the block.
     pub blocks: Vec<Block>,
 }
--- a/crates/config/tests/read.rs
+++ b/crates/config/tests/read.rs
@@ -1,4 +1,5 @@
-//! Files that are wrong, each with the place and the fix; and that nothing can make the reader fall over.
+//! Tests of the parser: each error is reported with its position and a suggested correction, and no input causes a
+//! panic.
 
 use beamgap_config::schema::{Block, Key, Shape};
 use beamgap_config::{read, units, Place, Value};
