--- a/crates/xds/src/core/allot.rs
+++ b/crates/xds/src/core/allot.rs
@@ -32,7 +32,7 @@
 /// The largest acceptable fraction of requests to a warming engine that the proxy rejects because its lease is used up.
 const REJECTED_FRACTION: f64 = 0.02;
 
-/// The mean number of open requests that `slots` slots can carry with at most the fraction [`REJECTED_FRACTION`]
+/// The mean number of open requests that `slots` slots can carry with at most the fraction `REJECTED_FRACTION`
 /// rejected, for randomly arriving requests. The value is the inverse of the Erlang B (loss) formula, found by
 /// bisection.
 pub fn offered(slots: u32) -> f64 {
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Adjusts the shares to the proxies' loads, at most every [`REBALANCE_MS`] unless a new proxy has become eligible,
-    /// and only the shares that differ from their target by more than [`SHARE_DEADBAND`]. Returns whether any share
+    /// Adjusts the shares to the proxies' loads, at most every `REBALANCE_MS` unless a new proxy has become eligible,
+    /// and only the shares that differ from their target by more than `SHARE_DEADBAND`. Returns whether any share
     /// changed.
     pub fn balance(&mut self, now: f64, settle_ms: f64, load: &dyn Fn(&str) -> f64) -> bool {
         let before = self.members.len();
--- a/crates/xds/src/core/stream.rs
+++ b/crates/xds/src/core/stream.rs
@@ -44,9 +44,9 @@
     earlier_versions: BTreeMap<String, String>,
     /// The set of resources that the proxy NACKed; not sent again until the resources change.
     refused: Option<Set>,
-    /// Subscribed names not yet answered; those without a resource are reported once as removed.
+    /// Incremental: subscribed names without a response so far. Names without a resource are reported once as removed.
     unknown: BTreeSet<String>,
-    /// The number of the urgent change that was considered last.
+    /// The number of the latest urgent change that was sent or that required no response.
     urgent: u64,
     heartbeat: f64,
     /// The version of the last response accepted on this stream.
