--- a/crates/fault-harness/src/breaks.rs
+++ b/crates/fault-harness/src/breaks.rs
@@ -1,16 +1,16 @@
-//! A promise that was broken, as the judges tell it.
+//! The violation type that every history checker returns.
 
 use crate::history::Event;
 use std::fmt;
 
-/// A promise that was broken.
+/// A violation: a documented promise of the fleet that a recorded history contradicts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Break {
-    /// Its number.
+    /// The promise's number in the document that the checker names in its module documentation.
     pub promise: u8,
-    /// What broke it.
+    /// A one-line description of the violation.
     pub text: String,
-    /// The events that show it, no more.
+    /// The smallest set of events that proves the violation.
     pub excerpt: Vec<Event>,
 }
 
@@ -25,6 +25,7 @@
     }
 }
 
+/// Returns a violation with copies of the given events as its excerpt.
 pub(crate) fn broken<T>(promise: u8, text: String, excerpt: &[&Event]) -> Result<T, Break> {
     Err(Break { promise, text, excerpt: excerpt.iter().map(|e| (*e).clone()).collect() })
 }
--- a/crates/fault-harness/src/budget_checker.rs
+++ b/crates/fault-harness/src/budget_checker.rs
@@ -1,57 +1,58 @@
-//! The history checker of the fleet's budgets: compares what members admitted and what engines worked on with the promises
-//! of `docs/budgets.md`, by their numbers. Pure. It never looks at the program's own accounts.
+//! History checker for the fleet's budgets: compares the requests that members admitted and that engines executed with the
+//! numbered promises of `docs/budgets.md`. Pure functions; the budget accounts that the program itself reports are not used.
 
 use crate::breaks::{broken, Break};
 use crate::history::{Event, What};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The promise that shares never sum to more than the budget.
+/// Number of the promise that the members' shares never add up to more than the budget.
 const PROMISE: u8 = 1;
-/// Tolerance for the rounding of times in a history, in seconds.
+/// Tolerance for rounded timestamps in a history, in seconds: a token bucket may exceed its burst by the events that its
+/// rate permits in this time.
 const ROUNDING_TOLERANCE: f64 = 1e-3;
 
-/// A token bucket.
+/// The parameters of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Events per second.
+    /// Refill rate, in events per second.
     pub per_second: f64,
-    /// Events at once.
+    /// Bucket capacity: the largest number of events that may occur at the same moment.
     pub burst: f64,
 }
 
-/// A limit of the whole fleet, as the checker goes by it.
+/// A limit on the whole fleet that the checker enforces on a history.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetLimit {
-    /// Limits only this account; all of them if it is empty.
+    /// Account whose requests are limited; an empty name limits the requests of every account.
     pub account: String,
-    /// Limits only this class; all of them if there is none.
+    /// Request class that is limited; `None` limits requests of every class.
     pub class: Option<usize>,
-    /// Limits admissions.
+    /// Rate limit on admitted requests.
     pub rate: Option<RateLimit>,
-    /// Most requests in flight at all engines together.
+    /// Maximum number of requests in flight, summed over all engines.
     pub max_in_flight: Option<usize>,
-    /// Limits attempts beyond the first of their request.
+    /// Rate limit on retries, that is, on every attempt of a request after its first.
     pub retries: Option<RateLimit>,
-    /// The policy versions under which the limit stands.
+    /// Policy versions that contain the limit; admissions under other versions are not counted.
     pub versions: BTreeSet<u64>,
 }
 
-/// How much of a limit a history has used.
+/// The peak usage of one limit in a history.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BudgetUsage {
-    /// Admissions that it limits.
+    /// Number of admissions to which the limit applies.
     pub admitted: usize,
-    /// Most of a burst that was used in any window.
+    /// Highest level that the token bucket's usage reached, in events.
     pub burst: f64,
-    /// Most requests in flight at engines at one moment.
+    /// Highest number of requests in flight at engines at the same moment.
     pub most_in_flight: usize,
 }
 
-/// Checks a history, events in order of time, against limits; gives the usage of each.
+/// Checks a history against each limit and returns the usage of each limit. The events must be sorted by time.
 ///
 /// # Errors
 ///
-/// The first violation.
+/// The first violation of a limit, with the events that prove it.
 pub fn check_budgets(events: &[Event], limits: &[BudgetLimit]) -> Result<Vec<BudgetUsage>, Break> {
     limits.iter().map(|limit| check_limit(events, limit)).collect()
 }
@@ -60,7 +61,7 @@
     let admissions: Vec<&Event> = events.iter().filter(|event| limit.applies_to(event)).collect();
     let mut usage = BudgetUsage { admitted: admissions.len(), ..BudgetUsage::default() };
     if let Some(rate) = limit.rate {
-        // All versions together: the limit is the same in each of them.
+        // Admissions under all listed policy versions share one bucket, because the limit is the same in each version.
         let (most, violation) = fullest_bucket(&admissions, rate);
         usage.burst = usage.burst.max(most);
         if let Some(window) = violation {
@@ -83,7 +84,7 @@
 }
 
 impl BudgetLimit {
-    /// Whether an event is an admission that this limits.
+    /// Whether the event is the admission of a request to which this limit applies.
     fn applies_to(&self, event: &Event) -> bool {
         let What::Admit { class, version, account, .. } = &event.what else {
             return false;
@@ -94,7 +95,8 @@
     }
 }
 
-/// The highest level of a leaky bucket, and where the burst is exceeded, the events of that window.
+/// Replays events through a leaky bucket and returns the highest level of the bucket.
+/// If the level exceeds the burst, the events since the bucket was last empty are returned as proof of the violation.
 fn fullest_bucket<'a>(events: &[&'a Event], rate: RateLimit) -> (f64, Option<Vec<&'a Event>>) {
     let mut level = 0.0f64;
     let mut last_at = f64::NEG_INFINITY;
@@ -131,18 +133,19 @@
     format!("{} further attempts, beyond {per_second} a second and {burst} at once", window.len())
 }
 
-/// How often a request arrived at an engine, and how often a retry was permitted.
+/// Per request: the number of attempts that arrived at engines and the number of retries that members permitted.
 #[derive(Default)]
 struct AttemptCounts {
     arrived: usize,
     permitted_retries: usize,
 }
 
-/// Follows the attempts of requests that one limit applies to.
+/// Tracks the attempts of the requests to which one limit applies.
 struct AttemptChecker<'a> {
     limit: &'a BudgetLimit,
     requests: BTreeSet<&'a str>,
-    /// Requests in flight, by the engines that work on them: one may be cancelled here and sent there.
+    /// Requests in flight, each with the engines that execute one of its attempts.
+    /// A request that is cancelled at one engine and sent to another can be at both for a moment and counts once.
     in_flight: BTreeMap<&'a str, BTreeMap<&'a str, &'a Event>>,
     attempts: BTreeMap<&'a str, AttemptCounts>,
     retries: Vec<&'a Event>,
@@ -198,7 +201,8 @@
         broken(PROMISE, text, &excerpt)
     }
 
-    /// Counts an attempt that arrived at an engine; where retries are limited, each but the first has to be permitted.
+    /// Counts an attempt that arrived at an engine.
+    /// If the limit covers retries, every attempt after a request's first must have been permitted by a member.
     fn check_arrival(&mut self, event: &Event, id: &'a str) -> Result<(), Break> {
         let counts = self.attempts.entry(id).or_default();
         counts.arrived += 1;
--- a/crates/fault-harness/src/checker.rs
+++ b/crates/fault-harness/src/checker.rs
@@ -1,64 +1,68 @@
-//! The judge: looks at what was written down, never at what a program thinks of itself. Pure.
+//! History checker for policies: compares the recorded events with the numbered promises of `docs/policy.md`.
 //!
-//! The promises are those of `docs/policy.md`, by their numbers.
+//! All functions are pure. The checker does not use the status that a program reports about itself.
 
 use crate::breaks::{broken, Break};
 use crate::history::{Event, What};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a version says, as the fleet has it in the end.
+/// The content of a policy version, as the fleet reports the version at the end of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Version {
-    /// The hash of its text.
+    /// Hash of the policy text.
     pub hash: String,
-    /// Classes that it refuses, by number.
+    /// Indices of the request classes that the policy refuses.
     pub refused: BTreeSet<usize>,
-    /// Attempts of a request of any class at most.
+    /// Maximum number of attempts of a request of any class; `None` sets no maximum.
     pub attempts: Option<usize>,
-    /// Engines that it leaves out.
+    /// Ids of the engines that the policy excludes from routing.
     pub left_out: BTreeSet<String>,
-    /// Whether it has budgets.
+    /// Whether the policy contains budgets.
     pub budgets: bool,
 }
 
-/// What the judge goes by.
+/// The rules that the checker applies to a history.
 #[derive(Clone, Debug, Default)]
 pub struct Law {
-    /// The fleet's bound on a switch, in milliseconds.
+    /// Maximum time in which admissions under two policy versions may overlap, in milliseconds.
     pub switch_bound: f64,
-    /// The versions that came into force, and no others.
+    /// All policy versions that became active, by number, and no others.
     pub versions: BTreeMap<u64, Version>,
-    /// The class that never runs twice.
+    /// Index of the load class, whose requests have side effects and may arrive at an engine only once.
     pub load: usize,
 }
 
-/// What was seen.
+/// Counts and measured times of a history without violations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// Requests admitted.
+    /// Number of requests that members admitted.
     pub admitted: usize,
-    /// Requests turned away at the gate.
+    /// Number of requests that members refused at admission.
     pub refused: usize,
-    /// Requests that clients sent, and of those the served.
+    /// Number of requests that clients sent.
     pub sent: usize,
-    /// Served.
+    /// Number of requests that clients saw answered with success.
     pub served: usize,
-    /// The widest overlap of two versions, in milliseconds.
+    /// Longest time in which admissions under two policy versions overlapped, in milliseconds.
     pub overlap: f64,
-    /// The longest time in which nothing was admitted anywhere, from the first to the last admission.
+    /// Longest time between two consecutive admissions in the whole fleet, in milliseconds.
     pub gap: f64,
-    /// What the fleet's tasks came to.
+    /// Summary of the operations of the fleet's tasks; filled in by the caller.
     pub operations: crate::operations::OperationSummary,
-    /// What came of the fleet's budgets, where the world has some.
+    /// Usage of each of the fleet's budgets, empty for a run without budgets; filled in by the caller.
     pub shared: Vec<crate::budget_checker::BudgetUsage>,
 }
 
-/// Judges a history; events in order of time.
+/// Checks a history against the rules. The events must be sorted by time.
+///
+/// # Errors
+///
+/// The first violation of a promise, with the events that prove it.
 pub fn judge(events: &[Event], law: &Law) -> Result<Summary, Break> {
-    texts(events, law)?;
-    let overlap = switches(events, law)?;
-    requests(events, law)?;
-    acknowledged(events)?;
+    check_policy_texts(events, law)?;
+    let overlap = check_switch_overlap(events, law)?;
+    check_requests(events, law)?;
+    check_acknowledged_versions(events)?;
     let mut summary = Summary { overlap, ..Summary::default() };
     let mut last = None;
     for event in events {
@@ -77,8 +81,9 @@
     Ok(summary)
 }
 
-/// Promise 1: one text for each version, that of the fleet's history; nothing under a version that never was.
-fn texts(events: &[Event], law: &Law) -> Result<(), Break> {
+/// Checks promise 1: every member uses a policy version with the text that the fleet recorded for that version.
+/// No request may be admitted under a policy version that never became active.
+fn check_policy_texts(events: &[Event], law: &Law) -> Result<(), Break> {
     let mut used: BTreeMap<u64, &Event> = BTreeMap::new();
     for event in events {
         match &event.what {
@@ -108,16 +113,18 @@
     Ok(())
 }
 
-/// Promise 2: the widest time from the first admission under a version to the last under an earlier one.
-fn switches(events: &[Event], law: &Law) -> Result<f64, Break> {
+/// Checks promise 2: admissions under an old policy version end within the switch bound after the first under a newer one.
+/// Returns the longest overlap of two versions in milliseconds.
+fn check_switch_overlap(events: &[Event], law: &Law) -> Result<f64, Break> {
     let admits = events.iter().filter_map(|e| match &e.what {
         What::Admit { version, .. } => Some((e, *version)),
         _ => None,
     });
-    // The first admission under a version at least so high, for the highest so far.
+    // The highest version seen so far, with the first admission under that version.
     let mut highest: Option<(&Event, u64)> = None;
+    // For each version that was the highest when it first occurred: its first admission, in order of time.
     let mut firsts: Vec<(&Event, u64)> = Vec::new();
-    let mut widest = 0.0f64;
+    let mut longest_overlap = 0.0f64;
     for (event, version) in admits {
         if highest.is_none_or(|(_, most)| version > most) {
             highest = Some((event, version));
@@ -126,7 +133,7 @@
         }
         if let Some((first, newer)) = firsts.iter().find(|(_, v)| *v > version) {
             let late = event.at - first.at;
-            widest = widest.max(late);
+            longest_overlap = longest_overlap.max(late);
             if late > law.switch_bound {
                 let text = format!(
                     "admitted under version {version} {late:.0} ms after the first under {newer}; {} ms are allowed",
@@ -136,13 +143,14 @@
             }
         }
     }
-    Ok(widest)
+    Ok(longest_overlap)
 }
 
-/// Promises 3 and 6: each request once, under one version, with what that says; one answer; a load once.
-fn requests(events: &[Event], law: &Law) -> Result<(), Break> {
+/// Checks promises 3, 4 and 6: a request is admitted once and answered once, and its attempts follow its policy version.
+/// A request of the load class must arrive at an engine at most once, and engines must receive only admitted requests.
+fn check_requests(events: &[Event], law: &Law) -> Result<(), Break> {
     let mut admits: BTreeMap<&str, (&Event, u64, usize)> = BTreeMap::new();
-    let mut came: BTreeMap<&str, Vec<&Event>> = BTreeMap::new();
+    let mut arrivals: BTreeMap<&str, Vec<&Event>> = BTreeMap::new();
     let mut answers: BTreeMap<&str, &Event> = BTreeMap::new();
     for event in events {
         match &event.what {
@@ -150,8 +158,8 @@
                 if let Some((first, ..)) = admits.insert(id, (event, *version, *class)) {
                     return broken(3, format!("request {id} was admitted twice"), &[first, event]);
                 }
-                let says = law.versions.get(version);
-                if says.is_some_and(|says| says.refused.contains(class)) {
+                let rules = law.versions.get(version);
+                if rules.is_some_and(|rules| rules.refused.contains(class)) {
                     let text = format!(
                         "a request of class {class} was admitted under version {version}, which refuses it"
                     );
@@ -159,8 +167,8 @@
                 }
             }
             What::Came { engine, id } => {
-                let before = came.entry(id).or_default();
-                before.push(event);
+                let attempts = arrivals.entry(id).or_default();
+                attempts.push(event);
                 let Some((admit, version, class)) = admits.get(id.as_str()) else {
                     return broken(
                         4,
@@ -168,17 +176,18 @@
                         &[event],
                     );
                 };
-                let says = law.versions.get(version);
-                if says.is_some_and(|says| says.left_out.contains(engine)) {
+                let rules = law.versions.get(version);
+                if rules.is_some_and(|rules| rules.left_out.contains(engine)) {
                     let text =
                         format!("request {id} came to {engine}, which its version {version} leaves out");
                     return broken(3, text, &[admit, event]);
                 }
-                let most = says.and_then(|says| says.attempts).unwrap_or(usize::MAX);
-                let most = if *class == law.load { most.min(1) } else { most };
-                if before.len() > most {
-                    let text = format!("request {id} came {} times, {most} are allowed", before.len());
-                    return broken(3, text, before);
+                let max_attempts = rules.and_then(|rules| rules.attempts).unwrap_or(usize::MAX);
+                let max_attempts = if *class == law.load { max_attempts.min(1) } else { max_attempts };
+                if attempts.len() > max_attempts {
+                    let text =
+                        format!("request {id} came {} times, {max_attempts} are allowed", attempts.len());
+                    return broken(3, text, attempts);
                 }
             }
             What::Answered { id, .. } => {
@@ -192,22 +201,22 @@
     Ok(())
 }
 
-/// Promise 5: after an operator was told that a version is in force, nothing is admitted under an earlier one.
-fn acknowledged(events: &[Event]) -> Result<(), Break> {
-    let mut told: Option<(&Event, u64)> = None;
+/// Checks promise 5: no admission under an old version after an operator's command reported a newer version as active.
+fn check_acknowledged_versions(events: &[Event]) -> Result<(), Break> {
+    let mut newest_reported: Option<(&Event, u64)> = None;
     for event in events {
         match &event.what {
             What::Command { code: 0, version: Some(version), .. }
-                if told.is_none_or(|(_, before)| *version > before) =>
+                if newest_reported.is_none_or(|(_, before)| *version > before) =>
             {
-                told = Some((event, *version));
+                newest_reported = Some((event, *version));
             }
             What::Admit { version, .. } => {
-                if let Some((said, acknowledged)) = told.filter(|(_, v)| version < v) {
+                if let Some((command, acknowledged)) = newest_reported.filter(|(_, v)| version < v) {
                     let text = format!(
                         "admitted under version {version} after {acknowledged} was said to be in force"
                     );
-                    return broken(5, text, &[said, event]);
+                    return broken(5, text, &[command, event]);
                 }
             }
             _ => {}
--- a/crates/fault-harness/src/engine.rs
+++ b/crates/fault-harness/src/engine.rs
@@ -1,4 +1,5 @@
-//! A stand-in engine on the platform's wire: answers what it is asked after a while, and notes what came.
+//! A fake engine that speaks the engines' line protocol and answers each request after a configured delay.
+//! The engine records in the history when a request arrived and when its execution ended.
 
 use crate::history::{History, What};
 use crate::now;
@@ -8,24 +9,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An engine.
+/// A fake engine; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Its id in the list.
+    /// The engine's id in the configuration of the members.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the engine accepts connections.
     pub address: SocketAddr,
-    /// Every so many requests it answers with an error; 0: never.
+    /// Every n-th request of a connection is answered with an error, where n is this number; 0 disables errors.
     pub fails: Arc<AtomicU64>,
-    /// How long it takes for a request, in milliseconds.
+    /// Execution time of a request that is not a load, in milliseconds.
     pub takes: Arc<AtomicU64>,
-    /// How long for a load.
+    /// Execution time of a `delivery-load` request, in milliseconds.
     pub loads: Arc<AtomicU64>,
+    /// Set once the engine is to stop.
     ended: Arc<AtomicBool>,
 }
 
 impl Engine {
-    /// Starts an engine that takes so long for a request.
+    /// Starts an engine on a free loopback port; `takes` is its initial execution time for requests of both kinds.
     pub fn start(number: u32, takes: Duration, history: History) -> std::io::Result<Engine> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (fails, ended) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(false)));
@@ -33,25 +35,25 @@
         let (id, address) = (format!("s-{number:08x}"), listener.local_addr()?);
         let loads = Arc::new(AtomicU64::new(takes.load(Relaxed)));
         let engine = Engine { id, address, fails, takes, loads, ended };
-        let of = engine.clone();
+        let server = engine.clone();
         std::thread::spawn(move || {
-            while !of.ended.load(Relaxed) {
+            while !server.ended.load(Relaxed) {
                 if let Ok((stream, _)) = listener.accept() {
-                    let (of, history) = (of.clone(), history.clone());
-                    std::thread::spawn(move || of.serve(stream, &history));
+                    let (server, history) = (server.clone(), history.clone());
+                    std::thread::spawn(move || server.serve(stream, &history));
                 }
             }
         });
         Ok(engine)
     }
 
-    /// Ends it.
+    /// Stops the engine: no further connection or request is accepted.
     pub fn stop(&self) {
         self.ended.store(true, Relaxed);
-        let _ = TcpStream::connect(self.address); // Ends its wait.
+        let _ = TcpStream::connect(self.address); // Wakes the thread that blocks in `accept`.
     }
 
-    /// Reads requests until the connection ends.
+    /// Answers the requests of one connection, one after the other, until the connection closes or the engine stops.
     fn serve(&self, stream: TcpStream, history: &History) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(30))).ok()?;
@@ -72,7 +74,7 @@
                     let load = fields.contains("profile=delivery-load");
                     let takes = if load { &self.loads } else { &self.takes };
                     std::thread::sleep(Duration::from_millis(takes.load(Relaxed)));
-                    // Whoever asked may be gone by now: the work was done all the same.
+                    // Records the end even if the member has disconnected: the engine executed the request either way.
                     history.note(now(), What::Left { engine: self.id.clone(), id: id.to_owned() });
                     number += 1;
                     let fails = self.fails.load(Relaxed);
--- a/crates/fault-harness/src/history.rs
+++ b/crates/fault-harness/src/history.rs
@@ -1,161 +1,162 @@
-//! What happened, as those to whom it happened wrote it down.
+//! The recorded history of a run: events that members, clients, engines, targets and the harness report.
 
 use crate::lock;
 use std::sync::{Arc, Mutex};
 
-/// One thing that happened.
+/// One recorded event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When, by the machine's monotonic clock, in milliseconds.
+    /// Time of the event by the machine's monotonic clock, in milliseconds.
     pub at: f64,
-    /// What.
+    /// Kind and details of the event.
     pub what: What,
 }
 
-/// What happened.
+/// The kind of an event, with its details.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// A member admitted a request under a version.
+    /// A member admitted a request under a policy version.
     Admit {
-        /// Which member.
+        /// Name of the member.
         member: String,
-        /// Which request.
+        /// Id of the request.
         id: String,
-        /// Its class.
+        /// Index of the request class.
         class: usize,
-        /// The version.
+        /// Number of the policy version.
         version: u64,
-        /// Its account.
+        /// Name of the account that sent the request.
         account: String,
     },
-    /// A member turned a request away.
+    /// A member refused a request at admission.
     Refuse {
-        /// Which member.
+        /// Name of the member.
         member: String,
-        /// Which request.
+        /// Id of the request.
         id: String,
-        /// Why, in a word.
+        /// Reason for the refusal, as one word.
         why: String,
     },
-    /// A member took a policy into use.
+    /// A member activated a policy version.
     Use {
-        /// Which member.
+        /// Name of the member.
         member: String,
-        /// The version.
+        /// Number of the policy version.
         version: u64,
-        /// The hash of its text.
+        /// Hash of the policy text that the member uses.
         hash: String,
     },
-    /// An attempt came to an engine.
+    /// An attempt of a request arrived at an engine.
     Came {
-        /// Which engine.
+        /// Id of the engine.
         engine: String,
-        /// Of which request.
+        /// Id of the request.
         id: String,
     },
-    /// An engine was through with an attempt.
+    /// An engine finished executing an attempt of a request.
     Left {
-        /// Which engine.
+        /// Id of the engine.
         engine: String,
-        /// Of which request.
+        /// Id of the request.
         id: String,
     },
-    /// A member has a further attempt of a request go out.
+    /// A member permitted a retry of a request.
     Further {
-        /// Which member.
+        /// Name of the member.
         member: String,
-        /// Which request.
+        /// Id of the request.
         id: String,
     },
     /// A client sent a request.
     Sent {
-        /// To which member.
+        /// Name of the member that received the request.
         member: String,
-        /// Which request.
+        /// Id of the request.
         id: String,
-        /// Its class.
+        /// Index of the request class.
         class: usize,
     },
-    /// A client got an answer: `served`, or the code of an error.
+    /// A client received the answer to its request.
     Answered {
-        /// Which request.
+        /// Id of the request.
         id: String,
-        /// What it heard.
+        /// `served`, or the error code as text.
         answer: String,
     },
-    /// An operator's command ended.
+    /// An operator's command that changes the policy ended.
     Command {
-        /// The change.
+        /// Id of the policy change, empty if the command printed none.
         change: String,
-        /// The exit code: 0 done, 1 turned down, 3 not known yet.
+        /// Exit code of the command: 0 if the change is active, 1 if it was rejected, 3 if its outcome is not known yet.
         code: i32,
-        /// The version, where it is in force.
+        /// Number of the new policy version, if the command reported it as active.
         version: Option<u64>,
     },
-    /// A member looked at its clock and is about to act on a step of a task.
+    /// A member checked that its lease on a task is still valid and is about to execute a step.
     Look {
-        /// Which member.
+        /// Name of the member.
         member: String,
-        /// Which task.
+        /// Name of the task.
         task: String,
-        /// Under which token.
+        /// Fencing token of the lease.
         token: u64,
     },
-    /// A target began a step.
+    /// A target began to execute a step of a task.
     Began {
-        /// Of which task.
+        /// Name of the task.
         task: String,
-        /// Of which run.
+        /// Number of the task's run.
         run: u64,
-        /// Which step.
+        /// Index of the step within the run.
         step: u64,
-        /// With which token.
+        /// Fencing token that the request to the target carried.
         token: u64,
     },
-    /// A target ended a step.
+    /// A target finished the execution of a step of a task.
     Ended {
-        /// Of which task.
+        /// Name of the task.
         task: String,
-        /// Of which run.
+        /// Number of the task's run.
         run: u64,
-        /// Which step.
+        /// Index of the step within the run.
         step: u64,
-        /// With which token.
+        /// Fencing token that the request to the target carried.
         token: u64,
     },
-    /// A target refused a step, as it had seen a newer token.
+    /// A target refused a step with a stale fencing token, because it had seen a newer token of the task before.
     Stale {
-        /// Of which task.
+        /// Name of the task.
         task: String,
-        /// Of which run.
+        /// Number of the task's run.
         run: u64,
-        /// Which step.
+        /// Index of the step within the run.
         step: u64,
-        /// With which token.
+        /// Fencing token that the request to the target carried.
         token: u64,
     },
-    /// A fault was put in or taken away.
+    /// A fault was injected or ended, or the harness could not write a file; the text describes the event.
     Fault(String),
 }
 
-/// A history that many write.
+/// A history to which several threads append; clones share the events.
 #[derive(Clone, Debug, Default)]
 pub struct History(Arc<Mutex<Vec<Event>>>);
 
 impl History {
-    /// Writes down what happened at a time.
+    /// Appends an event with the given time in milliseconds.
     pub fn note(&self, at: f64, what: What) {
         lock(&self.0).push(Event { at, what });
     }
 
-    /// All that happened, in order of time.
+    /// Returns a copy of all events, sorted by time.
     pub fn all(&self) -> Vec<Event> {
         let mut all = lock(&self.0).clone();
         all.sort_by(|a, b| a.at.total_cmp(&b.at));
         all
     }
 
-    /// Takes in a line that a member wrote; whether it was one of its history.
+    /// Parses a line of a member's standard error and appends the event that the line describes.
+    /// Returns false if the line is not a valid `history` line.
     pub fn line(&self, member: &str, line: &str) -> bool {
         let Some(line) = line.strip_prefix("history ") else { return false };
         let mut words = line.split(' ');
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -1,10 +1,10 @@
 //! The fault harness of a fleet: real `beamgap` processes on loopback, a relay on every connection between them, fake
-//! engines and clients, faults from a seed, and pure checkers of the recorded history. For tests and for trying out; the
-//! serving program does not use it.
+//! engines and clients, faults derived from a seed, and history checkers without side effects. Tests and experiments use
+//! this crate; the `beamgap` program itself does not depend on it.
 //!
-//! Start at [`world::World`]. Faults are in [`faults`]; the history checker of policies is in [`checker`], that of tasks
-//! in [`operations`], that of budgets in [`budget_checker`]. [`soak`] plays front ends without a fleet under restarts and
-//! traffic.
+//! [`world::World`] is the entry point of most tests. [`faults`] defines the faults. [`checker`] checks histories of
+//! policies, [`operations`] histories of tasks and [`budget_checker`] histories of budgets. [`soak`] runs front ends without
+//! a fleet under traffic and restarts.
 
 pub mod breaks;
 pub mod budget_checker;
@@ -24,12 +24,14 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The machine's monotonic clock that counts suspension, in milliseconds: all processes share it.
+/// Returns the time of the machine's boot clock in milliseconds; the clock is monotonic and runs during suspension.
+/// All processes of the machine share this clock, so the timestamps of different processes can be compared.
 pub fn now() -> f64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
 }
 
+/// Locks a mutex, also after a thread has panicked while it had the lock.
 pub(crate) fn lock<T: ?Sized>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/fault-harness/src/operations.rs
+++ b/crates/fault-harness/src/operations.rs
@@ -1,54 +1,55 @@
-//! The history checker of tasks: what the targets saw, against the promises of `docs/leases.md`, by their numbers. Pure.
+//! History checker for tasks: compares the operations that targets recorded with numbered promises.
+//! The promises are those of `docs/leases.md`; all functions are pure.
 
 use crate::breaks::{broken, Break};
 use crate::history::{Event, What};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Promise 1: no two members act on a task at once, and tokens grow.
+/// Number of the promise that no two members execute a task at the same time and that fencing tokens never decrease.
 const ONE_HOLDER: u8 = 1;
-/// Promise 4: steps run once each and in order.
+/// Number of the promise that each step of a run is executed once and that steps run in order.
 const STEPS_RUN_ONCE: u8 = 4;
 
-/// A step of a task's run.
+/// Identifies one step in one run of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepKey {
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// The number of the run.
+    /// Number of the run.
     pub run: u64,
-    /// The step, from 0.
+    /// Index of the step within its run; the first step has index 0.
     pub step: u64,
 }
 
-/// What the fleet's own record says of its tasks.
+/// Step outcomes that the fleet recorded, and the tasks whose steps may run more than once.
 #[derive(Clone, Debug, Default)]
 pub struct TaskRules {
-    /// Steps that are recorded as unknown: they may have run or not.
+    /// Steps with the recorded outcome `unknown`: the step may or may not have been executed.
     pub unknown: BTreeSet<StepKey>,
-    /// Steps that are recorded as done.
+    /// Steps with the recorded outcome `done`: the target must have executed the step.
     pub done: BTreeSet<StepKey>,
-    /// Tasks whose steps may be repeated.
+    /// Names of the tasks whose steps may be executed more than once.
     pub repeatable: BTreeSet<String>,
 }
 
-/// What was seen.
+/// Counts and measured times of a history without violations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperationSummary {
-    /// Number of steps that ran.
+    /// Number of operations that targets executed, repeated steps included.
     pub executed: usize,
-    /// Number of operations that a target refused for their token.
+    /// Number of operations that a target refused because of a stale fencing token.
     pub refused_as_stale: usize,
-    /// Number of tokens under which a step ran.
+    /// Number of distinct fencing tokens under which a step was executed.
     pub tokens: usize,
-    /// The longest time between two operations on a task, in milliseconds.
+    /// Longest time from the end of an operation to the start of the next one on the same task, in milliseconds.
     pub longest_gap_ms: f64,
 }
 
-/// Checks a history, whose events must be in order of time.
+/// Checks a history against the recorded task outcomes. The events must be sorted by time.
 ///
 /// # Errors
 ///
-/// The first violation of a promise, with the events that show it.
+/// The first violation of a promise, with the events that prove it.
 pub fn check_operations(events: &[Event], rules: &TaskRules) -> Result<OperationSummary, Break> {
     let mut checker = Checker::new(rules);
     for event in events {
@@ -57,20 +58,21 @@
     checker.finish()
 }
 
-/// An operation that a target saw begin.
+/// The execution of a task's step that a target recorded as begun.
 #[derive(Clone, Copy)]
 struct Operation<'a> {
     event: &'a Event,
     token: u64,
 }
 
+/// State of the check after the events that were observed so far.
 struct Checker<'a> {
     rules: &'a TaskRules,
-    /// Operations that have begun and not ended, by task.
+    /// Operations that have begun and not ended, per task.
     in_progress: BTreeMap<&'a str, Vec<Operation<'a>>>,
-    /// The operation with the highest token, by task.
+    /// Operation with the highest fencing token, per task.
     newest: BTreeMap<&'a str, Operation<'a>>,
-    /// When the last operation ended, by task.
+    /// End of the last operation, per task, in milliseconds.
     last_end: BTreeMap<&'a str, f64>,
     executed: BTreeMap<StepKey, &'a Event>,
     tokens: BTreeSet<u64>,
@@ -144,7 +146,7 @@
         Ok(())
     }
 
-    /// Whether the step before this one ran, or is recorded as unknown.
+    /// Whether the step's predecessor was executed or has the recorded outcome `unknown`; true for the first step.
     fn may_follow(&self, key: &StepKey) -> bool {
         let Some(step) = key.step.checked_sub(1) else { return true };
         let previous = StepKey { step, ..key.clone() };
--- a/crates/fault-harness/src/process.rs
+++ b/crates/fault-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A member of the fleet: a real process, what it says, and what can be done to it.
+//! A member of the fleet as a real process: its start, its output, and the signals and limits that simulate faults.
 
 use crate::history::History;
 use crate::lock;
@@ -10,23 +10,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a process has said of itself.
+/// Addresses and log lines that were parsed from a process's standard error.
 #[derive(Debug, Default)]
 pub struct Said {
-    /// Where its clients connect.
+    /// Address for JSON-RPC clients.
     pub front: Option<SocketAddr>,
-    /// Where other members connect, if it decides.
+    /// Address for the other members; only voters listen on one.
     pub fleet: Option<SocketAddr>,
-    /// Where its health is asked.
+    /// Address for health checks over HTTP.
     pub health: Option<SocketAddr>,
-    /// Its log, the last lines.
+    /// The last log lines, at most 400; history lines are not included.
     pub log: Vec<String>,
 }
 
 /// A member's process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
     binary: PathBuf,
     config: PathBuf,
@@ -34,13 +34,13 @@
     trial: String,
     history: History,
     child: Option<Child>,
-    /// Reads what it says, to its end.
+    /// Thread that reads the process's standard error until the pipe closes.
     reader: Option<std::thread::JoinHandle<()>>,
     said: Arc<Mutex<Said>>,
 }
 
 impl Process {
-    /// A process that is not started yet.
+    /// Prepares a process without starting it; `trial` is the value of its `BEAMGAP_TRIAL` variable.
     pub fn new(
         name: &str,
         binary: &Path,
@@ -62,26 +62,32 @@
         }
     }
 
-    /// Starts it, and waits until it has said where it listens; for other members too if it decides.
+    /// Starts the process and waits until the process has logged its health check address.
+    /// If `decides` marks the process as a voter, its address for other members must be logged too.
+    ///
+    /// # Errors
+    ///
+    /// If the process can't be started, exits early or has not logged its addresses within 20 s.
     pub fn start(&mut self, decides: bool) -> Result<(), String> {
         let mut child = Command::new(&self.binary)
             .args(["run", "--operator"])
             .arg(&self.operator)
             .env("NODE_CONFIG", &self.config)
             .env("BEAMGAP_TRIAL", &self.trial)
-            // Held open by this process alone: a member on its leash ends with whoever started it, however that ends.
+            // Only the test process has the write end of this pipe, so the pipe closes whenever the test process ends.
+            // A member with `leash` in `BEAMGAP_TRIAL` then exits, even if the test process was killed.
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
             .map_err(|e| format!("{}: {e}", self.binary.display()))?;
         self.said = Arc::default();
-        let stderr = child.stderr.take().ok_or("no standard error")?;
+        let stderr = child.stderr.take().ok_or("standard error is not piped")?;
         let (said, history, name) = (self.said.clone(), self.history.clone(), self.name.clone());
         self.reader = Some(std::thread::spawn(move || {
             let mut stderr = BufReader::new(stderr);
             let mut line = String::new();
-            // A process that is killed may leave a line half written: what has no end counts as not written.
+            // A killed process may leave an incomplete last line; a line without a newline is ignored.
             while stderr.read_line(&mut line).is_ok() && line.ends_with('\n') {
                 let line = std::mem::take(&mut line).trim_end().to_owned();
                 if history.line(&name, &line) {
@@ -103,10 +109,11 @@
             }
         }));
         self.child = Some(child);
-        let until = Instant::now() + Duration::from_secs(20);
+        let deadline = Instant::now() + Duration::from_secs(20);
         let listens = |said: &Said| said.health.is_some() && (said.fleet.is_some() || !decides);
         while !listens(&lock(&self.said)) {
-            if Instant::now() > until || self.child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None)))
+            if Instant::now() > deadline
+                || self.child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None)))
             {
                 return Err(format!("{} did not start: {:?}", self.name, lock(&self.said).log));
             }
@@ -115,7 +122,7 @@
         Ok(())
     }
 
-    /// Whether it runs (or stands still).
+    /// Whether the process exists; also true while it is suspended.
     pub fn runs(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
@@ -124,87 +131,89 @@
         self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32))
     }
 
-    /// Its process id.
+    /// Process id of the member, if it was started.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Seconds of processor time that it has used, and its resident memory in KiB, pages of the program not counted.
+    /// Returns the CPU time that the process has used, in seconds, and its anonymous resident memory, in KiB.
+    /// Anonymous memory excludes file-backed pages such as the program's code.
     pub fn used(&self) -> Option<(f64, u64)> {
         let id = self.id()?;
-        // The scheduler's own count, in nanoseconds: `stat` counts in hundredths of a second.
-        let ran = |task: std::fs::DirEntry| {
+        // Reads `schedstat`, which counts CPU time in nanoseconds; `stat` has a resolution of only 10 ms.
+        let cpu_ns = |task: std::fs::DirEntry| {
             let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
             text.split(' ').next()?.parse::<f64>().ok()
         };
         let tasks = std::fs::read_dir(format!("/proc/{id}/task")).ok()?.flatten();
-        let nanoseconds: f64 = tasks.filter_map(ran).sum();
+        let nanoseconds: f64 = tasks.filter_map(cpu_ns).sum();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let rss = status.lines().find_map(|line| line.strip_prefix("RssAnon:"))?;
         Some((nanoseconds / 1e9, rss.split_whitespace().next()?.parse().ok()?))
     }
 
-    /// Sends it the signal that kills it outright; [`Process::kill`] waits for its end.
+    /// Sends SIGKILL without waiting for the process to exit; [`Process::kill`] waits.
     pub fn end(&self) {
         self.signal(Signal::KILL);
     }
 
-    /// Kills it outright. All that it wrote down before is in the history when this returns.
+    /// Sends SIGKILL and waits until the process has exited.
+    /// When this function returns, the history contains every event that the process had written.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            let _ = child.kill(); // It may have ended by itself.
+            let _ = child.kill(); // The process may have exited already.
             let _ = child.wait();
         }
         if let Some(reader) = self.reader.take() {
-            let _ = reader.join(); // It does not panic; the pipe ends with its process.
+            let _ = reader.join(); // The thread does not panic, and it ends when the pipe closes.
         }
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            let _ = kill_process(pid, signal); // It may have ended by itself.
+            let _ = kill_process(pid, signal); // The process may have exited already.
         }
     }
 
-    /// Asks it to end in its own time.
+    /// Sends SIGTERM, which makes the member drain its requests and exit.
     pub fn drain(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Asks it to read its configuration anew.
+    /// Sends SIGHUP, which makes the member reload its configuration.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether it has ended well; `None` while it runs.
+    /// Whether the process exited with code 0; `None` while it runs.
     pub fn exit_success(&mut self) -> Option<bool> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         Some(status.success())
     }
 
-    /// Has it stand still.
+    /// Suspends the process with SIGSTOP.
     pub fn stop(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Wakes it.
+    /// Resumes the process with SIGCONT.
     pub fn wake(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Has its disk full: nothing it writes to a file fits; or lifts that.
+    /// Simulates a full disk with a file size limit of 0, so that writes to files fail; `false` removes the limit.
     pub fn fill_disk(&self, full: bool) {
         let Some(pid) = self.pid() else { return };
         let limit = Rlimit { current: full.then_some(0), maximum: None };
-        let _ = prlimit(Some(pid), Resource::Fsize, limit); // It may have ended by itself.
+        let _ = prlimit(Some(pid), Resource::Fsize, limit); // The process may have exited already.
     }
 
-    /// What it has said.
+    /// Addresses and log lines that the process has written so far.
     pub fn said(&self) -> std::sync::MutexGuard<'_, Said> {
         lock(&self.said)
     }
 
-    /// What it answers to a request over HTTP: the status and the body.
+    /// Requests `/health/ready` over HTTP and returns the status code and the body; `None` if the request fails.
     pub fn health(&self) -> Option<(u16, String)> {
         use std::io::{Read, Write};
         let at = self.said().health?;
@@ -212,7 +221,7 @@
         stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
         stream.write_all(b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").ok()?;
         let mut text = String::new();
-        let _ = stream.read_to_string(&mut text); // A connection that stays open ends the read by its time.
+        let _ = stream.read_to_string(&mut text); // If the connection stays open, the read timeout ends the read.
         let status = text.split(' ').nth(1)?.parse().ok()?;
         Some((status, text.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned()))
     }
--- a/crates/fault-harness/src/relay.rs
+++ b/crates/fault-harness/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay on a link: passes bytes on, or cuts, holds and slows them, each way by itself.
+//! A TCP relay that simulates a network link.
+//! In each direction independently, the relay forwards, withholds, truncates or delays bytes, or closes connections.
 
 use crate::lock;
 use std::io::{ErrorKind, Read, Write};
@@ -7,42 +8,47 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const LOOK: Duration = Duration::from_millis(50); // between looks at what the link is to do
+/// Interval at which a connection checks the state of its link for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a link does with what is sent one way.
+/// The state of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Passes it on.
+    /// Forwards all bytes at once.
     Open,
-    /// Keeps it, and says nothing: a cable that was pulled.
+    /// Withholds all bytes and does not report closed connections, as after a pulled network cable.
     Silent,
-    /// Breaks the connection, and each new one.
+    /// Closes existing connections, and each new connection as soon as it is accepted.
     Reset,
-    /// Passes half of the next piece on, and breaks the connection there.
+    /// Forwards the first half of the next chunk of bytes, then closes the connection.
     Half,
-    /// Passes it on after so many milliseconds.
+    /// Forwards each chunk of bytes after a delay of this many milliseconds.
     Slow(u64),
 }
 
+/// State of a relay that all threads of its connections share.
 #[derive(Debug)]
 struct Shared {
+    /// Address to which connections are forwarded; `None` closes each new connection.
     target: Mutex<Option<SocketAddr>>,
-    /// From whoever connects, and back.
+    /// State of the direction towards the target, then of the direction back to the connecting process.
     ways: Mutex<(Way, Way)>,
+    /// Set once the relay is to stop.
     ended: AtomicBool,
+    /// Number of bytes forwarded in both directions.
     bytes: AtomicU64,
 }
 
-/// A relay.
+/// A relay on one link; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Where to connect.
+    /// Address on which the relay accepts connections.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Relay {
-    /// A relay that leads nowhere yet.
+    /// Starts a relay on a free loopback port. Until a target is set, the relay closes every connection.
     pub fn start() -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -52,75 +58,77 @@
             ended: AtomicBool::new(false),
             bytes: AtomicU64::new(0),
         });
-        let of = shared.clone();
+        let state = shared.clone();
         std::thread::spawn(move || {
-            while !of.ended.load(Relaxed) {
+            while !state.ended.load(Relaxed) {
                 if let Ok((stream, _)) = listener.accept() {
-                    let of = of.clone();
-                    std::thread::spawn(move || of.carry(stream));
+                    let state = state.clone();
+                    std::thread::spawn(move || state.forward_connection(stream));
                 }
             }
         });
         Ok(Relay { address, shared })
     }
 
-    /// Where it leads from now on.
+    /// Sets the target of new connections; `None` makes the relay close them.
     pub fn leads_to(&self, target: Option<SocketAddr>) {
         *lock(&self.shared.target) = target;
     }
 
-    /// What it does, with what is sent to the target and with what comes back.
+    /// Sets the state of the link towards the target and of the direction back.
     pub fn set(&self, there: Way, back: Way) {
         *lock(&self.shared.ways) = (there, back);
     }
 
-    /// Ends it, with all that it carries.
+    /// Stops the relay and closes all its connections.
     pub fn stop(&self) {
         self.shared.ended.store(true, Relaxed);
-        let _ = TcpStream::connect(self.address); // Ends its wait.
+        let _ = TcpStream::connect(self.address); // Wakes the thread that blocks in `accept`.
     }
 
-    /// Bytes that it has passed on.
+    /// Number of bytes that the relay has forwarded in both directions.
     pub fn bytes(&self) -> u64 {
         self.shared.bytes.load(Relaxed)
     }
 }
 
 impl Shared {
-    fn carry(self: Arc<Shared>, from: TcpStream) {
+    /// Forwards one connection in both directions until it closes.
+    fn forward_connection(self: Arc<Shared>, from: TcpStream) {
         let ways = *lock(&self.ways);
         if ways.0 == Way::Reset || ways.1 == Way::Reset {
             return;
         }
         let Some(target) = *lock(&self.target) else { return };
-        // A target that is not there refuses: so does the relay.
+        // If the target refuses the connection, the relay closes its side as well.
         let Ok(to) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else { return };
-        let (Ok(from2), Ok(to2)) = (from.try_clone(), to.try_clone()) else { return };
-        let (there, back) = (self.clone(), self);
-        let one = std::thread::spawn(move || there.pump(from, to, true));
-        back.pump(to2, from2, false);
-        let _ = one.join(); // A pump does not panic.
+        let (Ok(from_copy), Ok(to_copy)) = (from.try_clone(), to.try_clone()) else { return };
+        let (forward, backward) = (self.clone(), self);
+        let forward_thread = std::thread::spawn(move || forward.copy_bytes(from, to, true));
+        backward.copy_bytes(to_copy, from_copy, false);
+        let _ = forward_thread.join(); // The thread does not panic, so there is no error to report.
     }
 
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, there: bool) {
-        let _ = (from.set_read_timeout(Some(LOOK)), to.set_nodelay(true), from.set_nodelay(true));
+    /// Copies bytes from one stream to the other according to the state of the direction, then closes both streams.
+    fn copy_bytes(&self, mut from: TcpStream, mut to: TcpStream, towards_target: bool) {
+        let _ = (from.set_read_timeout(Some(POLL_INTERVAL)), to.set_nodelay(true), from.set_nodelay(true));
         let mut chunk = [0; 16 * 1024];
         let way = || {
             let ways = *lock(&self.ways);
-            if there {
+            if towards_target {
                 ways.0
             } else {
                 ways.1
             }
         };
-        let mut held: Vec<u8> = Vec::new();
+        let mut withheld: Vec<u8> = Vec::new();
         loop {
             let now = way();
             if now == Way::Reset || self.ended.load(Relaxed) {
                 break;
             }
-            if now != Way::Silent && !held.is_empty() {
-                let bytes = std::mem::take(&mut held);
+            if now != Way::Silent && !withheld.is_empty() {
+                let bytes = std::mem::take(&mut withheld);
                 let half = if now == Way::Half { bytes.len() / 2 } else { bytes.len() };
                 if let Way::Slow(ms) = now {
                     std::thread::sleep(Duration::from_millis(ms));
@@ -132,18 +140,19 @@
             }
             match from.read(&mut chunk) {
                 Ok(0) => break,
-                // What is kept while a link is silent stays bounded: beyond, the sender's buffers fill.
-                Ok(n) => held.extend_from_slice(&chunk[..n]),
+                // The loop below bounds the bytes that are withheld on a silent link.
+                // Beyond 1 MiB the relay stops reading, so that the sender's socket buffers fill up.
+                Ok(n) => withheld.extend_from_slice(&chunk[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => break,
             }
-            while way() == Way::Silent && held.len() > 1 << 20 && !self.ended.load(Relaxed) {
-                std::thread::sleep(LOOK);
+            while way() == Way::Silent && withheld.len() > 1 << 20 && !self.ended.load(Relaxed) {
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
-        // While a link is silent, an end is not told either.
+        // A silent link also hides that one side has closed the connection.
         while way() == Way::Silent && !self.ended.load(Relaxed) {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
     }
--- a/crates/fault-harness/src/world/mod.rs
+++ b/crates/fault-harness/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of real processes with everything round it: relays on all links, engines, clients, an operator.
+//! A fleet of real processes in its test environment.
+//! The environment consists of a relay on each link, fake engines, clients, a fake target of tasks and operators' commands.
 
 mod files;
 mod operate;
@@ -25,44 +26,45 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
-/// While a file of this name is in a decider's folder, its fsync fails (`power` in `BEAMGAP_TRIAL`).
+/// Name of a flag file: while the file exists in a voter's data folder, every fsync of the voter fails.
+/// Only processes with `power` in `BEAMGAP_TRIAL` check for the file.
 const FSYNC_FAILS: &str = "fsync-fails";
 
-/// Deciders of a fleet.
+/// Number of voters of a fleet.
 pub const SEATS: usize = 3;
 
-/// How a fleet is.
+/// Configuration of a fleet under test.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Members; the first three decide.
+    /// Number of members; the first three are voters.
     pub members: usize,
-    /// What each member is given by `BEAMGAP_TRIAL`; the last holds for all further ones.
+    /// Injected bugs and clock errors for `BEAMGAP_TRIAL`, one entry per member; the last entry applies to all further ones.
     pub trials: Vec<String>,
-    /// The fleet's bound on a switch, in milliseconds.
+    /// Maximum time in which admissions under two policy versions may overlap, in milliseconds.
     pub switch_bound: u64,
-    /// How long a right lasts, in milliseconds.
+    /// Duration of a member's admission lease, in milliseconds.
     pub right: u64,
-    /// How long members have to check a change, in milliseconds.
+    /// Time limit for the members' validation of a policy change, in milliseconds.
     pub check: u64,
-    /// Each client's pause between requests.
+    /// Interval between two requests of each client.
     pub every: Duration,
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
-    /// How long each takes for a request; the last holds for all further ones.
+    /// Execution time of a request at each engine; the last entry applies to all further engines.
     pub takes: Vec<Duration>,
-    /// The work that clients tell of their requests.
+    /// Estimated execution time that clients state in their requests.
     pub work: Duration,
-    /// What stands in each of the policies beside what is theirs.
+    /// Text that is appended to each of the [`POLICIES`].
     pub common: String,
-    /// Whether members form a fleet; if not, the policy is off.
+    /// Whether members form a fleet; without a fleet, members apply no policy.
     pub fleet: bool,
-    /// Whether members write down what they admit.
+    /// Whether members write `history` lines for the history checkers.
     pub history: bool,
-    /// A member whose configuration has another name for the second class.
+    /// Index of a member whose configuration names the second class differently, so that it rejects policies for the class.
     pub odd: Option<usize>,
-    /// `task` blocks of the operator's file; `TARGET` stands for where the target listens.
+    /// `task` blocks of the operator's file; `TARGET` is replaced by the URL of the fake target.
     pub tasks: String,
-    /// Another program, which all members but the first run.
+    /// Path of another build of the program that all members except the first run, for tests with mixed versions.
     pub older: Option<PathBuf>,
 }
 
@@ -88,7 +90,7 @@
     }
 }
 
-/// Policies that operators propose, by number.
+/// Policies that operators propose; plans of faults refer to them by index.
 pub const POLICIES: [&str; 7] = [
     "form = 1\nclass \"delivery-load\" {\n  refused = true\n}\n",
     "form = 1\nengine \"s-00000001\" {\n  left_out = true\n}\n",
@@ -99,34 +101,43 @@
     "form = 1\n",
 ];
 
-/// A fleet.
+/// A running fleet with its test environment.
 pub struct World {
-    /// Its members.
+    /// Processes of the members.
     pub members: Vec<Process>,
-    /// What happened.
+    /// Events recorded so far.
     pub history: History,
-    /// Its clients, one for each member.
+    /// Fake clients, one per member.
     pub clients: Vec<Client>,
-    /// Its engines.
+    /// Fake engines, shared by all members.
     pub engines: Vec<Engine>,
-    /// What its tasks act on.
+    /// Fake target of the fleet's tasks.
     pub target: Target,
-    /// The fleet's name, unlike that of any other world.
+    /// Name of the fleet, unique among the fleets of a test process.
     pub name: String,
     binary: PathBuf,
     folder: PathBuf,
+    /// Relay of each link, by the index of the connecting member and the index of the voter.
+    /// The operator's commands connect under the index after the last member.
     relays: BTreeMap<(usize, usize), Relay>,
+    /// Threads that run operators' commands in the background.
     operators: Vec<std::thread::JoinHandle<()>>,
     options: Options,
-    keep: bool,
+    /// Whether the folder is left in place for debugging after a violation.
+    keep_folder: bool,
 }
 
 impl World {
-    /// Starts a fleet in a folder of its own, founds it, and has clients ask.
+    /// Starts the processes and clients of a fleet with its files in a temporary folder, and bootstraps the fleet.
+    /// Returns once every member admits requests.
+    ///
+    /// # Errors
+    ///
+    /// If a process does not start, if the bootstrap takes more than 30 s, or if members need 30 s more to be ready.
     pub fn start(binary: &Path, name: &str, options: Options) -> Result<World, String> {
         let folder =
             std::env::temp_dir().join(format!("beamgap-fault-harness-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder); // Of an earlier run, if at all.
+        let _ = std::fs::remove_dir_all(&folder); // Left over from an earlier run with the same process id.
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let history = History::default();
         let failed = |e: std::io::Error| e.to_string();
@@ -137,7 +148,7 @@
         let engines = (1..=options.engines).map(|n| Engine::start(n, takes(n), history.clone()));
         let engines = engines.collect::<Result<Vec<_>, _>>().map_err(failed)?;
         let mut relays = BTreeMap::new();
-        // The operator's own links are those of one more member.
+        // The operator's commands get relays of their own, under the index after the last member.
         for from in 0..=options.members {
             for seat in (0..SEATS).filter(|seat| *seat != from) {
                 relays.insert((from, seat), Relay::start().map_err(failed)?);
@@ -156,13 +167,13 @@
             relays,
             operators: Vec::new(),
             options,
-            keep: false,
+            keep_folder: false,
         };
         for me in 0..world.options.members {
-            let process = world.write(me).map_err(failed)?;
+            let process = world.create_member(me).map_err(failed)?;
             world.members.push(process);
         }
-        let block = world.block(world.options.members);
+        let block = world.fleet_block(world.options.members);
         let tasks = world.options.tasks.replace("TARGET", &format!("http://{}", world.target.address));
         let block = format!("{}{tasks}}}\n", block.trim_end().trim_end_matches('}'));
         std::fs::write(world.folder.join("operator.hcl"), block).map_err(failed)?;
@@ -181,22 +192,22 @@
         if !world.options.fleet {
             return Ok(world);
         }
-        // On a machine that is busy a decider may answer late; to found again is harmless.
-        let until = Instant::now() + Duration::from_secs(30);
+        // On a busy machine a voter may answer after the command's timeout; repeating the bootstrap command is harmless.
+        let deadline = Instant::now() + Duration::from_secs(30);
         loop {
             let founded = world.operate(&["fleet", "found"]);
             let why = String::from_utf8_lossy(&founded.stderr).into_owned();
             if founded.status.success() || why.contains("founded already") {
                 break;
             }
-            if Instant::now() > until {
-                return Err(format!("not founded: {why}"));
+            if Instant::now() > deadline {
+                return Err(format!("the fleet was not bootstrapped within 30 s: {why}"));
             }
         }
         if world.options.history {
             world.all_admit(0, Duration::from_secs(30))?;
         } else {
-            world.wait("all hold a right", Duration::from_secs(30), |w| {
+            world.wait("all members have a long admission lease", Duration::from_secs(30), |w| {
                 let status = w.status();
                 let members = status["members"].as_array().map_or(&[][..], Vec::as_slice);
                 members.len() == w.options.members && members.iter().all(|m| m["right"] == "long")
@@ -213,8 +224,8 @@
         self.relays.values().for_each(Relay::stop);
         self.engines.iter().for_each(Engine::stop);
         self.target.stop();
-        if !self.keep {
-            let _ = std::fs::remove_dir_all(&self.folder); // It is in the system's temporary folder.
+        if !self.keep_folder {
+            let _ = std::fs::remove_dir_all(&self.folder); // A folder that remains is in the system's temporary folder.
         }
     }
 }
--- a/crates/fault-harness/src/world/operate.rs
+++ b/crates/fault-harness/src/world/operate.rs
@@ -1,8 +1,9 @@
-//! Operators' commands, and what the fleet tells of itself.
+//! Runs operators' commands and reads the status that the fleet reports.
 
 use super::*;
 
 impl World {
+    /// Prepares an operator's command without any injected bug.
     fn command(&self, words: &[&str]) -> Command {
         let mut command = Command::new(&self.binary);
         command.args(words).arg("--operator").arg(self.folder.join("operator.hcl"));
@@ -10,7 +11,7 @@
         command
     }
 
-    /// Has the operator's command done.
+    /// Runs an operator's command to its end and returns its output.
     pub fn operate(&self, words: &[&str]) -> Output {
         let failed = |e: std::io::Error| Output {
             status: Default::default(),
@@ -20,13 +21,14 @@
         self.command(words).output().unwrap_or_else(failed)
     }
 
-    /// Has a change made, and notes how the command ended: the code, and the version if it is in force.
+    /// Runs a command that changes the policy and records the end of the command in the history.
+    /// Returns the exit code, and the number of the new policy version if the command reported the version as active.
     pub fn change(&self, words: &[&str]) -> (i32, Option<u64>) {
         let output = self.operate(words);
         note_command(&self.history, &output)
     }
 
-    /// Has a change made beside what the test goes on with; [`World::join`] waits for it.
+    /// Runs a command that changes the policy in the background; [`World::join`] waits for its end.
     pub fn change_later(&mut self, words: &[&str]) {
         let (mut command, history) = (self.command(words), self.history.clone());
         let work = move || {
@@ -37,51 +39,56 @@
         self.operators.push(std::thread::spawn(work));
     }
 
-    /// The version in force.
+    /// Returns the number of the active policy version; retries for up to 15 s until a voter answers.
     pub fn version(&self) -> Result<u64, String> {
-        let until = Instant::now() + Duration::from_secs(15);
+        let deadline = Instant::now() + Duration::from_secs(15);
         loop {
             let shown = self.operate(&["policy", "show", "--json"]);
             let value = serde_json::from_slice::<serde_json::Value>(&shown.stdout).ok();
             if let Some(version) = value.and_then(|v| v["version"].as_u64()) {
                 return Ok(version);
             }
-            if Instant::now() > until {
-                return Err(format!("no version is told: {}", String::from_utf8_lossy(&shown.stderr)));
+            if Instant::now() > deadline {
+                return Err(format!(
+                    "no voter reported the policy version: {}",
+                    String::from_utf8_lossy(&shown.stderr)
+                ));
             }
         }
     }
 
-    /// What the fleet's status says, as JSON.
+    /// Returns the status of the fleet as JSON, or `null` if the command failed.
     pub fn status(&self) -> serde_json::Value {
         let output = self.operate(&["fleet", "status", "--json"]);
         serde_json::from_slice(&output.stdout).unwrap_or_default()
     }
 
-    /// The member that leads.
+    /// Returns the index of the Raft leader, if a voter reports that it is the leader.
     pub fn leader(&self) -> Option<usize> {
         let status = self.status();
         let deciders = status["deciders"].as_array()?.clone();
         let leads = |d: &&serde_json::Value| d["role"] == "leader";
-        // One that was replaced and does not know yet has an older term.
+        // A former leader that has not learned of its successor reports an older term.
         let leader = deciders.iter().filter(leads).max_by_key(|d| d["term"].as_u64())?;
         Some(leader["seat"].as_u64()? as usize - 1)
     }
 
-    /// Waits for operators' commands that are still out.
+    /// Waits for the operators' commands that run in the background.
     pub fn join(&mut self) {
         for operator in self.operators.drain(..) {
-            let _ = operator.join(); // Its thread does not panic.
+            let _ = operator.join(); // The thread does not panic, so there is no error to report.
         }
     }
 
-    /// A task as the fleet tells it, as JSON.
+    /// Returns the state of a task as JSON, or `null` if the command failed.
     pub fn task(&self, name: &str) -> serde_json::Value {
         let output = self.operate(&["task", "show", name, "--json"]);
         serde_json::from_slice(&output.stdout).unwrap_or_default()
     }
 }
 
+/// Records the end of a command that changes the policy.
+/// Returns the command's exit code, and the active policy version if the command printed one.
 pub(super) fn note_command(history: &History, output: &Output) -> (i32, Option<u64>) {
     let code = output.status.code().unwrap_or(-1);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -94,6 +101,7 @@
     (code, version)
 }
 
+/// Returns the string under a key of the JSON object in the last line of a text.
 pub(super) fn json_text(text: &str, key: &str) -> Option<String> {
     let value: serde_json::Value = serde_json::from_str(text.lines().next_back()?).ok()?;
     value[key].as_str().map(str::to_owned)
--- a/crates/fault-harness/src/world/seeds.rs
+++ b/crates/fault-harness/src/world/seeds.rs
@@ -1,9 +1,9 @@
-//! A whole world played from a seed.
+//! Test runs that are derived from a seed: options, plan of faults, tasks and budgets.
 
 use super::*;
 use crate::budget_checker::{check_budgets, BudgetLimit, RateLimit};
 
-/// Tasks of a world that is played from a seed: one that must not be repeated, one that may.
+/// Tasks of a seeded run. Steps of `once` must not be repeated after an unknown outcome; steps of `again` may be.
 const TASKS: &str = r#"
   task "once" {
     call      = "TARGET/once"
@@ -23,7 +23,8 @@
   }
 "#;
 
-/// Budgets of a world in which demand moves: a rate of one account, and a stock that one slow engine holds for long.
+/// Budgets of a seeded run with moving demand: a request rate for one account and a limit on open requests.
+/// A slow engine uses up the limit on open requests for a long time. [`budgets`] replaces `FLOOR`.
 const BUDGETS: &str = r#"
 budget "leinster" {
   limits      = "requests"
@@ -40,13 +41,14 @@
 }
 "#;
 
-/// For every second seed something is set aside.
+/// Returns the `budget` blocks for a seed; for even seeds, half of the rate budget is reserved as a floor for members.
 fn budgets(seed: u64) -> String {
     let floor = "  floor       = \"50%\"\n  floor_among = 8\n";
     BUDGETS.replace("FLOOR", if seed.is_multiple_of(2) { floor } else { "" })
 }
 
-fn bounds(law: &Law) -> Vec<BudgetLimit> {
+/// Returns the limits that the budget checker enforces; they repeat the values in [`BUDGETS`].
+fn checked_limits(law: &Law) -> Vec<BudgetLimit> {
     let versions = law.versions.iter().filter(|(_, v)| v.budgets).map(|(number, _)| *number);
     let versions: BTreeSet<u64> = versions.collect();
     let leinster = BudgetLimit {
@@ -54,30 +56,39 @@
         rate: Some(RateLimit { per_second: 200.0, burst: 16.0 }),
         ..BudgetLimit::default()
     };
-    let looks = BudgetLimit {
+    let munster_lookups = BudgetLimit {
         account: "munster".to_owned(),
         class: Some(0),
         max_in_flight: Some(12),
         ..BudgetLimit::default()
     };
-    [leinster, looks].map(|bound| BudgetLimit { versions: versions.clone(), ..bound }).to_vec()
+    [leinster, munster_lookups].map(|limit| BudgetLimit { versions: versions.clone(), ..limit }).to_vec()
 }
 
-/// Plays a whole world from a seed; the error tells the seed and the plan.
+/// Runs a fleet with the faults that a seed yields and checks its history.
+///
+/// # Errors
+///
+/// The failure or violation, with the seed, the plan of faults and the command that repeats the run.
 pub fn play_seed(binary: &Path, seed: u64, trials: &[String]) -> Result<Summary, String> {
     let members = 4 + (seed % 3) as usize;
-    played(binary, seed, trials, plan(seed, members, 5000), Options { members, ..Options::default() })
+    run_plan(binary, seed, trials, plan(seed, members, 5000), Options { members, ..Options::default() })
 }
 
-/// The same with budgets in each policy, and demand that moves between members.
+/// Runs a fleet like [`play_seed`], with budgets in each policy and with demand that moves between members.
+///
+/// # Errors
+///
+/// Returns an error in the same cases as [`play_seed`].
 pub fn play_shared_seed(binary: &Path, seed: u64, trials: &[String]) -> Result<Summary, String> {
     let members = 4 + (seed % 3) as usize;
     let takes = [4, 4, 600].map(Duration::from_millis).to_vec();
     let options = Options { members, takes, common: budgets(seed), ..Options::default() };
-    played(binary, seed, trials, plan_shared(seed, members, 5000), options)
+    run_plan(binary, seed, trials, plan_shared(seed, members, 5000), options)
 }
 
-fn played(
+/// Runs a fleet with a plan of faults, ends all faults, waits until the fleet has recovered and checks the history.
+fn run_plan(
     binary: &Path,
     seed: u64,
     trials: &[String],
@@ -86,9 +97,9 @@
 ) -> Result<Summary, String> {
     let shared = !options.common.is_empty();
     let (test, kind) = if shared { ("shared_seeds", "shared") } else { ("seeds_of", "seed") };
-    let told = steps.iter().map(Step::to_string).collect::<Vec<_>>().join("\n  ");
-    let again = format!(
-        "seed {seed}, {} members; play again: RIG_SEEDS={seed} cargo test --test fleet_seeds {test}\n  {told}",
+    let plan_text = steps.iter().map(Step::to_string).collect::<Vec<_>>().join("\n  ");
+    let reproduction = format!(
+        "seed {seed}, {} members; play again: RIG_SEEDS={seed} cargo test --test fleet_seeds {test}\n  {plan_text}",
         options.members
     );
     let run = || {
@@ -104,13 +115,13 @@
             let file = world.policy(POLICIES.len() - 1);
             let words = ["policy", "propose", &file.to_string_lossy(), "--json", "--wait", "20"];
             if world.change(&words).0 != 0 {
-                return Err("the budgets did not come into force".to_owned());
+                return Err("the policy with the budgets was not activated".to_owned());
             }
         }
         world.play(&steps)?;
         world.mend();
         world.join();
-        // Alive again: everybody admits under what is in force, whatever was done to the fleet.
+        // Liveness: after all faults have ended, every member must admit requests under the active version again.
         let version = world.version()?;
         world.all_admit(version, Duration::from_secs(30))?;
         let names = ["once", "again"];
@@ -120,17 +131,18 @@
                 let task = w.task(name);
                 task["task"] == name && task["holder"].is_null()
             });
-            // What the target saw says more than that something takes too long.
+            // After a timeout, a violation in the target's operations explains more than the timeout, so it is reported first.
             ends.or_else(|late| world.judge_tasks(&names, &["again"]).and(Err(late)))?;
         }
         let operations = world.judge_tasks(&names, &["again"])?;
         let law = world.law()?;
         let summary = Summary { operations, ..world.judge()? };
         let shared = match shared {
-            true => check_budgets(&world.history.all(), &bounds(&law)).map_err(|b: Break| b.to_string())?,
+            true => check_budgets(&world.history.all(), &checked_limits(&law))
+                .map_err(|b: Break| b.to_string())?,
             false => Vec::new(),
         };
         Ok(Summary { shared, ..summary })
     };
-    run().map_err(|e: String| format!("{e}\n{again}"))
+    run().map_err(|e: String| format!("{e}\n{reproduction}"))
 }
--- a/crates/fault-harness/src/world/troubles.rs
+++ b/crates/fault-harness/src/world/troubles.rs
@@ -1,36 +1,37 @@
-//! What is done to a world: processes, links and disks.
+//! Injects faults into the processes, links and disks of a fleet.
 
 use super::*;
 
 impl World {
-    /// Starts a member's process, and has links and its client lead there.
+    /// Starts a member's process and points its relays and its client to the new addresses.
     pub fn begin(&mut self, me: usize) -> Result<(), String> {
         self.members[me].start(self.options.fleet && me < SEATS)?;
         let (front, fleet) = {
             let said = self.members[me].said();
             (said.front, said.fleet)
         };
-        self.lead_to(me, fleet);
+        self.set_relay_targets(me, fleet);
         self.clients[me].asks(front);
         Ok(())
     }
 
-    fn lead_to(&self, me: usize, fleet: Option<std::net::SocketAddr>) {
-        let to_it = self.relays.iter().filter(|((_, seat), _)| *seat == me);
-        to_it.for_each(|(_, relay)| relay.leads_to(fleet));
+    /// Sets the target of all relays that lead to a member; `None` makes these relays close their connections.
+    fn set_relay_targets(&self, me: usize, fleet: Option<std::net::SocketAddr>) {
+        let inbound = self.relays.iter().filter(|((_, seat), _)| *seat == me);
+        inbound.for_each(|(_, relay)| relay.leads_to(fleet));
     }
 
-    /// Kills a member.
+    /// Kills a member with SIGKILL; relays to the member close their connections and its client disconnects.
     pub fn kill(&mut self, me: usize) {
         self.members[me].kill();
-        self.lead_to(me, None);
+        self.set_relay_targets(me, None);
         self.clients[me].asks(None);
     }
 
-    /// Cuts all links between a member and the others: what it sends out, and what comes to it.
+    /// Sets the state of all links of a member: `out` for the bytes that the member sends, `inward` for those sent to it.
     pub fn cut(&self, me: usize, out: Way, inward: Way) {
         for ((from, seat), relay) in &self.relays {
-            // A link's answers go the other way.
+            // On a link that another member opened, the bytes towards this member flow in the relay's forward direction.
             if *from == me {
                 relay.set(out, inward);
             } else if *seat == me {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Cuts the links between two groups of members.
+    /// Simulates a network partition: sets the state of all links between the given group and the remaining members.
     pub fn part(&self, group: &[usize], way: Way) {
         for ((from, seat), relay) in &self.relays {
             if group.contains(from) != group.contains(seat) {
@@ -48,22 +49,22 @@
         }
     }
 
-    /// All links as they should be.
+    /// Restores all links to normal operation.
     pub fn mend(&self) {
         self.relays.values().for_each(|relay| relay.set(Way::Open, Way::Open));
     }
 
-    /// Bytes that went over all links.
+    /// Number of bytes that the relays of all links have forwarded.
     pub fn bytes(&self) -> u64 {
         self.relays.values().map(Relay::bytes).sum()
     }
 
-    /// Does a fault, and notes it.
+    /// Injects a fault and records it in the history.
     pub fn fault(&mut self, fault: &Fault) -> Result<(), String> {
         self.history.note(now(), What::Fault(format!("{fault:?}")));
         match fault {
             Fault::Kill(m) => self.kill(*m),
-            // Where the power came back before, it runs already.
+            // `Fault::Power` may have restarted the member before.
             Fault::Start(m) if self.members[*m].runs() => {}
             Fault::Start(m) => self.begin(*m)?,
             Fault::Stop(m) => self.members[*m].stop(),
@@ -72,15 +73,16 @@
             Fault::Room(m) => self.members[*m].fill_disk(false),
             Fault::Links(m, out, inward) => self.cut(*m, *out, *inward),
             Fault::Deciders(m, way) => {
-                let between = |(from, seat): &(usize, usize)| *from < SEATS && (from == m || seat == m);
-                let links = self.relays.iter().filter(|(link, _)| between(link));
+                let is_between_voters =
+                    |(from, seat): &(usize, usize)| *from < SEATS && (from == m || seat == m);
+                let links = self.relays.iter().filter(|(link, _)| is_between_voters(link));
                 links.for_each(|(_, relay)| relay.set(*way, *way));
             }
             Fault::Mend(m) => self.cut(*m, Way::Open, Way::Open),
             Fault::Unsynced(m) => self.fail_fsync(*m, true)?,
             Fault::Synced(m) => self.fail_fsync(*m, false)?,
             Fault::Outage => {
-                // Killed first, all of them, and waited for only then.
+                // Signals all members before waiting for any, so that they die at nearly the same moment.
                 self.members.iter().for_each(Process::end);
                 (0..self.members.len()).for_each(|me| self.kill(me));
             }
@@ -109,17 +111,17 @@
         Ok(())
     }
 
-    /// Has each fsync of a decider fail from now on, or work again.
+    /// Makes every fsync of a voter fail, or ends the failures if `fails` is false.
     pub fn fail_fsync(&self, me: usize, fails: bool) -> Result<(), String> {
         let flag = self.disk(me).join(FSYNC_FAILS);
         if fails {
             return std::fs::write(flag, "").map_err(|e| e.to_string());
         }
-        let _ = std::fs::remove_file(flag); // It may not be there.
+        let _ = std::fs::remove_file(flag); // The flag file may not exist.
         Ok(())
     }
 
-    /// Plays a plan against the clock.
+    /// Injects the faults of a plan at their times, counted in milliseconds from this call.
     pub fn play(&mut self, steps: &[Step]) -> Result<(), String> {
         let start = Instant::now();
         for step in steps {
--- a/crates/fault-harness/src/world/verdict.rs
+++ b/crates/fault-harness/src/world/verdict.rs
@@ -1,15 +1,19 @@
-//! Waiting for what is to come, and judging what came.
+//! Waits for conditions of a fleet and runs the history checkers.
 
 use super::operate::json_text;
 use super::*;
 
 impl World {
-    /// Waits until every member has admitted something under at least this version, from now on.
+    /// Waits until every member has admitted a request under at least this policy version, counted from this call.
+    ///
+    /// # Errors
+    ///
+    /// If a member has admitted none after `patience`; the text has the fleet's status and the last log lines.
     pub fn all_admit(&self, version: u64, patience: Duration) -> Result<(), String> {
-        let (from, until) = (now(), Instant::now() + patience);
+        let (start, deadline) = (now(), Instant::now() + patience);
         loop {
             let mut missing: BTreeSet<String> = (0..self.options.members).map(|m| format!("n{m}")).collect();
-            for event in self.history.all().iter().rev().take_while(|e| e.at >= from) {
+            for event in self.history.all().iter().rev().take_while(|e| e.at >= start) {
                 if let What::Admit { member, version: under, .. } = &event.what {
                     if *under >= version {
                         missing.remove(member);
@@ -19,7 +23,7 @@
             if missing.is_empty() {
                 return Ok(());
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let status = self.operate(&["fleet", "status"]);
                 let text = String::from_utf8_lossy(&status.stdout).into_owned();
                 let logs: Vec<String> = self
@@ -36,37 +40,42 @@
         }
     }
 
-    /// The versions that were in force, as the fleet tells in the end.
+    /// Returns the rules for the policy checker, from the policy versions that the fleet reports.
     pub fn law(&self) -> Result<Law, String> {
         let mut versions = BTreeMap::new();
-        let most = self.version()?;
-        for number in 0..=most {
+        let newest = self.version()?;
+        for number in 0..=newest {
             let shown = self.operate(&["policy", "show", &number.to_string(), "--json"]);
             let text = String::from_utf8_lossy(&shown.stdout).into_owned();
             let text = json_text(&text, "text").ok_or(format!("version {number} is not shown: {text}"))?;
-            versions.insert(number, facts(&text));
+            versions.insert(number, parse_version(&text));
         }
         Ok(Law { switch_bound: self.options.switch_bound as f64, versions, load: 1 })
     }
 
-    /// Waits until something is so.
+    /// Waits until a condition is true; `what` describes the condition in the error message.
+    ///
+    /// # Errors
+    ///
+    /// If the condition is still false after `patience`.
     pub fn wait(
         &self,
         what: &str,
         patience: Duration,
         mut is: impl FnMut(&World) -> bool,
     ) -> Result<(), String> {
-        let until = Instant::now() + patience;
+        let deadline = Instant::now() + patience;
         while !is(self) {
-            if Instant::now() > until {
-                return Err(format!("never came: {what}; {}", self.status()));
+            if Instant::now() > deadline {
+                return Err(format!("timed out waiting for: {what}; {}", self.status()));
             }
             std::thread::sleep(Duration::from_millis(60));
         }
         Ok(())
     }
 
-    /// Ends the clients, and judges what was written down.
+    /// Ends the clients and the members, then runs the policy checker on the history.
+    /// After a violation the fleet's folder is left in place for debugging.
     pub fn judge(&mut self) -> Result<Summary, String> {
         self.join();
         let law = self.law()?;
@@ -74,23 +83,26 @@
             client.asks(None);
             client.stop();
         }
-        // What members wrote down is whole once their pipes have ended: no line is on its way any more.
+        // The history is complete only after the members have ended and their output has been read to the end.
         self.members.iter_mut().for_each(Process::kill);
         judge(&self.history.all(), &law).map_err(|b: Break| {
-            self.keep = true;
+            self.keep_folder = true;
             b.to_string()
         })
     }
 
-    /// Judges what was acted on for these tasks, by the record that the fleet keeps of them.
+    /// Runs the task checker on the history, with the step outcomes that the fleet recorded for the named tasks.
+    /// Steps of the `repeatable` tasks may be executed more than once.
     pub fn judge_tasks(&self, names: &[&str], repeatable: &[&str]) -> Result<OperationSummary, String> {
         let mut rules = TaskRules::default();
         rules.repeatable.extend(repeatable.iter().map(|name| (*name).to_owned()));
         for name in names {
-            // A leader may be on its way.
-            self.wait("the task is told", Duration::from_secs(15), |w| w.task(name)["record"].is_array())?;
+            // The command fails during a leader election, so the task's record may take some attempts to read.
+            self.wait("the record of the task", Duration::from_secs(15), |w| {
+                w.task(name)["record"].is_array()
+            })?;
             let task = self.task(name);
-            for step in task["record"].as_array().ok_or(format!("{name} is not told: {task}"))? {
+            for step in task["record"].as_array().ok_or(format!("task {name} has no record: {task}"))? {
                 let number = |key: &str| step[key].as_u64().unwrap_or_default();
                 let key = StepKey { task: (*name).to_owned(), run: number("run"), step: number("step") };
                 match step["outcome"].as_str() {
@@ -103,7 +115,7 @@
         check_operations(&self.history.all(), &rules).map_err(|b: Break| b.to_string())
     }
 
-    /// Served, and sent, by all clients.
+    /// Returns the numbers of requests that were served and sent, summed over all clients.
     pub fn counts(&self) -> (u64, u64) {
         let sum = |of: fn(&crate::client::Tally) -> &std::sync::atomic::AtomicU64| {
             self.clients.iter().map(|c| of(&c.tally).load(Relaxed)).sum()
@@ -112,14 +124,14 @@
     }
 }
 
-/// The hash that members write of a policy's text.
+/// Computes the hash of a policy text that members print in their `history use` lines.
 fn hash(text: &str) -> String {
     let hash = text.bytes().fold(0u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
     format!("{hash:x}")
 }
 
-/// What a text of the rig's policies says, in the judge's words.
-fn facts(text: &str) -> Version {
+/// Extracts the rules of a policy version from its text. Only the forms that the harness's own policies use are recognized.
+fn parse_version(text: &str) -> Version {
     let mut version = Version { hash: hash(text), ..Version::default() };
     version.refused.extend((text.contains("refused = true")).then_some(1));
     for engine in ["s-00000001", "s-00000002", "s-00000003"] {
--- a/crates/fault-harness/tests/budget_checker.rs
+++ b/crates/fault-harness/tests/budget_checker.rs
@@ -1,4 +1,5 @@
-//! The history checker of budgets on made-up histories: good ones pass, and of each bad one the violation is reported.
+//! Tests of the budget history checker with constructed histories.
+//! Histories within the limits must pass, and each history beyond a limit must be reported with its violation.
 
 use beamgap_fault_harness::budget_checker::{check_budgets, BudgetLimit, RateLimit};
 use beamgap_fault_harness::history::{Event, What};
@@ -25,18 +26,19 @@
 }
 
 fn violation(events: &[Event], limit: BudgetLimit) -> String {
-    check_budgets(events, &[limit]).expect_err("is found").to_string()
+    check_budgets(events, &[limit]).expect_err("the violation is reported").to_string()
 }
 
+/// Guards against a checker that misses a rate violation or counts admissions to which the limit does not apply.
 #[test]
 fn a_rate_is_checked_in_every_window() {
     let rate = BudgetLimit { rate: Some(RateLimit { per_second: 10.0, burst: 3.0 }), ..limit() };
-    // Three at once and then one each tenth of a second is all that may come.
+    // The maximum that the limit permits: a burst of three admissions, then one admission every 100 ms.
     let mut good: Vec<Event> = (0..3).map(|i| admit(0.0, &format!("a{i}"), "a")).collect();
     good.extend((1..20).map(|i| admit(f64::from(i) * 100.0, &format!("b{i}"), "a")));
-    let usage = check_budgets(&good, std::slice::from_ref(&rate)).expect("is good");
+    let usage = check_budgets(&good, std::slice::from_ref(&rate)).expect("the history is within the limit");
     assert_eq!((usage[0].admitted, usage[0].burst), (22, 3.0));
-    // Another account's, and those of a version without the budget, do not count.
+    // Admissions of another account, and admissions under a version without the budget, must not be counted.
     good.push(admit(1900.0, "other", "b"));
     good.push(Event {
         at: 1900.0,
@@ -53,13 +55,14 @@
     assert!(violation(&bad, rate).contains("beyond 10 a second and 3 at once"));
 }
 
+/// Guards against a checker that counts attempts instead of requests, or that misses a second request in flight.
 #[test]
 fn a_concurrency_limit_is_checked_by_requests_in_flight_at_engines() {
     let concurrency = BudgetLimit { max_in_flight: Some(1), ..limit() };
     let good = [
         admit(0.0, "x", "a"),
         came(1.0, "e1", "x"),
-        // Called off here and begun there: one request.
+        // The attempt at e1 is cancelled after the retry arrived at e2: both attempts count as one request in flight.
         came(2.0, "e2", "x"),
         left(3.0, "e1", "x"),
         left(4.0, "e2", "x"),
@@ -67,7 +70,8 @@
         came(6.0, "e1", "y"),
     ];
     assert_eq!(
-        check_budgets(&good, std::slice::from_ref(&concurrency)).expect("is good")[0].most_in_flight,
+        check_budgets(&good, std::slice::from_ref(&concurrency)).expect("the history is within the limit")[0]
+            .most_in_flight,
         1
     );
     let mut bad = good.to_vec();
@@ -76,6 +80,7 @@
     assert!(violation(&bad, concurrency).contains("2 of 'a' are in hand"));
 }
 
+/// Guards against a checker that misses a retry without permission, or more permitted retries than the rate allows.
 #[test]
 fn a_retry_without_permission_is_found_and_permitted_retries_are_counted() {
     let limit = BudgetLimit { retries: Some(RateLimit { per_second: 1.0, burst: 1.0 }), ..limit() };
--- a/crates/fault-harness/tests/operations.rs
+++ b/crates/fault-harness/tests/operations.rs
@@ -1,4 +1,5 @@
-//! The history checker of tasks on made-up histories: good ones pass, and each kind of violation is seen.
+//! Tests of the task history checker with constructed histories.
+//! Correct histories must pass, and each kind of violation must be reported.
 
 use beamgap_fault_harness::history::{Event, What};
 use beamgap_fault_harness::operations::{check_operations, StepKey, TaskRules};
@@ -19,6 +20,7 @@
     StepKey { task: "feed".to_owned(), run: 1, step }
 }
 
+/// Guards against false violations: a refused stale token and an unknown step before the next step are permitted.
 #[test]
 fn a_history_without_violations_is_summed_up() {
     let events = [
@@ -40,6 +42,7 @@
     );
 }
 
+/// Guards against a checker that misses a violation: two holders, an old token, a repeated step or a skipped step.
 #[test]
 fn each_violation_is_seen_with_its_promise_its_text_and_its_events() {
     let first = || began(10.0, 0, 2);
@@ -60,6 +63,7 @@
     }
 }
 
+/// Guards against a fleet that records a step as done although no target executed the step.
 #[test]
 fn a_step_that_is_recorded_as_done_and_never_ran_is_a_violation() {
     let mut rules = TaskRules::default();
@@ -69,6 +73,7 @@
     assert_eq!(found.text, "step 0 of run 1 of feed is told as done and never ran");
 }
 
+/// Guards against a false violation when a step of a repeatable task runs again.
 #[test]
 fn a_repeatable_task_may_run_a_step_twice() {
     let mut rules = TaskRules::default();
