--- a/crates/xds/src/client/session.rs
+++ b/crates/xds/src/client/session.rs
@@ -210,10 +210,7 @@
             let body = r.body.as_deref().unwrap_or_default();
             let (name, item) = read(kind, body)?;
             if name.is_empty() || r.name.as_ref().is_some_and(|told| *told != name) {
-                return Err(InvalidResource(format!(
-                    "{}: the resource's name differs from the name in its message",
-                    kind.short()
-                )));
+                return Err(InvalidResource(format!("{}: a resource's name is not its own", kind.short())));
             }
             let version = if self.variant == Variant::World { &got.version } else { &r.version };
             Ok((name, version.clone(), item, r.ttl_ms))
--- a/crates/xds/src/core/messages.rs
+++ b/crates/xds/src/core/messages.rs
@@ -63,9 +63,9 @@
 impl std::fmt::Display for StreamError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            StreamError::TooMany => "subscribes to too many names or to a name that is too long",
+            StreamError::TooMany => "subscribes to more or longer names than it may",
             StreamError::Unanswered => "leaves responses without ACK or NACK",
-            StreamError::Full => "the maximum number of streams is reached",
+            StreamError::Full => "one stream more than may be",
         })
     }
 }
